--- a/policy/src/main/java/org/wisteriapost/policy/fleet/AgentDuty.java
+++ b/policy/src/main/java/org/wisteriapost/policy/fleet/AgentDuty.java
@@ -7,18 +7,19 @@
 import java.util.stream.Collectors;
 
 /**
- * Which agents an entry links to, and which of them it tells who their peers are.
+ * Assigns engine agents to entries: to which agents an entry links, and to which of them
+ * it sends the list of their peers.
  *
- * Load: hundreds of agents, each linked to every entry. Harm prevented: a list of all
- * agents goes from every entry to every agent whenever one comes or goes, which for 49
- * entries and 110 agents is 12 MB a change, most of it between places. Here entries link
- * to the agents of their own place, and two of them tell each agent its peers, so that
- * one may be dead or frozen. Agents of a place without entries are shared out over the
- * entries elsewhere.
+ * With hundreds of agents linked to every entry, each change of the agents would send the
+ * whole list from every entry to every agent: 12 MB a change for 49 entries and 110
+ * agents, most of it across failure domains. So an entry links to the agents of its own
+ * failure domain, and {@value #PEER_LIST_SENDERS} entries send each agent its peers, so
+ * that one of them may be dead or hung. Agents of a failure domain without entries are
+ * distributed over the entries of the others.
  */
 public final class AgentDuty {
 
-	static final int TELLERS = 2;
+	static final int PEER_LIST_SENDERS = 2;
 
 	private final EntryInfo self;
 
@@ -26,29 +27,26 @@
 		this.self = self;
 	}
 
-	/**
-	 * Returns the duty of one entry.
-	 */
 	public static AgentDuty of(EntryInfo self) {
 		return new AgentDuty(self);
 	}
 
 	/**
 	 * Returns the engines to whose agents this entry links.
-	 * @param engines all there are
-	 * @param registered the other registered entries
+	 * @param engines all registered engines
+	 * @param otherEntries the other registered entries
 	 */
-	public List<RunnerInfo> linked(Collection<RunnerInfo> engines, Collection<EntryInfo> registered) {
-		if (!EntryLinks.byPlace(registered.size() + 1)) {
+	public List<RunnerInfo> linked(Collection<RunnerInfo> engines, Collection<EntryInfo> otherEntries) {
+		if (!EntryLinks.byPlace(otherEntries.size() + 1)) {
 			return List.copyOf(engines);
 		}
-		Set<String> places = registered.stream().map(EntryInfo::place).collect(Collectors.toSet());
-		List<String> names = registered.stream().map(EntryInfo::name).toList();
+		Set<String> domainsWithEntries = otherEntries.stream().map(EntryInfo::place).collect(Collectors.toSet());
+		List<String> names = otherEntries.stream().map(EntryInfo::name).toList();
 		List<RunnerInfo> chosen = new ArrayList<>();
 		for (RunnerInfo engine : engines) {
-			boolean near = engine.place().equals(this.self.place());
-			boolean orphaned = !near && !places.contains(engine.place());
-			if (near || (orphaned && first(engine, names))) {
+			boolean local = engine.place().equals(this.self.place());
+			boolean orphaned = !local && !domainsWithEntries.contains(engine.place());
+			if (local || (orphaned && isAmongFirst(engine, names))) {
 				chosen.add(engine);
 			}
 		}
@@ -56,23 +54,23 @@
 	}
 
 	/**
-	 * Returns whether this entry tells the agent beside an engine who its peers are.
-	 * @param living the other entries that live, as far as is known here
+	 * Returns whether this entry sends the agent of an engine the list of its peers.
+	 * @param liveEntries the other entries that are live in this entry's view
 	 */
-	public boolean tells(RunnerInfo engine, Collection<EntryInfo> living) {
-		boolean own = engine.place().equals(this.self.place());
-		List<String> near = living.stream()
+	public boolean tells(RunnerInfo engine, Collection<EntryInfo> liveEntries) {
+		boolean sameDomain = engine.place().equals(this.self.place());
+		List<String> entriesOfDomain = liveEntries.stream()
 			.filter((info) -> info.place().equals(engine.place()))
 			.map(EntryInfo::name)
 			.toList();
-		if (!own && !near.isEmpty()) {
+		if (!sameDomain && !entriesOfDomain.isEmpty()) {
 			return false;
 		}
-		return first(engine, own ? near : living.stream().map(EntryInfo::name).toList());
+		return isAmongFirst(engine, sameDomain ? entriesOfDomain : liveEntries.stream().map(EntryInfo::name).toList());
 	}
 
-	private boolean first(RunnerInfo engine, Collection<String> names) {
-		return Rendezvous.among(this.self.name(), names, engine.address(), TELLERS);
+	private boolean isAmongFirst(RunnerInfo engine, Collection<String> names) {
+		return Rendezvous.among(this.self.name(), names, engine.address(), PEER_LIST_SENDERS);
 	}
 
 }
--- a/policy/src/main/java/org/wisteriapost/policy/fleet/CallerEntries.java
+++ b/policy/src/main/java/org/wisteriapost/policy/fleet/CallerEntries.java
@@ -5,30 +5,35 @@
 import java.util.Optional;
 
 /**
- * Which entries a caller is told of.
+ * Selects the entries that are advertised to a caller.
  *
- * Load: callers in all places, links between places that carry some thousand streams.
- * Harm prevented: a caller that takes an entry of another place at random has its whole
- * answer cross that link, twice when an engine of its own place answers. Entries of the
- * caller's place are enough while there are {@value #LEAST_NEAR} of them: one that is
- * killed leaves two, and what they cannot place near by they send to engines elsewhere.
+ * Links between failure domains carry some thousand streams. A caller that used a random
+ * entry of another failure domain would send its whole answer across such a link, and
+ * twice when an engine of the caller's own failure domain answers. So a caller gets the
+ * entries of its own failure domain if there are at least {@value #MIN_LOCAL_ENTRIES}:
+ * after the loss of one, two remain, and these forward requests to engines elsewhere when
+ * the local ones have no free capacity.
  */
 public final class CallerEntries {
 
-	static final int LEAST_NEAR = 3;
+	static final int MIN_LOCAL_ENTRIES = 3;
 
 	private CallerEntries() {
 	}
 
 	/**
-	 * Returns the entries to name.
-	 * @param ready all that can be named
-	 * @param place the caller's, when it tells
-	 * @param byPlace whether the fleet is so large that places keep to themselves
+	 * Returns the entries to advertise.
+	 * @param ready all entries that accept callers
+	 * @param failureDomain the caller's failure domain, if it sent one
+	 * @param scopedByFailureDomain whether the fleet is so large that traffic is kept
+	 * within failure domains
 	 */
-	public static List<EntryInfo> choose(Collection<EntryInfo> ready, Optional<String> place, boolean byPlace) {
-		List<EntryInfo> near = ready.stream().filter((info) -> place.equals(Optional.of(info.place()))).toList();
-		return (byPlace && near.size() >= LEAST_NEAR) ? near : List.copyOf(ready);
+	public static List<EntryInfo> choose(Collection<EntryInfo> ready, Optional<String> failureDomain,
+			boolean scopedByFailureDomain) {
+		List<EntryInfo> local = ready.stream()
+			.filter((info) -> failureDomain.equals(Optional.of(info.place())))
+			.toList();
+		return (scopedByFailureDomain && local.size() >= MIN_LOCAL_ENTRIES) ? local : List.copyOf(ready);
 	}
 
 }
--- a/policy/src/main/java/org/wisteriapost/policy/fleet/EntryInfo.java
+++ b/policy/src/main/java/org/wisteriapost/policy/fleet/EntryInfo.java
@@ -1,13 +1,13 @@
 package org.wisteriapost.policy.fleet;
 
 /**
- * One start of an entry, as it registers itself.
+ * The registration of one incarnation of an entry.
  *
  * @param name the VM's name
- * @param started nanoseconds that tell a later start from an earlier one by being
- * different; not a time
- * @param front where callers connect, {@code IP:PORT}
- * @param link where other wisteriapost processes connect, {@code IP:PORT}
+ * @param started differs between the incarnations of an entry; neither a timestamp nor
+ * ordered
+ * @param front the address for callers, {@code IP:PORT}
+ * @param link the address for links from other wisteriapost processes, {@code IP:PORT}
  * @param place its failure domain
  * @param region its region
  */
--- a/policy/src/main/java/org/wisteriapost/policy/fleet/EntryLinks.java
+++ b/policy/src/main/java/org/wisteriapost/policy/fleet/EntryLinks.java
@@ -7,33 +7,34 @@
 import java.util.Map;
 
 /**
- * Which other entries an entry links to.
+ * Selects the other entries to which an entry links.
  *
- * Load: dozens to thousands of entries in several places, each of which would link to
- * all. Harm prevented: each link costs both ends a heartbeat a second, so the cost of
- * being there grows with the square of the entries, on the narrow links between places
- * most of all. Up to {@value #MOST_FLAT} entries all pairs are linked. Beyond that an
- * entry links to all of its own place, which callers are told of and with which it shares
- * engines, and to {@value #PER_OTHER_PLACE} of each other place.
+ * A site has dozens to thousands of entries in several failure domains. Each link costs
+ * both ends a heartbeat a second, so a full mesh costs the square of the number of
+ * entries, most of all on the narrow links between failure domains. Up to
+ * {@value #MAX_FULL_MESH_ENTRIES} entries form a full mesh. Beyond that an entry links to
+ * all entries of its own failure domain, with which it shares callers and engines, and to
+ * {@value #LINKS_PER_REMOTE_FAILURE_DOMAIN} entries of each other failure domain.
  */
 public final class EntryLinks {
 
-	// 16 entries have 240 links, which is 10 heartbeats a second for each of them from
-	// and to other places: as much as one answer.
-	static final int MOST_FLAT = 16;
+	// 16 entries have 240 links: for each entry 10 heartbeats a second from and to other
+	// failure domains, about the traffic of one answer.
+	static final int MAX_FULL_MESH_ENTRIES = 16;
 
-	// One to pass news on and one beside it when that is lost.
-	static final int PER_OTHER_PLACE = 2;
+	// One forwards state updates, the other replaces it when it is lost.
+	static final int LINKS_PER_REMOTE_FAILURE_DOMAIN = 2;
 
 	private EntryLinks() {
 	}
 
 	/**
-	 * Returns whether there are so many entries that what concerns one place stays there.
-	 * @param entries all of them, this one included
+	 * Returns whether the fleet is so large that links and state updates are kept within
+	 * failure domains.
+	 * @param entryCount the number of entries, this one included
 	 */
-	public static boolean byPlace(int entries) {
-		return entries > MOST_FLAT;
+	public static boolean byPlace(int entryCount) {
+		return entryCount > MAX_FULL_MESH_ENTRIES;
 	}
 
 	/**
@@ -45,20 +46,20 @@
 			return List.copyOf(others);
 		}
 		List<EntryInfo> chosen = new ArrayList<>();
-		Map<String, Map<String, EntryInfo>> places = new LinkedHashMap<>();
+		Map<String, Map<String, EntryInfo>> remote = new LinkedHashMap<>();
 		for (EntryInfo other : others) {
 			if (other.place().equals(self.place())) {
 				chosen.add(other);
 			}
 			else {
-				places.computeIfAbsent(other.place(), (place) -> new LinkedHashMap<>()).put(other.name(), other);
+				remote.computeIfAbsent(other.place(), (domain) -> new LinkedHashMap<>()).put(other.name(), other);
 			}
 		}
-		places.values()
-			.forEach((there) -> Rendezvous.order(there.keySet(), self.name())
+		remote.values()
+			.forEach((entries) -> Rendezvous.order(entries.keySet(), self.name())
 				.stream()
-				.limit(PER_OTHER_PLACE)
-				.forEach((name) -> chosen.add(there.get(name))));
+				.limit(LINKS_PER_REMOTE_FAILURE_DOMAIN)
+				.forEach((name) -> chosen.add(entries.get(name))));
 		return chosen;
 	}
 
--- a/policy/src/main/java/org/wisteriapost/policy/fleet/LinkedEntry.java
+++ b/policy/src/main/java/org/wisteriapost/policy/fleet/LinkedEntry.java
@@ -1,15 +1,15 @@
 package org.wisteriapost.policy.fleet;
 
 /**
- * Another entry to which there is a link.
+ * Another entry, to which this entry has a link.
  *
  * @param name the VM's name
- * @param distance how far away it is
+ * @param distance its network distance
  */
 public record LinkedEntry(String name, Distance distance) {
 
 	/**
-	 * Returns another entry as one entry sees it.
+	 * Returns a linked entry with its distance from {@code self}.
 	 */
 	public static LinkedEntry of(EntryInfo self, EntryInfo other) {
 		if (!other.region().equals(self.region())) {
@@ -20,20 +20,20 @@
 	}
 
 	/**
-	 * Returns an entry of which no more than the name is known.
+	 * Returns a linked entry whose location is unknown.
 	 */
 	public static LinkedEntry unknown(String name) {
 		return new LinkedEntry(name, Distance.ELSEWHERE);
 	}
 
-	/** How far away an entry is, the nearest first. */
+	/** The network distance of an entry, the nearest first. */
 	public enum Distance {
 
 		/** In the same failure domain. */
 		OWN_PLACE,
 		/** In another failure domain of the same region. */
 		OWN_REGION,
-		/** In another region, or not known where. */
+		/** In another region, or at an unknown location. */
 		ELSEWHERE
 
 	}
--- a/policy/src/main/java/org/wisteriapost/policy/fleet/NamedWeights.java
+++ b/policy/src/main/java/org/wisteriapost/policy/fleet/NamedWeights.java
@@ -1,10 +1,10 @@
 package org.wisteriapost.policy.fleet;
 
 /**
- * The version of a model's weights that all its runners are to serve. Versions only move
- * up.
+ * The target version of a model's weights, which all its runners are to serve. It only
+ * increases.
  *
- * @param model its name
+ * @param model the model's name
  * @param version counts from 1
  */
 public record NamedWeights(String model, int version) {
--- a/policy/src/main/java/org/wisteriapost/policy/fleet/Rendezvous.java
+++ b/policy/src/main/java/org/wisteriapost/policy/fleet/Rendezvous.java
@@ -7,9 +7,10 @@
 import com.dynatrace.hash4j.hashing.Hashing;
 
 /**
- * Orders names for a purpose so that all who know the same names agree, without asking
- * each other. A name that comes or goes changes the order of no others, and different
- * purposes order the same names differently, which spreads duties.
+ * Rendezvous hashing: ranks names for a key, so that all processes that know the same
+ * names agree on the ranking without communication. Adding or removing a name does not
+ * change the order of the others, and different keys rank the same names differently,
+ * which distributes the load.
  */
 public final class Rendezvous {
 
@@ -17,31 +18,31 @@
 	}
 
 	/**
-	 * Returns the names, the first for the purpose first.
+	 * Returns the names by their rank for a key, the first first.
 	 */
-	public static List<String> order(Collection<String> names, String purpose) {
+	public static List<String> order(Collection<String> names, String key) {
 		return names.stream()
-			.sorted(Comparator.comparingLong((String name) -> weight(name, purpose))
+			.sorted(Comparator.comparingLong((String name) -> weight(name, key))
 				.thenComparing(Comparator.naturalOrder()))
 			.toList();
 	}
 
 	/**
-	 * Returns whether a name is among the first of those given for a purpose.
-	 * @param name counts among the names also when it is not given
-	 * @param most how many there are to be
+	 * Returns whether a name ranks among the first for a key.
+	 * @param name ranked with the names, whether or not they contain it
+	 * @param limit how many names count as the first
 	 */
-	public static boolean among(String name, Collection<String> names, String purpose, int most) {
-		long own = weight(name, purpose);
-		long before = names.stream().filter((other) -> !other.equals(name)).filter((other) -> {
-			long weight = weight(other, purpose);
+	public static boolean among(String name, Collection<String> names, String key, int limit) {
+		long own = weight(name, key);
+		long preceding = names.stream().filter((other) -> !other.equals(name)).filter((other) -> {
+			long weight = weight(other, key);
 			return weight < own || (weight == own && other.compareTo(name) < 0);
 		}).count();
-		return before < most;
+		return preceding < limit;
 	}
 
-	private static long weight(String name, String purpose) {
-		return Hashing.komihash5_0().hashCharsToLong(purpose + "\n" + name);
+	private static long weight(String name, String key) {
+		return Hashing.komihash5_0().hashCharsToLong(key + "\n" + name);
 	}
 
 }
--- a/policy/src/main/java/org/wisteriapost/policy/fleet/RunnerInfo.java
+++ b/policy/src/main/java/org/wisteriapost/policy/fleet/RunnerInfo.java
@@ -3,19 +3,19 @@
 import java.util.Map;
 
 /**
- * One start of a runner, as it registers itself.
+ * The registration of one incarnation of a runner.
  *
- * @param id its name; a later start may have it again
- * @param service the service that it belongs to
- * @param address as {@code IP:PORT}; used again by others after the runner has gone
+ * @param id its name; a later incarnation may reuse it
+ * @param service its service
+ * @param address {@code IP:PORT}; another runner may reuse it later
  * @param place its failure domain
- * @param slots requests that it processes at once
- * @param draining whether it is about to leave
- * @param coldMillis how much longer it is slow after its start
- * @param models the version of the weights that it holds, by model
- * @param revision of the registration in the store; of two at one address the later one
- * is the runner that is there now
- * @param start tells this start from others under the same id
+ * @param slots the number of requests that it processes at once
+ * @param draining whether it is draining
+ * @param coldMillis the remaining time for which it is slow after its start
+ * @param models the version of the weights that it serves, by model
+ * @param the registration's revision in the store; of two registrations with one address
+ * the one with the higher revision is current
+ * @param start distinguishes incarnations with the same id
  */
 public record RunnerInfo(String id, String service, String address, String place, int slots, boolean draining,
 		long coldMillis, Map<String, Integer> models, long revision, RunnerStart start) {
@@ -25,16 +25,17 @@
 	}
 
 	/**
-	 * Returns what is known of it after a later start, before it has registered: it holds
-	 * no weights.
+	 * Returns the assumed state of a later incarnation that has not registered yet: it
+	 * serves no weights.
 	 */
-	public RunnerInfo startedAgain(RunnerStart later) {
+	public RunnerInfo startedAgain(RunnerStart laterIncarnation) {
 		return new RunnerInfo(this.id, this.service, this.address, this.place, this.slots, this.draining,
-				this.coldMillis, Map.of(), this.revision, later);
+				this.coldMillis, Map.of(), this.revision, laterIncarnation);
 	}
 
 	/**
-	 * Returns whether a registration says the same of the runner, but that it lives.
+	 * Returns whether another registration is equal but for its revision, which each
+	 * renewal changes.
 	 */
 	public boolean sameAs(RunnerInfo other) {
 		return equals(new RunnerInfo(other.id, other.service, other.address, other.place, other.slots, other.draining,
@@ -42,7 +43,7 @@
 	}
 
 	/**
-	 * Returns the IP number of its VM.
+	 * Returns the IP address of its VM.
 	 */
 	public String host() {
 		return this.address.substring(0, this.address.lastIndexOf(':'));
--- a/policy/src/main/java/org/wisteriapost/policy/fleet/StoreDuty.java
+++ b/policy/src/main/java/org/wisteriapost/policy/fleet/StoreDuty.java
@@ -9,319 +9,326 @@
 import java.util.function.Function;
 
 /**
- * Whether this entry reads the site's store itself or hears from a neighbour what it
- * says.
+ * The role of an entry in its group: the leader reads the site's store for all entries of
+ * the group, and the others follow it.
  *
- * Load: dozens of entries that each wait for changes of four kinds of objects. Harm
- * prevented: every change of a runner costs the store a call an entry, some hundred a
- * second while a service is replaced, against rates that all share. In a group that
- * shares a reader one entry reads, the first by rendezvous of those that live, and the
- * others rest.
+ * Dozens of entries each watch four kinds of objects. Were all to read the store, each
+ * change of a runner would cost a call for each entry, some hundred calls a second while
+ * a service is replaced, against rate limits that all share. So only the leader reads,
+ * the first live entry by rendezvous hashing, and the others follow it.
  *
- * The reader may die, freeze, be cut off or be turned away by the store, and what it does
- * not pass on would be missing: callers would be sent to runners that have left. So an
- * entry that rests takes the reader for lost when it says that it is not current, when
- * the link to it is gone, and when nothing came for {@value #SILENT_MILLIS} ms, of which
- * the reader sends something every half second. Two that both read do no harm.
+ * A leader may crash, hang, be partitioned or be refused by the store. Followers that
+ * missed its updates would send callers to runners that have been removed. So a follower
+ * takes its leader as lost when it reports that the store does not answer it, when the
+ * link to it is closed, and when nothing was received for {@value #LEADER_TIMEOUT_MILLIS}
+ * ms; a leader sends something every half second. Two leaders at a time do no harm.
+ * {@link LeaderFailover} handles the loss without all followers reading at once.
  *
- * What is done about a loss, without all reading at once: {@link Succession}.
+ * A leader that hung goes on reading once it has recovered, beside its successor. While
+ * both have followers neither stops, and the store serves both for good. So a follower
+ * asks the first by rendezvous hashing as soon as that is no longer suspected, and leaves
+ * its leader once it has received the full state from the other. All followers thus move
+ * to the same leader, and the one without followers stops reading.
  *
- * A reader that froze reads on when it is back, beside the one that took its place, and
- * while somebody hears either neither rests. Symptom: the store is paid for both, for
- * good. So who rests asks the first by rendezvous, once that is not suspected any more,
- * and leaves its own reader only when it has everything from the other one. That is
- * enough: all move to the same, nobody hears the former, and it rests.
- *
- * The store may answer a reader for runners while its reading of the routes never ends.
- * Symptom: its signs go on, and with them a table whose tokens were taken away. So a
- * reader whose routes are older than the bound allows is left in the same way, for one
- * whose routes are not. Were all to read, a link that is full of the table would get a
- * copy for each; so of those that hear it the first by rendezvous reads at once, the next
- * two each {@value #BESIDE_MILLIS} ms later, and the others hear whichever has the
- * routes.
+ * The store may answer a leader's reads of runners while its read of the routes never
+ * completes: its heartbeats continue, with a route table that still has revoked tokens.
+ * So a leader whose routes exceed the staleness limit is replaced in the same way by one
+ * whose routes don't. Were all followers to read, a link that is already full of the
+ * route table would carry a copy for each; so the first of them by rendezvous hashing
+ * reads at once, the next two after {@value #STALE_LEADER_STAGGER_MILLIS} ms each, and
+ * the others follow whichever has recent routes.
  */
 public final class StoreDuty {
 
-	/** Up to so many entries each reads for itself: few calls, and nobody to wait for. */
+	/**
+	 * Up to this number of entries each reads the store itself: the calls are few, and no
+	 * entry depends on a leader.
+	 */
 	public static final int MOST_READING_ALL = 8;
 
-	static final int SILENT_MILLIS = 1200;
+	static final int LEADER_TIMEOUT_MILLIS = 1200;
 
-	static final int LATEST_MILLIS = Succession.LATEST_MILLIS;
+	static final int MAX_FAILOVER_MILLIS = LeaderFailover.MAX_FAILOVER_MILLIS;
 
-	static final int BESIDE_MILLIS = 1000;
+	static final int STALE_LEADER_STAGGER_MILLIS = 1000;
 
-	private static final int MOST_BESIDE = 3;
+	private static final int MAX_STALE_LEADER_REPLACEMENTS = 3;
 
 	private static final long NANOS_PER_MILLI = Duration.ofMillis(1).toNanos();
 
-	private static final long BESIDE_NANOS = Duration.ofMillis(BESIDE_MILLIS).toNanos();
+	private static final long STALE_LEADER_STAGGER_NANOS = Duration.ofMillis(STALE_LEADER_STAGGER_MILLIS).toNanos();
 
-	private static final Duration USUAL_IN_FORCE = Duration.ofSeconds(3);
+	private static final Duration DEFAULT_ACTIVATION_DELAY = Duration.ofSeconds(3);
 
-	// The rest of the bound is for the reading.
-	private static final double UNINFORMED_SHARE = 0.8;
+	// The rest of the activation delay is for reading the store.
+	private static final double MAX_UNINFORMED_SHARE = 0.8;
 
-	private static final long SILENT_NANOS = Duration.ofMillis(SILENT_MILLIS).toNanos();
+	private static final long LEADER_TIMEOUT_NANOS = Duration.ofMillis(LEADER_TIMEOUT_MILLIS).toNanos();
 
-	// A link carries everything within it, or is no good for news.
-	private static final long ANSWER_NANOS = Duration.ofMillis(600).toNanos();
+	// A link that does not carry the full state in this time is too slow for following.
+	private static final long ANSWER_TIMEOUT_NANOS = Duration.ofMillis(600).toNanos();
 
-	// After a start or a loss the neighbours are found one after the other.
+	// After a start or a loss the peers are discovered one after the other.
 	private static final long SETTLE_NANOS = Duration.ofSeconds(1).toNanos();
 
 	private final String self;
 
-	private final long mostUninformedNanos;
+	private final long maxUninformedNanos;
 
-	private final ReaderOrder order;
+	private final LeaderOrder leaderOrder;
 
-	private final ReaderAges ages;
+	private final LeaderStaleness staleness;
 
-	private Stage stage = Stage.READS;
+	private Stage stage = Stage.READING;
 
-	// Whom this entry hears or has asked; itself while it reads.
-	private String reader;
+	// The leader that this entry follows or has asked; this entry or its next leader
+	// while
+	// it reads.
+	private String leader;
 
-	// Since when the stage is entered, or since the reader was last heard.
-	private long sinceNanos;
+	// When the stage was entered or the leader was last heard, whichever is later.
+	private long lastEventNanos;
 
-	// As it was at the last look.
+	// The group at the last tick.
 	private Collection<String> group = List.of();
 
-	// Who is asked beside the reader, to be heard instead of it.
+	// The peer that may replace the current leader and has been asked for its state.
 	private Optional<String> candidate = Optional.empty();
 
 	private long candidateNanos;
 
-	// How many have been asked for want of routes that are not old.
-	private int asked;
+	// How many candidates have been asked because of stale routes.
+	private int staleLeaderAttempts;
 
-	private long restsNanos;
+	private long leaderSinceNanos;
 
-	// Since when the reader's routes are older than the bound allows.
-	private OptionalLong oldNanos = OptionalLong.empty();
+	// When the leader's routes exceeded the staleness limit.
+	private OptionalLong staleSinceNanos = OptionalLong.empty();
 
-	// What is done about the last loss.
-	private Optional<Succession> succession = Optional.empty();
+	// The handling of the last loss of a leader.
+	private Optional<LeaderFailover> failover = Optional.empty();
 
-	private StoreDuty(String self, Duration inForce) {
+	private StoreDuty(String self, Duration activationDelay) {
 		this.self = self;
-		this.reader = self;
-		this.order = new ReaderOrder(self);
-		this.ages = ReaderAges.of(inForce);
-		this.mostUninformedNanos = (long) (inForce.toNanos() * UNINFORMED_SHARE);
+		this.leader = self;
+		this.leaderOrder = new LeaderOrder(self);
+		this.staleness = LeaderStaleness.of(activationDelay);
+		this.maxUninformedNanos = (long) (activationDelay.toNanos() * MAX_UNINFORMED_SHARE);
 	}
 
 	/**
-	 * Returns the duty of one entry, which reads, with the usual bound for declarations.
+	 * Returns the initial state of an entry, which reads the store itself, with the
+	 * default activation delay.
 	 */
 	public static StoreDuty of(String self) {
-		return of(self, USUAL_IN_FORCE);
+		return of(self, DEFAULT_ACTIVATION_DELAY);
 	}
 
 	/**
-	 * Returns the duty of one entry, which reads.
-	 * @param inForce from a declaration until it binds
+	 * Returns the initial state of an entry, which reads the store itself.
+	 * @param activationDelay from a declaration until it takes effect
 	 */
-	public static StoreDuty of(String self, Duration inForce) {
-		return new StoreDuty(self, inForce);
+	public static StoreDuty of(String self, Duration activationDelay) {
+		return new StoreDuty(self, activationDelay);
 	}
 
 	/**
-	 * Returns whether this entry leaves the store to a neighbour, also while it looks for
-	 * another one.
+	 * Returns whether this entry is a follower, which includes the time of a failover.
 	 */
 	public boolean rests() {
-		return this.stage == Stage.RESTS || this.stage == Stage.SEEKS;
+		return this.stage == Stage.FOLLOWING || this.stage == Stage.FAILING_OVER;
 	}
 
 	/**
-	 * Returns whether this entry has a neighbour from which it hears the store.
+	 * Returns whether this entry follows a leader that it has not lost.
 	 */
 	public boolean settled() {
-		return this.stage == Stage.RESTS;
+		return this.stage == Stage.FOLLOWING;
 	}
 
 	/**
-	 * Returns whether what an entry passes on is to be believed.
+	 * Returns whether this entry accepts state updates from a peer.
 	 */
 	public boolean believes(String peer) {
-		return isCandidate(peer) || (this.stage != Stage.READS && peer.equals(this.reader));
+		return isCandidate(peer) || (this.stage != Stage.READING && peer.equals(this.leader));
 	}
 
 	/**
-	 * Returns how many milliseconds ago the neighbour from which this entry hears the
-	 * store was heard, rounded up; empty when it has none.
+	 * Returns the time since the leader was last heard, rounded up; empty when there is
+	 * none.
 	 */
 	public OptionalLong heardAgoMillis(long nowNanos) {
-		long ago = Math.ceilDiv(Math.max(0, nowNanos - this.sinceNanos), NANOS_PER_MILLI);
+		long ago = Math.ceilDiv(Math.max(0, nowNanos - this.lastEventNanos), NANOS_PER_MILLI);
 		return settled() ? OptionalLong.of(ago) : OptionalLong.empty();
 	}
 
 	/**
-	 * Hears as of when the routes are that a neighbour passes on.
+	 * Records the time as of which the routes that a peer sends are confirmed.
 	 */
 	public void knownAsOf(String peer, long nanos) {
 		if (believes(peer)) {
-			this.ages.known(peer, nanos);
+			this.staleness.confirmed(peer, nanos);
 		}
 	}
 
 	/**
-	 * Looks what is to be done now.
-	 * @param group the other living entries that share a reader with this one; empty when
-	 * each reads for itself
-	 * @param mayRest whether this entry knows all, the store answers it and nobody hears
-	 * the store from it
+	 * Returns what is to be done now.
+	 * @param group the other live entries of this entry's group; empty when each entry
+	 * reads the store itself
+	 * @param mayFollow whether this entry may become a follower: it has the full state,
+	 * the store answers it and it has no followers
 	 */
-	public List<Step> tick(Collection<String> group, boolean mayRest, long nowNanos) {
+	public List<Step> tick(Collection<String> group, boolean mayFollow, long nowNanos) {
 		this.group = List.copyOf(group);
 		return switch (this.stage) {
-			case READS -> reads(group, mayRest, nowNanos);
-			case ASKED -> asked(group, mayRest, nowNanos);
-			case RESTS -> (!group.contains(this.reader) || nowNanos - this.sinceNanos > SILENT_NANOS)
-					? lost(this.sinceNanos, nowNanos) : move(nowNanos);
-			case SEEKS -> seeks((loss) -> loss.tick(this.group, nowNanos), nowNanos);
+			case READING -> tickReading(group, mayFollow, nowNanos);
+			case ASKED -> tickAsked(group, mayFollow, nowNanos);
+			case FOLLOWING -> (!group.contains(this.leader) || nowNanos - this.lastEventNanos > LEADER_TIMEOUT_NANOS)
+					? onLeaderLost(this.lastEventNanos, nowNanos) : reconsiderLeader(nowNanos);
+			case FAILING_OVER -> continueFailover((failover) -> failover.tick(this.group, nowNanos), nowNanos);
 		};
 	}
 
 	/**
-	 * Hears the reader.
-	 * @param current whether the store answers it
-	 * @param complete whether all objects of all kinds have come from it
+	 * Handles a status from the leader, or from a peer that was asked.
+	 * @param current whether the store answers that entry
+	 * @param complete whether all objects of all kinds have been received from it
 	 */
 	public List<Step> heard(String peer, boolean current, boolean complete, long nowNanos) {
 		if (!believes(peer)) {
 			return List.of();
 		}
 		if (isCandidate(peer)) {
-			return candidateSays(peer, current, complete, nowNanos);
+			return onCandidateStatus(peer, current, complete, nowNanos);
 		}
 		return switch (this.stage) {
-			case READS -> List.of();
-			case ASKED -> current ? answered(complete, nowNanos) : read(nowNanos);
-			case RESTS -> current ? confirmed(nowNanos) : lost(informedNanos(), nowNanos);
-			case SEEKS -> (current && complete) ? confirmed(nowNanos)
-					: seeks((loss) -> loss.heard(peer, current, nowNanos), nowNanos);
+			case READING -> List.of();
+			case ASKED -> current ? onAnswer(complete, nowNanos) : stopFollowing(nowNanos);
+			case FOLLOWING -> current ? onConfirmation(nowNanos) : onLeaderLost(lastInformedNanos(), nowNanos);
+			case FAILING_OVER -> (current && complete) ? onConfirmation(nowNanos)
+					: continueFailover((failover) -> failover.answered(peer, current, nowNanos), nowNanos);
 		};
 	}
 
 	/**
-	 * Hears a neighbour that was asked and hears the store from another one.
-	 * @param agoNanos how long before its answer it heard that one
+	 * Handles the answer of a peer that was asked and is a follower itself.
+	 * @param leaderHeardAgoNanos the time from when it last heard its leader to its
+	 * answer
 	 */
-	public List<Step> heardResting(String peer, long agoNanos, long nowNanos) {
-		return (this.stage == Stage.SEEKS && believes(peer))
-				? seeks((loss) -> loss.heardResting(peer, agoNanos, this.group, nowNanos), nowNanos)
+	public List<Step> heardResting(String peer, long leaderHeardAgoNanos, long nowNanos) {
+		return (this.stage == Stage.FAILING_OVER && believes(peer)) ? continueFailover(
+				(failover) -> failover.answeredAsFollower(peer, leaderHeardAgoNanos, this.group, nowNanos), nowNanos)
 				: heard(peer, false, false, nowNanos);
 	}
 
-	private List<Step> reads(Collection<String> group, boolean mayRest, long nowNanos) {
-		Optional<String> wanted = this.order.wanted(group, nowNanos);
-		if (!mayRest || wanted.isEmpty()) {
-			enter(Stage.READS, this.self, nowNanos);
+	private List<Step> tickReading(Collection<String> group, boolean mayFollow, long nowNanos) {
+		Optional<String> elected = this.leaderOrder.leader(group, nowNanos);
+		if (!mayFollow || elected.isEmpty()) {
+			enterStage(Stage.READING, this.self, nowNanos);
 			return List.of();
 		}
-		if (!wanted.get().equals(this.reader)) {
-			enter(Stage.READS, wanted.get(), nowNanos);
+		if (!elected.get().equals(this.leader)) {
+			enterStage(Stage.READING, elected.get(), nowNanos);
 			return List.of();
 		}
-		if (nowNanos - this.sinceNanos < SETTLE_NANOS) {
+		if (nowNanos - this.lastEventNanos < SETTLE_NANOS) {
 			return List.of();
 		}
-		enter(Stage.ASKED, this.reader, nowNanos);
-		return List.of(new Step.Ask(this.reader));
+		enterStage(Stage.ASKED, this.leader, nowNanos);
+		return List.of(new Step.Ask(this.leader));
 	}
 
-	private List<Step> asked(Collection<String> group, boolean mayRest, long nowNanos) {
-		boolean late = nowNanos - this.sinceNanos > ANSWER_NANOS;
-		return (late || !mayRest || !group.contains(this.reader)) ? read(nowNanos) : List.of();
+	private List<Step> tickAsked(Collection<String> group, boolean mayFollow, long nowNanos) {
+		boolean timedOut = nowNanos - this.lastEventNanos > ANSWER_TIMEOUT_NANOS;
+		return (timedOut || !mayFollow || !group.contains(this.leader)) ? stopFollowing(nowNanos) : List.of();
 	}
 
-	private List<Step> answered(boolean complete, long nowNanos) {
+	private List<Step> onAnswer(boolean complete, long nowNanos) {
 		if (!complete) {
 			return List.of();
 		}
-		enter(Stage.RESTS, this.reader, nowNanos);
+		enterStage(Stage.FOLLOWING, this.leader, nowNanos);
 		return List.of(new Step.Rest());
 	}
 
-	private List<Step> confirmed(long nowNanos) {
-		enter(Stage.RESTS, this.reader, nowNanos);
-		// One that has just begun to read is given as long as the routes may be old.
-		boolean old = this.ages.old(this.reader, nowNanos) && this.ages.late(this.restsNanos, nowNanos);
-		if (!old || this.oldNanos.isEmpty()) {
-			this.oldNanos = old ? OptionalLong.of(nowNanos) : OptionalLong.empty();
+	private List<Step> onConfirmation(long nowNanos) {
+		enterStage(Stage.FOLLOWING, this.leader, nowNanos);
+		// A leader that has just begun to read gets as much time as its routes may be
+		// stale.
+		boolean stale = this.staleness.isStale(this.leader, nowNanos)
+				&& this.staleness.isOverdue(this.leaderSinceNanos, nowNanos);
+		if (!stale || this.staleSinceNanos.isEmpty()) {
+			this.staleSinceNanos = stale ? OptionalLong.of(nowNanos) : OptionalLong.empty();
 		}
 		return List.of();
 	}
 
-	private List<Step> move(long nowNanos) {
+	private List<Step> reconsiderLeader(long nowNanos) {
 		if (this.candidate.isPresent()) {
-			boolean late = nowNanos - this.candidateNanos > ANSWER_NANOS;
-			return (late || !this.group.contains(this.candidate.get())) ? stay(nowNanos) : List.of();
+			boolean timedOut = nowNanos - this.candidateNanos > ANSWER_TIMEOUT_NANOS;
+			return (timedOut || !this.group.contains(this.candidate.get())) ? rejectCandidate(nowNanos) : List.of();
 		}
-		if (this.oldNanos.isPresent()) {
-			return leaveOld(nowNanos - this.oldNanos.getAsLong(), nowNanos);
+		if (this.staleSinceNanos.isPresent()) {
+			return replaceStaleLeader(nowNanos - this.staleSinceNanos.getAsLong(), nowNanos);
 		}
-		return consider(this.order.wanted(this.group, nowNanos).filter((first) -> !first.equals(this.reader)),
+		return askCandidate(this.leaderOrder.leader(this.group, nowNanos).filter((first) -> !first.equals(this.leader)),
 				nowNanos);
 	}
 
-	private List<Step> leaveOld(long agoNanos, long nowNanos) {
-		List<String> order = this.order.all(this.group, nowNanos)
+	private List<Step> replaceStaleLeader(long staleForNanos, long nowNanos) {
+		List<String> order = this.leaderOrder.candidates(this.group, nowNanos)
 			.stream()
-			.filter((name) -> !name.equals(this.reader))
-			.limit(MOST_BESIDE)
+			.filter((name) -> !name.equals(this.leader))
+			.limit(MAX_STALE_LEADER_REPLACEMENTS)
 			.toList();
-		int begun = (int) Math.min(order.size(), 1 + agoNanos / BESIDE_NANOS);
+		int started = (int) Math.min(order.size(), 1 + staleForNanos / STALE_LEADER_STAGGER_NANOS);
 		int rank = order.indexOf(this.self);
-		if (rank >= 0 && rank < begun) {
-			Step dismiss = new Step.Dismiss(this.reader);
-			this.order.suspect(this.reader, nowNanos);
-			enter(Stage.READS, this.self, nowNanos);
+		if (rank >= 0 && rank < started) {
+			Step dismiss = new Step.Dismiss(this.leader);
+			this.leaderOrder.suspect(this.leader, nowNanos);
+			enterStage(Stage.READING, this.self, nowNanos);
 			return List.of(dismiss, new Step.Read());
 		}
-		if (nowNanos - this.candidateNanos < ANSWER_NANOS) {
+		if (nowNanos - this.candidateNanos < ANSWER_TIMEOUT_NANOS) {
 			return List.of();
 		}
-		this.asked++;
-		return consider(Optional.of(order.get(this.asked % begun)), nowNanos);
+		this.staleLeaderAttempts++;
+		return askCandidate(Optional.of(order.get(this.staleLeaderAttempts % started)), nowNanos);
 	}
 
-	private List<Step> consider(Optional<String> peer, long nowNanos) {
+	private List<Step> askCandidate(Optional<String> peer, long nowNanos) {
 		this.candidate = peer;
 		peer.ifPresent((name) -> this.candidateNanos = nowNanos);
 		return peer.<List<Step>>map((name) -> List.of(new Step.Ask(name))).orElse(List.of());
 	}
 
-	private List<Step> candidateSays(String peer, boolean current, boolean complete, long nowNanos) {
+	private List<Step> onCandidateStatus(String peer, boolean current, boolean complete, long nowNanos) {
 		if (!current) {
-			stay(nowNanos);
+			rejectCandidate(nowNanos);
 			return List.of();
 		}
-		if (!complete || this.ages.old(peer, nowNanos)) {
+		if (!complete || this.staleness.isStale(peer, nowNanos)) {
 			return List.of();
 		}
-		Step dismiss = new Step.Dismiss(this.reader);
-		if (this.oldNanos.isPresent()) {
-			this.order.suspect(this.reader, nowNanos);
+		Step dismiss = new Step.Dismiss(this.leader);
+		if (this.staleSinceNanos.isPresent()) {
+			this.leaderOrder.suspect(this.leader, nowNanos);
 		}
 		this.candidate = Optional.empty();
-		enter(Stage.RESTS, peer, nowNanos);
+		enterStage(Stage.FOLLOWING, peer, nowNanos);
 		return List.of(dismiss);
 	}
 
-	private List<Step> stay(long nowNanos) {
-		// Whoever is to read for want of newer routes may have only begun.
-		if (this.oldNanos.isEmpty()) {
-			this.candidate.ifPresent((peer) -> this.order.suspect(peer, nowNanos));
+	private List<Step> rejectCandidate(long nowNanos) {
+		// A candidate that replaces a leader with stale routes may only have started to
+		// read.
+		if (this.staleSinceNanos.isEmpty()) {
+			this.candidate.ifPresent((peer) -> this.leaderOrder.suspect(peer, nowNanos));
 		}
-		return leaveCandidate();
+		return dismissCandidate();
 	}
 
-	private List<Step> leaveCandidate() {
+	private List<Step> dismissCandidate() {
 		List<Step> steps = this.candidate.<List<Step>>map((peer) -> List.of(new Step.Dismiss(peer))).orElse(List.of());
 		this.candidate = Optional.empty();
 		return steps;
@@ -331,61 +338,63 @@
 		return this.candidate.equals(Optional.of(peer));
 	}
 
-	private List<Step> read(long nowNanos) {
-		Step dismiss = new Step.Dismiss(this.reader);
-		this.order.suspect(this.reader, nowNanos);
-		enter(Stage.READS, this.self, nowNanos);
+	private List<Step> stopFollowing(long nowNanos) {
+		Step dismiss = new Step.Dismiss(this.leader);
+		this.leaderOrder.suspect(this.leader, nowNanos);
+		enterStage(Stage.READING, this.self, nowNanos);
 		return List.of(dismiss);
 	}
 
-	// A reader that says it is not current may have known nothing new for longer than it
-	// was silent.
-	private long informedNanos() {
-		long known = this.ages.of(this.reader).orElse(this.sinceNanos);
-		return (known - this.sinceNanos < 0) ? known : this.sinceNanos;
+	// A leader that reports that the store does not answer it may have been without
+	// updates
+	// for longer than since its last message.
+	private long lastInformedNanos() {
+		long confirmed = this.staleness.confirmedAt(this.leader).orElse(this.lastEventNanos);
+		return (confirmed - this.lastEventNanos < 0) ? confirmed : this.lastEventNanos;
 	}
 
-	private List<Step> lost(long informedNanos, long nowNanos) {
-		List<Step> steps = new ArrayList<>(leaveCandidate());
-		steps.add(new Step.Dismiss(this.reader));
-		this.order.suspect(this.reader, nowNanos);
-		long dueNanos = informedNanos + this.mostUninformedNanos;
-		this.succession = Optional.of(Succession.begin(this.order, this.group, this.sinceNanos, dueNanos, nowNanos));
-		enter(Stage.SEEKS, this.self, nowNanos);
-		steps.addAll(seeks((loss) -> loss.tick(this.group, nowNanos), nowNanos));
+	private List<Step> onLeaderLost(long lastInformedNanos, long nowNanos) {
+		List<Step> steps = new ArrayList<>(dismissCandidate());
+		steps.add(new Step.Dismiss(this.leader));
+		this.leaderOrder.suspect(this.leader, nowNanos);
+		long freshnessDeadlineNanos = lastInformedNanos + this.maxUninformedNanos;
+		this.failover = Optional.of(LeaderFailover.begin(this.leaderOrder, this.group, this.lastEventNanos,
+				freshnessDeadlineNanos, nowNanos));
+		enterStage(Stage.FAILING_OVER, this.self, nowNanos);
+		steps.addAll(continueFailover((failover) -> failover.tick(this.group, nowNanos), nowNanos));
 		return steps;
 	}
 
-	private List<Step> seeks(Function<Succession, List<Step>> next, long nowNanos) {
-		Succession loss = this.succession.orElseThrow();
-		List<Step> steps = next.apply(loss);
+	private List<Step> continueFailover(Function<LeaderFailover, List<Step>> next, long nowNanos) {
+		LeaderFailover failover = this.failover.orElseThrow();
+		List<Step> steps = next.apply(failover);
 		if (steps.contains(new Step.Read())) {
-			enter(Stage.READS, this.self, nowNanos);
+			enterStage(Stage.READING, this.self, nowNanos);
 		}
 		else {
-			enter(Stage.SEEKS, loss.asked().orElse(this.self), nowNanos);
+			enterStage(Stage.FAILING_OVER, failover.askedPeer().orElse(this.self), nowNanos);
 		}
 		return steps;
 	}
 
-	private void enter(Stage next, String of, long nowNanos) {
-		if (next != this.stage || !of.equals(this.reader)) {
-			this.restsNanos = nowNanos;
-			this.oldNanos = OptionalLong.empty();
-			this.ages.keep(of);
+	private void enterStage(Stage next, String nextLeader, long nowNanos) {
+		if (next != this.stage || !nextLeader.equals(this.leader)) {
+			this.leaderSinceNanos = nowNanos;
+			this.staleSinceNanos = OptionalLong.empty();
+			this.staleness.retainOnly(nextLeader);
 		}
 		this.stage = next;
-		this.reader = of;
-		this.sinceNanos = nowNanos;
+		this.leader = nextLeader;
+		this.lastEventNanos = nowNanos;
 	}
 
 	/**
-	 * What an entry does about the store.
+	 * An action of an entry towards its peers or the store.
 	 */
 	public sealed interface Step {
 
 		/**
-		 * Ask an entry for all that the store says.
+		 * Request the store's state and its changes from an entry.
 		 *
 		 * @param entry its name
 		 */
@@ -393,18 +402,18 @@
 		}
 
 		/**
-		 * Tell an entry that nothing more is wanted of it.
+		 * Cancel the request to an entry.
 		 *
 		 * @param entry its name
 		 */
 		record Dismiss(String entry) implements Step {
 		}
 
-		/** Stop reading the store. */
+		/** Stop reading the store, and follow the leader. */
 		record Rest() implements Step {
 		}
 
-		/** Read the store again: what has changed since it rested. */
+		/** Resume reading the store, from where this entry stopped. */
 		record Read() implements Step {
 		}
 
@@ -412,7 +421,7 @@
 
 	private enum Stage {
 
-		READS, ASKED, RESTS, SEEKS
+		READING, ASKED, FOLLOWING, FAILING_OVER
 
 	}
 
--- a/policy/src/main/java/org/wisteriapost/policy/fleet/UpstreamChoice.java
+++ b/policy/src/main/java/org/wisteriapost/policy/fleet/UpstreamChoice.java
@@ -11,44 +11,47 @@
 import java.util.Set;
 
 /**
- * Chooses the entry through which this one follows the site's store while the store does
+ * Selects the entry through which this one follows the site's store while the store does
  * not answer it.
  *
- * Load: the store turns some machines away for many seconds while runners come and go,
- * tokens are taken away and weights are named; links between regions are narrow and the
- * objects many. Harm prevented: callers of a cut entry are refused for want of runners
- * that have long been there, or sent to ones that have left; and links stay full of
- * copies that are cut off and begun anew.
+ * The store may refuse some machines for many seconds while runners register and leave,
+ * tokens are revoked and target weights versions change; links between regions are narrow
+ * and the objects many. Without an upstream, callers of such an entry would be refused
+ * for lack of runners that are long registered, or sent to ones that have left. Asked of
+ * many entries at a time, links would stay full of transfers that are aborted and
+ * restarted.
  *
- * One other entry is asked at a time and the former is told that nothing more is wanted
- * of it, so in calm times this costs nothing and in a cut one message a change. Those
- * near by come first, in an order of this entry's own so that not all ask the same one.
- * While nobody answers each is given more time than the one before: over a link that is
- * full an answer gets through in the end.
+ * One entry is asked at a time, and the request to the former is cancelled: this costs
+ * nothing while the store answers, and otherwise one message a change. The nearest are
+ * asked first, in an order that differs between entries, so that not all ask the same
+ * one. While nobody answers, each gets twice the time of the one before, so that an
+ * answer completes in the end even over a full link.
  */
 public final class UpstreamChoice {
 
-	// Free links carry a message in a few milliseconds; who has not answered by then is
-	// cut off or overloaded, and the next one is asked.
-	private static final long FIRST_ANSWER_NANOS = Duration.ofMillis(600).toNanos();
+	// An idle link carries a message in a few milliseconds; an entry that has not
+	// answered
+	// by then is unreachable or overloaded, and the next one is asked.
+	private static final long MIN_ANSWER_TIMEOUT_NANOS = Duration.ofMillis(600).toNanos();
 
-	private static final long LONGEST_ANSWER_NANOS = Duration.ofSeconds(4).toNanos();
+	private static final long MAX_ANSWER_TIMEOUT_NANOS = Duration.ofSeconds(4).toNanos();
 
-	// Over a full link signs wait behind objects.
-	private static final long SILENT_NANOS = Duration.ofSeconds(4).toNanos();
+	// Over a full link heartbeats queue behind objects.
+	private static final long UPSTREAM_TIMEOUT_NANOS = Duration.ofSeconds(4).toNanos();
 
-	// Entries that rest say at once that they do not read; asking all of them without a
-	// pause would cost more than following the store.
-	private static final long ROUND_NANOS = Duration.ofSeconds(1).toNanos();
+	// Followers answer at once that they do not read the store; asking all of them
+	// without
+	// a pause would cost more than reading the store does.
+	private static final long MIN_ROUND_NANOS = Duration.ofSeconds(1).toNanos();
 
 	private final String self;
 
-	private boolean cut;
+	private boolean storeUnreachable;
 
-	private Optional<String> asked = Optional.empty();
+	private Optional<String> upstream = Optional.empty();
 
-	// The one asked most recently, also when it helps no more.
-	private Optional<String> last = Optional.empty();
+	// The entry asked most recently, also when it is no longer the upstream.
+	private Optional<String> lastAsked = Optional.empty();
 
 	private Answer answer = Answer.NONE;
 
@@ -56,154 +59,153 @@
 
 	private long heardNanos;
 
-	private long patienceNanos = FIRST_ANSWER_NANOS;
+	private long answerTimeoutNanos = MIN_ANSWER_TIMEOUT_NANOS;
 
-	// Who has been asked in this round, and when it began.
-	private final Set<String> tried = new HashSet<>();
+	private final Set<String> triedThisRound = new HashSet<>();
 
-	private long roundNanos;
+	private long roundStartNanos;
 
-	private boolean served;
+	private boolean answeredThisRound;
 
 	private UpstreamChoice(String self) {
 		this.self = self;
 	}
 
-	/**
-	 * Returns the choice of one entry.
-	 */
 	public static UpstreamChoice of(String self) {
 		return new UpstreamChoice(self);
 	}
 
 	/**
-	 * Hears whether the store answers this entry. Returns whom to tell that nothing more
-	 * is wanted.
+	 * Records whether the store answers this entry. Returns the entry whose request is to
+	 * be cancelled.
 	 */
-	public Optional<String> store(boolean answers) {
-		this.cut = !answers;
-		Optional<String> before = answers ? this.asked : Optional.empty();
-		if (answers) {
-			forget();
+	public Optional<String> store(boolean reachable) {
+		this.storeUnreachable = !reachable;
+		Optional<String> former = reachable ? this.upstream : Optional.empty();
+		if (reachable) {
+			reset();
 		}
-		return before;
+		return former;
 	}
 
 	/**
-	 * Returns whether what an entry passes on is to be believed: it was asked, and the
+	 * Returns whether this entry accepts state updates from a peer: it was asked, and the
 	 * store itself does not answer.
 	 */
 	public boolean believes(String peer) {
-		return this.cut && this.asked.equals(Optional.of(peer));
+		return this.storeUnreachable && this.upstream.equals(Optional.of(peer));
 	}
 
 	/**
-	 * Hears that the entry that was asked has answered.
-	 * @param current whether the store answers it
+	 * Handles the answer of the entry that was asked.
+	 * @param current whether the store answers that entry
 	 */
 	public void heard(boolean current, long nowNanos) {
 		this.heardNanos = nowNanos;
 		this.answer = current ? Answer.CURRENT : Answer.NOT_CURRENT;
 		if (current) {
-			this.served = true;
-			this.patienceNanos = FIRST_ANSWER_NANOS;
+			this.answeredThisRound = true;
+			this.answerTimeoutNanos = MIN_ANSWER_TIMEOUT_NANOS;
 		}
 	}
 
 	/**
-	 * Hears a sign that the entry that was asked still passes on, without any objects.
+	 * Handles a heartbeat of the upstream, which carries no objects.
 	 */
 	public void sign(long nowNanos) {
 		this.heardNanos = nowNanos;
 	}
 
 	/**
-	 * Looks whom to ask now, if anybody, and whom to tell that nothing more is wanted.
+	 * Returns which entry to ask now, if any, and which request to cancel.
 	 * @param linked the entries to which there is a link
 	 */
 	public List<Step> ask(Collection<LinkedEntry> linked, long nowNanos) {
-		if (!this.cut) {
+		if (!this.storeUnreachable) {
 			return List.of();
 		}
-		boolean helps = this.answer != Answer.NOT_CURRENT && !silent(nowNanos)
-				&& linked.stream().anyMatch((entry) -> this.asked.equals(Optional.of(entry.name())));
-		boolean late = this.answer == Answer.NONE && nowNanos - this.askedNanos >= this.patienceNanos;
-		if (helps && !late) {
+		boolean usable = this.answer != Answer.NOT_CURRENT && !isSilent(nowNanos)
+				&& linked.stream().anyMatch((entry) -> this.upstream.equals(Optional.of(entry.name())));
+		boolean timedOut = this.answer == Answer.NONE && nowNanos - this.askedNanos >= this.answerTimeoutNanos;
+		if (usable && !timedOut) {
 			return List.of();
 		}
-		Optional<String> next = next(linked, nowNanos);
-		if (helps && next.isEmpty()) {
-			// Its answer may be on its way, and nobody else is left.
+		Optional<String> next = nextCandidate(linked, nowNanos);
+		if (usable && next.isEmpty()) {
+			// Its answer may be in flight, and no other entry is left.
 			return List.of();
 		}
-		if (helps) {
-			this.patienceNanos = Math.min(2 * this.patienceNanos, LONGEST_ANSWER_NANOS);
+		if (usable) {
+			this.answerTimeoutNanos = Math.min(2 * this.answerTimeoutNanos, MAX_ANSWER_TIMEOUT_NANOS);
 		}
-		return moveTo(next, nowNanos);
+		return switchTo(next, nowNanos);
 	}
 
-	// It started anew or its last word was lost, so that it knows nothing of this entry:
-	// what it said would be believed for as long as the store does not answer. Who passes
-	// on sends something every half second.
-	private boolean silent(long nowNanos) {
-		return this.answer == Answer.CURRENT && nowNanos - this.heardNanos > SILENT_NANOS;
+	// An upstream sends something every half second. One that is silent has restarted, or
+	// its message that it is no longer current was lost, and it no longer knows this
+	// entry:
+	// its last state would be used for as long as the store does not answer.
+	private boolean isSilent(long nowNanos) {
+		return this.answer == Answer.CURRENT && nowNanos - this.heardNanos > UPSTREAM_TIMEOUT_NANOS;
 	}
 
-	private List<Step> moveTo(Optional<String> next, long nowNanos) {
+	private List<Step> switchTo(Optional<String> next, long nowNanos) {
 		List<Step> steps = new ArrayList<>();
-		this.asked.filter((before) -> !next.equals(Optional.of(before)))
-			.ifPresent((before) -> steps.add(new Step.Dismiss(before)));
+		this.upstream.filter((former) -> !next.equals(Optional.of(former)))
+			.ifPresent((former) -> steps.add(new Step.Dismiss(former)));
 		next.ifPresent((entry) -> {
 			steps.add(new Step.Ask(entry));
-			this.tried.add(entry);
-			this.last = next;
+			this.triedThisRound.add(entry);
+			this.lastAsked = next;
 		});
-		this.asked = next;
+		this.upstream = next;
 		this.answer = Answer.NONE;
 		this.askedNanos = nowNanos;
 		return steps;
 	}
 
-	// Each once in a round, and a new round when all have been asked or one has helped
-	// for a while. The one that was asked last is not the first again.
-	private Optional<String> next(Collection<LinkedEntry> linked, long nowNanos) {
-		List<String> order = order(linked);
-		boolean over = this.served || this.tried.containsAll(order);
-		if (this.tried.isEmpty() || (over && nowNanos - this.roundNanos >= ROUND_NANOS)) {
-			this.tried.clear();
-			this.served = false;
-			this.roundNanos = nowNanos;
+	// Each entry is asked once in a round. A new round begins when all have been asked or
+	// one has been the upstream for a while; the entry that was asked last is not the
+	// first
+	// of it.
+	private Optional<String> nextCandidate(Collection<LinkedEntry> linked, long nowNanos) {
+		List<String> order = orderByDistance(linked);
+		boolean roundOver = this.answeredThisRound || this.triedThisRound.containsAll(order);
+		if (this.triedThisRound.isEmpty() || (roundOver && nowNanos - this.roundStartNanos >= MIN_ROUND_NANOS)) {
+			this.triedThisRound.clear();
+			this.answeredThisRound = false;
+			this.roundStartNanos = nowNanos;
 		}
-		List<String> left = order.stream().filter((entry) -> !this.tried.contains(entry)).toList();
-		return left.stream()
-			.filter((entry) -> !this.last.equals(Optional.of(entry)))
+		List<String> remaining = order.stream().filter((entry) -> !this.triedThisRound.contains(entry)).toList();
+		return remaining.stream()
+			.filter((entry) -> !this.lastAsked.equals(Optional.of(entry)))
 			.findFirst()
-			.or(() -> left.stream().findFirst());
+			.or(() -> remaining.stream().findFirst());
 	}
 
-	private List<String> order(Collection<LinkedEntry> linked) {
+	private List<String> orderByDistance(Collection<LinkedEntry> linked) {
 		Map<LinkedEntry.Distance, List<String>> byDistance = new EnumMap<>(LinkedEntry.Distance.class);
 		linked.forEach((entry) -> byDistance.computeIfAbsent(entry.distance(), (distance) -> new ArrayList<>())
 			.add(entry.name()));
 		return byDistance.values().stream().flatMap((names) -> Rendezvous.order(names, this.self).stream()).toList();
 	}
 
-	private void forget() {
-		this.asked = Optional.empty();
-		this.last = Optional.empty();
+	private void reset() {
+		this.upstream = Optional.empty();
+		this.lastAsked = Optional.empty();
 		this.answer = Answer.NONE;
-		this.patienceNanos = FIRST_ANSWER_NANOS;
-		this.tried.clear();
-		this.served = false;
+		this.answerTimeoutNanos = MIN_ANSWER_TIMEOUT_NANOS;
+		this.triedThisRound.clear();
+		this.answeredThisRound = false;
 	}
 
 	/**
-	 * What an entry that the store does not answer says to others.
+	 * A message to another entry while the store does not answer this one.
 	 */
 	public sealed interface Step {
 
 		/**
-		 * Ask an entry for all that the store says.
+		 * Request the store's state and its changes from an entry.
 		 *
 		 * @param entry its name
 		 */
@@ -211,7 +213,7 @@
 		}
 
 		/**
-		 * Tell an entry that nothing more is wanted of it.
+		 * Cancel the request to an entry.
 		 *
 		 * @param entry its name
 		 */
--- a/policy/src/main/java/org/wisteriapost/policy/fleet/package-info.java
+++ b/policy/src/main/java/org/wisteriapost/policy/fleet/package-info.java
@@ -1,4 +1,5 @@
 /**
- * What is believed of runners, entries and named weights, and from what evidence.
+ * The registered runners and entries of a site, how entries link to each other and to
+ * agents, and which entries read the site's store on behalf of others.
  */
 package org.wisteriapost.policy.fleet;
--- a/policy/src/test/java/org/wisteriapost/policy/fleet/StoreDutyTests.java
+++ b/policy/src/test/java/org/wisteriapost/policy/fleet/StoreDutyTests.java
@@ -18,9 +18,9 @@
 import static org.hamcrest.MatcherAssert.assertThat;
 
 /**
- * Entries of one place, of which one reads the site's store for all. When it fails, the
- * others would go on believing what they heard last: callers would be sent to runners
- * that have left, and refused for routes that are there.
+ * Entries of one failure domain with a leader that reads the site's store. When it fails,
+ * followers must not keep using its last state: callers would be sent to runners that
+ * have left, and refused for routes that exist.
  */
 class StoreDutyTests {
 
@@ -32,163 +32,163 @@
 
 	@ParameterizedTest
 	@ValueSource(ints = { 2, 3, 10, 40 })
-	void oneOfTheGroupReadsAndTheOthersRest(int size) {
+	void oneEntryOfTheGroupReadsAndTheOthersFollow(int size) {
 		Group entries = new Group(size);
 		entries.run(3000);
-		assertThat(entries.reading(), Matchers.hasSize(1));
+		assertThat(entries.readers(), Matchers.hasSize(1));
 	}
 
-	// The reader dies, freezes, or is turned away by the store. Nobody is without news
-	// for longer than its silence is borne, and after that one reads for all again. All
-	// never read at once: their copies would fill a narrow link to the store.
+	// After the leader timeout no follower is without a leader, and in the end one entry
+	// reads for all again. At most two resume reading: copies for all would fill a narrow
+	// link to the store.
 	@ParameterizedTest
 	@EnumSource
-	void whoeverHearsNothingHasAnotherReaderAtOnce(Loss loss) {
+	void followersFailOverWithinTheLeaderTimeout(Loss loss) {
 		this.group.run(3000);
-		String reader = this.group.reading().iterator().next();
-		this.group.reads = 0;
-		this.group.lose(reader, loss);
-		this.group.run(StoreDuty.SILENT_MILLIS + 200);
-		assertThat(this.group.uninformed(reader), Matchers.empty());
+		String leader = this.group.readers().iterator().next();
+		this.group.resumedReads = 0;
+		this.group.lose(leader, loss);
+		this.group.run(StoreDuty.LEADER_TIMEOUT_MILLIS + 200);
+		assertThat(this.group.withoutLeader(leader), Matchers.empty());
 		this.group.run(5000);
-		Set<String> reading = this.group.reading();
-		reading.remove(reader);
-		assertThat(reading, Matchers.hasSize(1));
-		assertThat(this.group.reads, Matchers.lessThanOrEqualTo(2));
+		Set<String> readers = this.group.readers();
+		readers.remove(leader);
+		assertThat(readers, Matchers.hasSize(1));
+		assertThat(this.group.resumedReads, Matchers.lessThanOrEqualTo(2));
 	}
 
-	// The reader is lost to this entry alone, or the store turns away all others: all say
-	// that they do not read. It reads itself then.
+	// This entry alone has lost the leader, or the store refuses all others: each peer
+	// answers that it does not read. The entry must then read itself, in bounded time.
 	@ParameterizedTest
 	@ValueSource(ints = { 1, 2, 10, 40 })
-	void whoIsHelpedByNobodyReadsInTheEnd(int others) {
+	void entryWithoutASuccessorReadsItself(int others) {
 		Set<String> group = new TreeSet<>();
 		IntStream.range(0, others).forEach((i) -> group.add("entry-" + i));
 		String self = Rendezvous.order(IntStream.range(0, 1000).mapToObj((i) -> "self-" + i).toList(), "store")
 			.getLast();
-		StoreDuty duty = StoreDuty.of(self);
+		StoreDuty role = StoreDuty.of(self);
 		List<Step> steps = new ArrayList<>();
 		long now = 0;
-		for (; !duty.rests(); now += TICK) {
-			for (Step step : duty.tick(group, true, now)) {
+		for (; !role.rests(); now += TICK) {
+			for (Step step : role.tick(group, true, now)) {
 				if (step instanceof Step.Ask ask) {
-					duty.heard(ask.entry(), true, true, now);
+					role.heard(ask.entry(), true, true, now);
 				}
 			}
 		}
-		long lost = now;
-		for (; duty.rests(); now += TICK) {
-			steps.addAll(duty.tick(group, false, now));
+		long lostAt = now;
+		for (; role.rests(); now += TICK) {
+			steps.addAll(role.tick(group, false, now));
 			for (String peer : group) {
-				steps.addAll(duty.heard(peer, false, false, now));
+				steps.addAll(role.heard(peer, false, false, now));
 			}
 		}
 		assertThat(steps.getLast(), Matchers.equalTo(new Step.Read()));
-		assertThat(now - lost, Matchers.lessThanOrEqualTo(StoreDuty.LATEST_MILLIS * MILLI + TICK));
+		assertThat(now - lostAt, Matchers.lessThanOrEqualTo(StoreDuty.MAX_FAILOVER_MILLIS * MILLI + TICK));
 	}
 
-	// Half of the entries believe that the reader is dead: a link is cut one way. There
-	// are two readers then, and nobody is without news.
+	// Half of the entries have lost their link to the leader. Further entries read then,
+	// and no entry is without updates.
 	@Test
-	void twoReadersDoNoHarm() {
+	void twoLeadersDoNoHarm() {
 		this.group.run(3000);
-		String reader = this.group.reading().iterator().next();
+		String leader = this.group.readers().iterator().next();
 		this.group.names()
 			.stream()
-			.filter((name) -> !name.equals(reader))
+			.filter((name) -> !name.equals(leader))
 			.limit(5)
-			.forEach((name) -> this.group.unlinked.computeIfAbsent(name, (key) -> new TreeSet<>()).add(reader));
+			.forEach((name) -> this.group.unlinkedPeers.computeIfAbsent(name, (key) -> new TreeSet<>()).add(leader));
 		this.group.run(6000);
-		assertThat(this.group.uninformed(""), Matchers.empty());
-		assertThat(this.group.reading().size(), Matchers.lessThanOrEqualTo(3));
+		assertThat(this.group.withoutLeader(""), Matchers.empty());
+		assertThat(this.group.readers().size(), Matchers.lessThanOrEqualTo(3));
 	}
 
 	@Test
-	void whoIsHeardByOthersDoesNotRest() {
-		StoreDuty duty = StoreDuty.of("z");
+	void entryWithFollowersDoesNotStopReading() {
+		StoreDuty role = StoreDuty.of("z");
 		for (int i = 0; i < 50; i++) {
-			assertThat(duty.tick(Set.of("a", "b", "c"), false, i * TICK), Matchers.empty());
+			assertThat(role.tick(Set.of("a", "b", "c"), false, i * TICK), Matchers.empty());
 		}
-		assertThat(duty.rests(), Matchers.equalTo(false));
+		assertThat(role.rests(), Matchers.equalTo(false));
 	}
 
 	@Test
-	void nobodyIsBelievedWhoWasNotAsked() {
-		StoreDuty duty = StoreDuty.of("z");
-		duty.tick(Set.of("a"), true, 0);
-		assertThat(duty.believes("a"), Matchers.equalTo(false));
-		assertThat(duty.heard("a", true, true, TICK), Matchers.empty());
+	void updatesOfPeersThatWereNotAskedAreIgnored() {
+		StoreDuty role = StoreDuty.of("z");
+		role.tick(Set.of("a"), true, 0);
+		assertThat(role.believes("a"), Matchers.equalTo(false));
+		assertThat(role.heard("a", true, true, TICK), Matchers.empty());
 	}
 
-	/** How a reader fails. */
+	/** How a leader fails. */
 	enum Loss {
 
 		/** Its links close. */
 		DIES,
-		/** It says nothing and its links stay open. */
-		FREEZES,
-		/** The store does not answer it, which it says. */
-		TURNED_AWAY
+		/** It sends nothing and its links stay open. */
+		HANGS,
+		/** The store does not answer it, which it reports. */
+		REFUSED_BY_STORE
 
 	}
 
-	/** Entries with links to each other, in virtual time. */
+	/** Entries that are linked to each other, in virtual time. */
 	private static final class Group {
 
-		private final Map<String, StoreDuty> duties = new HashMap<>();
+		private final Map<String, StoreDuty> roles = new HashMap<>();
 
-		private final Map<String, Set<String>> downstream = new HashMap<>();
+		private final Map<String, Set<String>> followers = new HashMap<>();
 
-		private final Map<String, Loss> lost = new HashMap<>();
+		private final Map<String, Loss> losses = new HashMap<>();
 
-		private final Map<String, Set<String>> unlinked = new HashMap<>();
+		private final Map<String, Set<String>> unlinkedPeers = new HashMap<>();
 
 		private long now;
 
-		private int reads;
+		private int resumedReads;
 
 		private Group(int size) {
 			for (int i = 0; i < size; i++) {
-				this.duties.put("entry-" + i, StoreDuty.of("entry-" + i));
-				this.downstream.put("entry-" + i, new TreeSet<>());
+				this.roles.put("entry-" + i, StoreDuty.of("entry-" + i));
+				this.followers.put("entry-" + i, new TreeSet<>());
 			}
 		}
 
 		private Set<String> names() {
-			return new TreeSet<>(this.duties.keySet());
+			return new TreeSet<>(this.roles.keySet());
 		}
 
 		private void lose(String name, Loss loss) {
-			this.lost.put(name, loss);
+			this.losses.put(name, loss);
 		}
 
 		private void run(long millis) {
 			for (long until = this.now + millis * MILLI; this.now < until; this.now += TICK) {
 				names().forEach(this::tick);
-				names().forEach(this::sign);
+				names().forEach(this::sendHeartbeats);
 			}
 		}
 
 		private void tick(String name) {
-			if (frozen(name)) {
+			if (unresponsive(name)) {
 				return;
 			}
 			Set<String> others = names();
 			others.remove(name);
-			others.removeIf((other) -> this.lost.get(other) == Loss.DIES);
-			others.removeAll(this.unlinked.getOrDefault(name, Set.of()));
-			boolean mayRest = this.downstream.get(name).isEmpty() && !this.lost.containsKey(name);
-			carryOut(name, this.duties.get(name).tick(others, mayRest, this.now));
+			others.removeIf((other) -> this.losses.get(other) == Loss.DIES);
+			others.removeAll(this.unlinkedPeers.getOrDefault(name, Set.of()));
+			boolean mayFollow = this.followers.get(name).isEmpty() && !this.losses.containsKey(name);
+			carryOut(name, this.roles.get(name).tick(others, mayFollow, this.now));
 		}
 
-		private void sign(String name) {
-			if (frozen(name)) {
+		private void sendHeartbeats(String name) {
+			if (unresponsive(name)) {
 				return;
 			}
-			boolean current = !this.duties.get(name).rests() && !this.lost.containsKey(name);
-			for (String peer : List.copyOf(this.downstream.get(name))) {
-				if (!this.unlinked.getOrDefault(peer, Set.of()).contains(name)) {
-					carryOut(peer, this.duties.get(peer).heard(name, current, true, this.now));
+			boolean current = !this.roles.get(name).rests() && !this.losses.containsKey(name);
+			for (String peer : List.copyOf(this.followers.get(name))) {
+				if (!this.unlinkedPeers.getOrDefault(peer, Set.of()).contains(name)) {
+					carryOut(peer, this.roles.get(peer).heard(name, current, true, this.now));
 				}
 			}
 		}
@@ -196,39 +196,39 @@
 		private void carryOut(String name, List<Step> steps) {
 			for (Step step : steps) {
 				switch (step) {
-					case Step.Ask ask -> this.downstream.get(ask.entry()).add(name);
-					case Step.Dismiss dismiss -> this.downstream.get(dismiss.entry()).remove(name);
+					case Step.Ask ask -> this.followers.get(ask.entry()).add(name);
+					case Step.Dismiss dismiss -> this.followers.get(dismiss.entry()).remove(name);
 					case Step.Rest rest -> {
 					}
-					case Step.Read read -> this.reads++;
+					case Step.Read read -> this.resumedReads++;
 				}
 			}
 		}
 
-		private boolean frozen(String name) {
-			Loss loss = this.lost.get(name);
-			return loss == Loss.DIES || loss == Loss.FREEZES;
+		private boolean unresponsive(String name) {
+			Loss loss = this.losses.get(name);
+			return loss == Loss.DIES || loss == Loss.HANGS;
 		}
 
-		private Set<String> reading() {
-			Set<String> reading = names();
-			reading.removeIf((name) -> this.duties.get(name).rests());
-			return reading;
+		private Set<String> readers() {
+			Set<String> readers = names();
+			readers.removeIf((name) -> this.roles.get(name).rests());
+			return readers;
 		}
 
-		// Who rests and hears nobody that reads.
-		private List<String> uninformed(String except) {
-			List<String> found = new ArrayList<>();
+		// The followers without a working leader.
+		private List<String> withoutLeader(String except) {
+			List<String> affected = new ArrayList<>();
 			for (String name : names()) {
-				boolean fed = names().stream()
-					.anyMatch((other) -> this.downstream.get(other).contains(name) && !this.lost.containsKey(other)
-							&& !this.duties.get(other).rests()
-							&& !this.unlinked.getOrDefault(name, Set.of()).contains(other));
-				if (!name.equals(except) && this.duties.get(name).rests() && !fed) {
-					found.add(name);
+				boolean informed = names().stream()
+					.anyMatch((other) -> this.followers.get(other).contains(name) && !this.losses.containsKey(other)
+							&& !this.roles.get(other).rests()
+							&& !this.unlinkedPeers.getOrDefault(name, Set.of()).contains(other));
+				if (!name.equals(except) && this.roles.get(name).rests() && !informed) {
+					affected.add(name);
 				}
 			}
-			return found;
+			return affected;
 		}
 
 	}
--- a/policy/src/test/java/org/wisteriapost/policy/fleet/UpstreamChoiceTests.java
+++ b/policy/src/test/java/org/wisteriapost/policy/fleet/UpstreamChoiceTests.java
@@ -29,16 +29,16 @@
 
 	private static final List<LinkedEntry> LINKED = List.of(B, A, C);
 
-	private final UpstreamChoice choice = UpstreamChoice.of("self");
+	private final UpstreamChoice selector = UpstreamChoice.of("self");
 
-	private List<String> askedWithin(List<LinkedEntry> linked, long fromMillis, long toMillis, boolean refused) {
+	private List<String> askedWithin(List<LinkedEntry> linked, long fromMillis, long toMillis, boolean notCurrent) {
 		List<String> asked = new ArrayList<>();
 		for (long millis = fromMillis; millis < toMillis; millis += 10) {
-			for (Step step : this.choice.ask(linked, millis * MILLI)) {
+			for (Step step : this.selector.ask(linked, millis * MILLI)) {
 				if (step instanceof Step.Ask ask) {
 					asked.add(ask.entry() + "@" + millis);
-					if (refused) {
-						this.choice.heard(false, millis * MILLI);
+					if (notCurrent) {
+						this.selector.heard(false, millis * MILLI);
 					}
 				}
 			}
@@ -48,79 +48,79 @@
 
 	@Test
 	void nobodyIsAskedWhileTheStoreAnswers() {
-		this.choice.store(true);
-		assertThat(this.choice.ask(LINKED, 0), Matchers.empty());
+		this.selector.store(true);
+		assertThat(this.selector.ask(LINKED, 0), Matchers.empty());
 	}
 
-	// The store turns this entry away. Of the others one is asked, and while it passes on
-	// what it reads no second one is.
+	// While the upstream sends updates no other entry is asked.
 	@Test
-	void oneIsAskedAndKept() {
-		this.choice.store(false);
-		assertThat(this.choice.ask(LINKED, 0), Matchers.contains(new Step.Ask("c")));
-		this.choice.heard(true, 0);
+	void theUpstreamIsKept() {
+		this.selector.store(false);
+		assertThat(this.selector.ask(LINKED, 0), Matchers.contains(new Step.Ask("c")));
+		this.selector.heard(true, 0);
 		for (long millis = 100; millis <= 60_000; millis += 100) {
-			assertThat(this.choice.ask(LINKED, millis * MILLI), Matchers.empty());
+			assertThat(this.selector.ask(LINKED, millis * MILLI), Matchers.empty());
 			if (millis % 500 == 0) {
-				this.choice.sign(millis * MILLI);
+				this.selector.sign(millis * MILLI);
 			}
 		}
 	}
 
-	// The one that passed on has started anew, or its word that it is not current was
-	// lost: it does not know of this entry any more, and says nothing over an open link.
-	// Callers would be sent by what it said last for as long as the store turns this
-	// entry away.
+	// The upstream has restarted, or its message that it is not current was lost: it no
+	// longer knows this entry and sends nothing over an open link. Without a timeout
+	// callers
+	// would be routed by its last state for as long as the store refuses this entry.
 	@Test
-	void whoFallsSilentIsNotWaitedForWithoutEnd() {
-		this.choice.store(false);
-		this.choice.ask(LINKED, 0);
-		this.choice.heard(true, 100 * MILLI);
-		this.choice.sign(600 * MILLI);
-		assertThat(this.choice.ask(LINKED, 4500 * MILLI), Matchers.empty());
-		assertThat(this.choice.ask(LINKED, 4700 * MILLI), Matchers.contains(new Step.Dismiss("c"), new Step.Ask("b")));
+	void aSilentUpstreamTimesOut() {
+		this.selector.store(false);
+		this.selector.ask(LINKED, 0);
+		this.selector.heard(true, 100 * MILLI);
+		this.selector.sign(600 * MILLI);
+		assertThat(this.selector.ask(LINKED, 4500 * MILLI), Matchers.empty());
+		assertThat(this.selector.ask(LINKED, 4700 * MILLI),
+				Matchers.contains(new Step.Dismiss("c"), new Step.Ask("b")));
 	}
 
-	// A sign that it lives is no answer to the question: the objects were lost.
+	// A heartbeat does not count as the answer to a request: the objects were lost.
 	@Test
-	void aSignIsNoAnswer() {
-		this.choice.store(false);
-		this.choice.ask(LINKED, 0);
-		this.choice.sign(500 * MILLI);
-		assertThat(this.choice.ask(LINKED, 700 * MILLI), Matchers.contains(new Step.Dismiss("c"), new Step.Ask("b")));
+	void aHeartbeatIsNoAnswer() {
+		this.selector.store(false);
+		this.selector.ask(LINKED, 0);
+		this.selector.sign(500 * MILLI);
+		assertThat(this.selector.ask(LINKED, 700 * MILLI), Matchers.contains(new Step.Dismiss("c"), new Step.Ask("b")));
 	}
 
-	// The first one asked is cut off as well and says nothing, the second says that the
-	// store does not answer it, the third one's link ends after a while. Each is told
-	// that nothing more is wanted of it, or it would send every change from then on.
+	// The first entry does not answer, the store does not answer the second, and the link
+	// to
+	// the third closes later. Each request is cancelled; otherwise the entry would go on
+	// sending every change.
 	@Test
-	void theNextOneIsAskedWhenOneDoesNotHelp() {
-		this.choice.store(false);
-		this.choice.ask(LINKED, 0);
-		assertThat(this.choice.ask(LINKED, 500 * MILLI), Matchers.empty());
-		assertThat(this.choice.ask(LINKED, 700 * MILLI), Matchers.contains(new Step.Dismiss("c"), new Step.Ask("b")));
-		this.choice.heard(false, 705 * MILLI);
-		assertThat(this.choice.ask(LINKED, 710 * MILLI), Matchers.contains(new Step.Dismiss("b"), new Step.Ask("a")));
-		this.choice.heard(true, 4900 * MILLI);
-		assertThat(this.choice.ask(List.of(B, C), 5000 * MILLI),
+	void theNextEntryIsAskedWhenOneFails() {
+		this.selector.store(false);
+		this.selector.ask(LINKED, 0);
+		assertThat(this.selector.ask(LINKED, 500 * MILLI), Matchers.empty());
+		assertThat(this.selector.ask(LINKED, 700 * MILLI), Matchers.contains(new Step.Dismiss("c"), new Step.Ask("b")));
+		this.selector.heard(false, 705 * MILLI);
+		assertThat(this.selector.ask(LINKED, 710 * MILLI), Matchers.contains(new Step.Dismiss("b"), new Step.Ask("a")));
+		this.selector.heard(true, 4900 * MILLI);
+		assertThat(this.selector.ask(List.of(B, C), 5000 * MILLI),
 				Matchers.contains(new Step.Dismiss("a"), new Step.Ask("c")));
 	}
 
-	// A late message of the one that was asked comes when the store has answered again.
-	// The store's own answer is newer.
+	// A late message of the upstream must not replace the store's own, newer answer.
 	@Test
-	void nothingPassedOnIsBelievedOnceTheStoreAnswers() {
-		this.choice.store(false);
-		this.choice.ask(LINKED, 0);
-		assertThat(this.choice.believes("c"), Matchers.equalTo(true));
-		assertThat(this.choice.believes("b"), Matchers.equalTo(false));
-		assertThat(this.choice.store(true), Matchers.equalTo(Optional.of("c")));
-		assertThat(this.choice.believes("c"), Matchers.equalTo(false));
+	void theUpstreamIsIgnoredOnceTheStoreAnswers() {
+		this.selector.store(false);
+		this.selector.ask(LINKED, 0);
+		assertThat(this.selector.believes("c"), Matchers.equalTo(true));
+		assertThat(this.selector.believes("b"), Matchers.equalTo(false));
+		assertThat(this.selector.store(true), Matchers.equalTo(Optional.of("c")));
+		assertThat(this.selector.believes("c"), Matchers.equalTo(false));
 	}
 
-	// A place loses the store. Whatever the names, the entries near by are asked first,
-	// over links that nothing fills; of several equally near not all entries ask the same
-	// one.
+	// The nearest entries are asked first, whatever their names, since their links have
+	// free
+	// capacity; and not all entries ask the same one of those equally near.
 	@ParameterizedTest
 	@CsvSource({ "OWN_PLACE,OWN_REGION", "OWN_REGION,ELSEWHERE", "OWN_PLACE,ELSEWHERE" })
 	void theNearestIsAskedFirst(Distance near, Distance far) {
@@ -129,44 +129,44 @@
 			.toList();
 		Set<String> first = new HashSet<>();
 		for (int i = 0; i < 20; i++) {
-			UpstreamChoice one = UpstreamChoice.of("self-" + i);
-			one.store(false);
-			first.add(((Step.Ask) one.ask(linked, 0).getLast()).entry());
+			UpstreamChoice other = UpstreamChoice.of("self-" + i);
+			other.store(false);
+			first.add(((Step.Ask) other.ask(linked, 0).getLast()).entry());
 		}
 		Stream<String> farther = linked.stream().filter((entry) -> entry.distance() == far).map(LinkedEntry::name);
 		assertThat(first.stream().filter(farther.toList()::contains).toList(), Matchers.empty());
 		assertThat(first.size(), Matchers.greaterThan(3));
 	}
 
-	// The links are so full that no answer comes in time. An answer that is cut off and
-	// asked of the next fills them further; with more time each, one gets through.
+	// Links are so full that no answer completes in time. Aborting it and asking the next
+	// entry fills them further, so each entry gets more time than the one before.
 	@Test
-	void moreTimeIsGivenWhileNobodyAnswers() {
-		this.choice.store(false);
+	void theAnswerTimeoutGrowsWhileNobodyAnswers() {
+		this.selector.store(false);
 		assertThat(askedWithin(LINKED, 0, 15_000, false),
 				Matchers.contains("c@0", "b@600", "a@1800", "c@4200", "b@8200", "a@12200"));
-		this.choice.heard(true, 15_000 * MILLI);
+		this.selector.heard(true, 15_000 * MILLI);
 		assertThat(askedWithin(List.of(B, C), 15_000, 16_000, false), Matchers.contains("c@15000", "b@15600"));
 	}
 
-	// Nine of ten entries rest and say so within milliseconds. All are asked at once one
-	// after the other, since one of them may read, and then not again at once.
+	// Followers answer within milliseconds that they do not read. All entries are asked
+	// without a pause, since one of them may read, but a new round waits.
 	@Test
-	void whoIsNotCurrentIsPassedOverAtOnceAndAskedAgainLater() {
-		this.choice.store(false);
+	void entriesThatAreNotCurrentAreSkippedAtOnceAndAskedAgainLater() {
+		this.selector.store(false);
 		assertThat(askedWithin(LINKED, 0, 2100, true),
 				Matchers.contains("c@0", "b@10", "a@20", "c@1000", "b@1010", "a@1020", "c@2000", "b@2010", "a@2020"));
 	}
 
-	// The only other entry is slow. It is asked again, and not told meanwhile that
-	// nothing is wanted: its answer may be on its way.
+	// The only other entry is slow. It is asked again, and its request is not cancelled
+	// meanwhile: its answer may be in flight.
 	@Test
-	void theOnlyOneIsAskedAgain() {
-		this.choice.store(false);
-		this.choice.ask(List.of(C), 0);
-		assertThat(this.choice.ask(List.of(C), 700 * MILLI), Matchers.empty());
-		assertThat(this.choice.believes("c"), Matchers.equalTo(true));
-		assertThat(this.choice.ask(List.of(C), 1000 * MILLI), Matchers.contains(new Step.Ask("c")));
+	void theOnlyEntryIsAskedAgain() {
+		this.selector.store(false);
+		this.selector.ask(List.of(C), 0);
+		assertThat(this.selector.ask(List.of(C), 700 * MILLI), Matchers.empty());
+		assertThat(this.selector.believes("c"), Matchers.equalTo(true));
+		assertThat(this.selector.ask(List.of(C), 1000 * MILLI), Matchers.contains(new Step.Ask("c")));
 	}
 
 }
