--- a/policy/src/main/java/org/wisteriapost/policy/membership/LinkChoice.java
+++ b/policy/src/main/java/org/wisteriapost/policy/membership/LinkChoice.java
@@ -12,24 +12,27 @@
 import com.dynatrace.hash4j.hashing.Hashing;
 
 /**
- * Returns which VMs an entry makes links to: a bounded number of each service's runners
- * and of the other entries.
+ * Selects the VMs to which an entry opens links: a bounded number of each service's
+ * runners and of the other entries.
  *
- * Made for 2,300 entries before 6,400 runners. Were each linked to all, every runner
- * would report to every entry each second, a thousand times the 6 KB/s that control may
- * cost a node. A bounded set gives up nothing that placement uses: the better of two out
- * of {@link #RUNNERS_PER_SERVICE} is within a few percent of the better of two out of
- * all.
+ * Bounded for fleets of 2,300 entries and 6,400 runners. Were each entry linked to all,
+ * every runner would report to every entry each second, a thousand times the 6 KB/s of
+ * control traffic that a node may carry. Placement loses little by the bound: the better
+ * of two runners out of {@link #RUNNERS_PER_SERVICE} is within a few percent of the
+ * better of two out of all.
  */
 public final class LinkChoice {
 
-	// Enough that a place, a third of them today, can fail at once and the rest still
-	// holds runners in two others; 64 links of idle traffic stay under 6 KB/s.
+	// Enough that one of three failure domains can fail and the selection still has
+	// runners
+	// in the two others; the idle traffic of 64 links stays under 6 KB/s.
 	private static final int RUNNERS_PER_SERVICE = 24;
 
-	// Up to here every pair of entries is linked. Beyond it links go to the entries 1, 2,
-	// 4, ... further along a ring, so that news crosses 2,300 of them in a few hops.
-	private static final int ENTRIES_IN_FULL = 16;
+	// Up to this number every pair of entries is linked. Beyond it an entry links to
+	// those
+	// 1, 2, 4, ... positions further along a ring, so that a state update reaches 2,300
+	// entries in a few hops.
+	private static final int MAX_FULL_MESH_ENTRIES = 16;
 
 	private final String self;
 
@@ -37,16 +40,13 @@
 		this.self = self;
 	}
 
-	/**
-	 * Returns the choice of one entry.
-	 */
 	public static LinkChoice of(String self) {
 		return new LinkChoice(self);
 	}
 
 	/**
-	 * Returns the VMs to link to; the same list gives the same choice, and a VM that
-	 * comes or goes changes little of it.
+	 * Returns the VMs to link to. The same list gives the same selection, and adding or
+	 * removing a VM changes little of it.
 	 */
 	public List<Member> choose(List<Member> members) {
 		List<Member> chosen = new ArrayList<>(entries(members));
@@ -58,21 +58,24 @@
 		return chosen;
 	}
 
-	// Each place's runners in the order of this entry's own rendezvous hash, taken in
-	// turns: entries choose differently, and none depends on one place.
+	// Takes the runners of the failure domains in turns, ranked by rendezvous hashing
+	// with
+	// this entry's name: entries select different runners, and none depends on a single
+	// failure domain.
 	private List<Member> runners(List<Member> runners) {
 		if (runners.size() <= RUNNERS_PER_SERVICE) {
 			return runners;
 		}
-		Map<String, List<Member>> places = new LinkedHashMap<>();
+		Map<String, List<Member>> domains = new LinkedHashMap<>();
 		runners.stream()
-			.sorted(Comparator.comparingLong((Member member) -> weight(member.vm())).thenComparing(Member::vm))
-			.forEach((member) -> places.computeIfAbsent(member.place(), (place) -> new ArrayList<>()).add(member));
+			.sorted(Comparator.comparingLong((Member member) -> rendezvousWeight(member.vm()))
+				.thenComparing(Member::vm))
+			.forEach((member) -> domains.computeIfAbsent(member.place(), (domain) -> new ArrayList<>()).add(member));
 		List<Member> chosen = new ArrayList<>();
 		for (int turn = 0; chosen.size() < RUNNERS_PER_SERVICE; turn++) {
-			for (List<Member> place : places.values()) {
-				if (turn < place.size() && chosen.size() < RUNNERS_PER_SERVICE) {
-					chosen.add(place.get(turn));
+			for (List<Member> domain : domains.values()) {
+				if (turn < domain.size() && chosen.size() < RUNNERS_PER_SERVICE) {
+					chosen.add(domain.get(turn));
 				}
 			}
 		}
@@ -82,28 +85,28 @@
 	private List<Member> entries(List<Member> members) {
 		List<Member> entries = members.stream()
 			.filter(Member::entry)
-			.sorted(Comparator.comparingLong((Member member) -> ring(member.vm())).thenComparing(Member::vm))
+			.sorted(Comparator.comparingLong((Member member) -> ringPosition(member.vm())).thenComparing(Member::vm))
 			.toList();
-		int own = entries.stream().map(Member::vm).toList().indexOf(this.self);
-		if (entries.size() <= ENTRIES_IN_FULL || own < 0) {
-			// One link for each pair: the one whose name sorts first makes it.
+		int ownPosition = entries.stream().map(Member::vm).toList().indexOf(this.self);
+		if (entries.size() <= MAX_FULL_MESH_ENTRIES || ownPosition < 0) {
+			// One link for each pair: the entry whose name sorts first opens it.
 			return entries.stream()
 				.filter((member) -> this.self.compareTo(member.vm()) < 0)
-				.limit(ENTRIES_IN_FULL)
+				.limit(MAX_FULL_MESH_ENTRIES)
 				.toList();
 		}
 		Set<Member> chosen = new LinkedHashSet<>();
 		for (int distance = 1; distance < entries.size(); distance *= 2) {
-			chosen.add(entries.get((own + distance) % entries.size()));
+			chosen.add(entries.get((ownPosition + distance) % entries.size()));
 		}
 		return List.copyOf(chosen);
 	}
 
-	private long weight(String vm) {
+	private long rendezvousWeight(String vm) {
 		return Hashing.komihash5_0().hashCharsToLong(this.self + "\n" + vm);
 	}
 
-	private static long ring(String vm) {
+	private static long ringPosition(String vm) {
 		return Hashing.komihash5_0().hashCharsToLong(vm);
 	}
 
--- a/policy/src/main/java/org/wisteriapost/policy/membership/Member.java
+++ b/policy/src/main/java/org/wisteriapost/policy/membership/Member.java
@@ -1,16 +1,16 @@
 package org.wisteriapost.policy.membership;
 
 /**
- * One VM as the VM list names it.
+ * A VM of the VM list.
  *
  * @param vm its name
  * @param place its failure domain
- * @param entry whether it is an entry; otherwise an endpoint VM
+ * @param entry whether it is an entry; otherwise it is an endpoint VM
  * @param service the service of an endpoint VM; empty for an entry
- * @param host its IP number
- * @param linkPort where its process takes links
- * @param httpPort where an entry takes callers
- * @param leaving whether the list says it is about to go
+ * @param host its IP address
+ * @param linkPort the port for links
+ * @param httpPort an entry's port for callers
+ * @param leaving whether the list reports that it is leaving
  */
 public record Member(String vm, String place, boolean entry, String service, String host, int linkPort, int httpPort,
 		boolean leaving) {
--- a/policy/src/main/java/org/wisteriapost/policy/membership/Membership.java
+++ b/policy/src/main/java/org/wisteriapost/policy/membership/Membership.java
@@ -10,90 +10,91 @@
 import java.util.Set;
 
 /**
- * Puts together the three words on who is leaving and names the addresses that callers
- * may use. Used by one thread.
+ * Combines the three sources that report leaving VMs, and selects the entries that are
+ * advertised to callers. Not thread-safe.
  *
- * Made for a list that lags by seconds: a VM counts as leaving as soon as any of the
- * list, the platform's mark and the VM itself says so, because new work sent to a VM that
- * goes is lost, while a VM avoided too early costs only a little capacity. An entry that
- * is linked to no one is not named even when the list has it, so that a dead one drops
- * out in the seconds in which the link is missed, not when the list catches up.
+ * The VM list lags by seconds. So a VM counts as leaving as soon as the list, the
+ * platform's mark or the VM itself reports it: new work sent to a leaving VM is lost,
+ * while avoiding a VM too early costs only a little capacity. An entry without a link to
+ * this one is not advertised even when the list has it, so that a dead one is dropped
+ * when its link times out, not when the list catches up.
  */
 public final class Membership {
 
-	// Callers need a few addresses to try in turn. Naming all of 2,300 entries would make
-	// the answer larger than the calls it serves.
-	private static final int MAX_NAMED = 16;
+	// Callers need a few addresses for retries. An answer with all of 2,300 entries would
+	// be larger than the calls that it serves.
+	private static final int MAX_ADVERTISED_ENTRIES = 16;
 
 	private final String self;
 
-	private final String place;
+	private final String failureDomain;
 
 	private Map<String, Member> members = Map.of();
 
-	private Set<String> marked = Set.of();
+	private Set<String> markedLeaving = Set.of();
 
-	private final Set<String> announced = new HashSet<>();
+	private final Set<String> announcedLeaving = new HashSet<>();
 
-	private final Set<String> linked = new HashSet<>();
+	private final Set<String> linkedEntries = new HashSet<>();
 
-	private Membership(String self, String place) {
+	private Membership(String self, String failureDomain) {
 		this.self = self;
-		this.place = place;
+		this.failureDomain = failureDomain;
 	}
 
 	/**
-	 * Returns the membership as a VM sees it that has heard nothing yet.
+	 * Returns an empty membership, as this VM sees it before it has received anything.
 	 */
-	public static Membership of(String self, String place) {
-		return new Membership(self, place);
+	public static Membership of(String self, String failureDomain) {
+		return new Membership(self, failureDomain);
 	}
 
 	/**
-	 * Takes a new reading of the VM list.
+	 * Replaces the VM list.
 	 */
 	public void list(List<Member> list) {
 		Map<String, Member> byName = new LinkedHashMap<>();
 		list.forEach((member) -> byName.putIfAbsent(member.vm(), member));
 		this.members = byName;
-		// A name that left the list and comes back is a new VM under an old name.
-		this.announced.retainAll(byName.keySet());
+		// A name that returns to the list belongs to a new VM.
+		this.announcedLeaving.retainAll(byName.keySet());
 	}
 
 	/**
-	 * Takes the platform's marks.
+	 * Replaces the set of VMs that the platform has marked as leaving.
 	 */
 	public void marks(Set<String> vms) {
-		this.marked = Set.copyOf(vms);
+		this.markedLeaving = Set.copyOf(vms);
 	}
 
 	/**
-	 * Takes a VM's own word that it is leaving.
+	 * Records that a VM has announced that it is leaving.
 	 */
 	public void announced(String vm) {
-		this.announced.add(vm);
+		this.announcedLeaving.add(vm);
 	}
 
 	/**
-	 * Notes a link to another entry.
+	 * Records that a link to another entry was opened or closed.
 	 */
-	public void linked(String vm, boolean up) {
-		if (up) {
-			this.linked.add(vm);
+	public void linked(String vm, boolean connected) {
+		if (connected) {
+			this.linkedEntries.add(vm);
 			return;
 		}
-		this.linked.remove(vm);
-		// What a process said of itself ends with it: the next one under this name is
-		// judged by the list and the marks.
-		this.announced.remove(vm);
+		this.linkedEntries.remove(vm);
+		// An announcement is valid only for the process that made it: for the next one
+		// with
+		// this name the list and the marks count.
+		this.announcedLeaving.remove(vm);
 	}
 
 	/**
-	 * Returns all VMs known to be leaving.
+	 * Returns all VMs that any source reports as leaving.
 	 */
 	public Set<String> leaving() {
-		Set<String> leaving = new HashSet<>(this.marked);
-		leaving.addAll(this.announced);
+		Set<String> leaving = new HashSet<>(this.markedLeaving);
+		leaving.addAll(this.announcedLeaving);
 		this.members.values().stream().filter(Member::leaving).map(Member::vm).forEach(leaving::add);
 		return leaving;
 	}
@@ -113,22 +114,23 @@
 	}
 
 	/**
-	 * Returns the entries that callers may use: live, not leaving, own place first and
-	 * this one at the front.
-	 * @param draining whether this entry is leaving and so not named
+	 * Returns the entries to advertise to callers: linked and not leaving, this entry
+	 * first, then those of its own failure domain.
+	 * @param draining whether this entry is draining and so not advertised
 	 */
 	public List<Member> entries(boolean draining) {
 		Set<String> leaving = leaving();
-		List<Member> named = new ArrayList<>(this.members.values());
-		named.removeIf((member) -> !member.entry() || leaving.contains(member.vm()));
-		named.removeIf((member) -> member.vm().equals(this.self) ? draining : !this.linked.contains(member.vm()));
-		named.sort(Comparator.comparing((Member member) -> !member.vm().equals(this.self))
-			.thenComparing((member) -> !member.place().equals(this.place))
-			// Ordered by distance from the own name, so that the entries after the own
-			// place differ from one answer's giver to the next.
+		List<Member> advertised = new ArrayList<>(this.members.values());
+		advertised.removeIf((member) -> !member.entry() || leaving.contains(member.vm()));
+		advertised
+			.removeIf((member) -> member.vm().equals(this.self) ? draining : !this.linkedEntries.contains(member.vm()));
+		advertised.sort(Comparator.comparing((Member member) -> !member.vm().equals(this.self))
+			.thenComparing((member) -> !member.place().equals(this.failureDomain))
+			// Names after the own one come first, so that the order of the other entries
+			// differs between the entries that answer.
 			.thenComparing((member) -> member.vm().compareTo(this.self) < 0)
 			.thenComparing(Member::vm));
-		return List.copyOf(named.subList(0, Math.min(MAX_NAMED, named.size())));
+		return List.copyOf(advertised.subList(0, Math.min(MAX_ADVERTISED_ENTRIES, advertised.size())));
 	}
 
 }
--- a/policy/src/test/java/org/wisteriapost/policy/membership/LinkChoiceTests.java
+++ b/policy/src/test/java/org/wisteriapost/policy/membership/LinkChoiceTests.java
@@ -20,7 +20,7 @@
 class LinkChoiceTests {
 
 	@Test
-	void smallFleetIsLinkedInFullAndEachPairOnce() {
+	void smallFleetIsAFullMeshWithOneLinkAPair() {
 		List<Member> members = fleet(6, 13);
 		int pairs = 0;
 		for (int i = 0; i < 6; i++) {
@@ -32,18 +32,18 @@
 	}
 
 	@Test
-	void largeFleetsLinksAreBoundedAndInEveryPlace() {
+	void linksOfALargeFleetAreBoundedAndInEveryFailureDomain() {
 		List<Member> chosen = LinkChoice.of("entry-7").choose(fleet(2300, 6400));
 		assertThat(chosen.size(), lessThanOrEqualTo(24 + 12));
-		Set<String> places = chosen.stream()
+		Set<String> domains = chosen.stream()
 			.filter((member) -> !member.entry())
 			.map(Member::place)
 			.collect(Collectors.toSet());
-		assertThat(places.size(), is(10));
+		assertThat(domains.size(), is(10));
 	}
 
 	@Test
-	void everyRunnerIsSomeEntrysChoice() {
+	void almostEveryRunnerIsSelectedBySomeEntry() {
 		List<Member> members = fleet(300, 900);
 		Set<String> linked = new HashSet<>();
 		for (int i = 0; i < 300; i++) {
@@ -52,10 +52,10 @@
 		assertThat(linked.stream().filter((vm) -> vm.startsWith("vm-")).count(), greaterThan(895L));
 	}
 
-	// News of a head must reach entries that are cut off from the platform. Links go both
-	// ways once made, so the graph of all choices must be connected.
+	// State updates must reach entries that cannot reach the platform. Links are
+	// bidirectional, so the undirected graph of all selections must be connected.
 	@Test
-	void newsReachesEveryEntryInAFewHops() {
+	void updatesReachEveryEntryInAFewHops() {
 		List<Member> members = fleet(2300, 0);
 		Map<String, Set<String>> links = new HashMap<>();
 		for (int i = 0; i < 2300; i++) {
@@ -80,14 +80,14 @@
 	}
 
 	@Test
-	void oneRunnerThatGoesChangesAtMostOneLink() {
+	void removingARunnerChangesAtMostOneLink() {
 		List<Member> members = fleet(6, 900);
 		List<Member> before = LinkChoice.of("entry-0").choose(members);
-		Member gone = before.getLast();
+		Member removed = before.getLast();
 		List<Member> rest = new ArrayList<>(members);
-		rest.remove(gone);
+		rest.remove(removed);
 		Set<Member> kept = new HashSet<>(LinkChoice.of("entry-0").choose(rest));
-		assertThat(before.stream().filter((member) -> !kept.contains(member)).toList(), is(List.of(gone)));
+		assertThat(before.stream().filter((member) -> !kept.contains(member)).toList(), is(List.of(removed)));
 	}
 
 	private static List<Member> fleet(int entries, int runners) {
--- a/policy/src/test/java/org/wisteriapost/policy/membership/MembershipTests.java
+++ b/policy/src/test/java/org/wisteriapost/policy/membership/MembershipTests.java
@@ -17,28 +17,29 @@
 	private final Membership membership = Membership.of("n2", "p1");
 
 	@Test
-	void ownIsFirstThenItsPlaceThenTheOthers() {
+	void ownEntryIsFirstThenItsFailureDomainThenTheOthers() {
 		fleet();
-		assertThat(named(false), contains("n2", "n3", "n4", "n1"));
+		assertThat(advertised(false), contains("n2", "n3", "n4", "n1"));
 	}
 
 	@Test
-	void drainingEntryDoesNotNameItself() {
+	void drainingEntryIsNotAdvertised() {
 		fleet();
-		assertThat(named(true), contains("n3", "n4", "n1"));
+		assertThat(advertised(true), contains("n3", "n4", "n1"));
 	}
 
-	// The list still has an entry that died seconds ago. Its link is gone, so callers are
+	// The list still has an entry that died seconds ago. Its link is closed, so callers
+	// are
 	// not sent there.
 	@Test
-	void entryWithoutALinkIsNotNamed() {
+	void entryWithoutALinkIsNotAdvertised() {
 		fleet();
 		this.membership.linked("n3", false);
-		assertThat(named(false), contains("n2", "n4", "n1"));
+		assertThat(advertised(false), contains("n2", "n4", "n1"));
 	}
 
 	@Test
-	void anyWordOfLeavingCounts() {
+	void anySourceMarksAVmAsLeaving() {
 		this.membership.list(List.of(entry("n1", "p2", true), entry("n2", "p1", false), entry("n3", "p1", false)));
 		this.membership.marks(Set.of("n3"));
 		this.membership.announced("e9");
@@ -47,8 +48,8 @@
 		assertThat(this.membership.leaving(), is(Set.of("n1", "e9")));
 	}
 
-	// A VM leaves, drops out of the list, and another comes back under its name. What the
-	// first one said of itself does not keep the second from work.
+	// A VM leaves the list, and another gets its name. The announcement of the first must
+	// not exclude the second.
 	@Test
 	void replacedVmIsNotLeaving() {
 		fleet();
@@ -63,7 +64,7 @@
 		List<Member> many = IntStream.range(0, 2300).mapToObj((i) -> entry("x" + i, "p" + i % 10, false)).toList();
 		this.membership.list(many);
 		many.forEach((member) -> this.membership.linked(member.vm(), true));
-		assertThat(named(false), hasSize(16));
+		assertThat(advertised(false), hasSize(16));
 	}
 
 	private void fleet() {
@@ -72,12 +73,12 @@
 		List.of("n1", "n3", "n4").forEach((vm) -> this.membership.linked(vm, true));
 	}
 
-	private List<String> named(boolean draining) {
+	private List<String> advertised(boolean draining) {
 		return this.membership.entries(draining).stream().map(Member::vm).toList();
 	}
 
-	private static Member entry(String vm, String place, boolean leaving) {
-		return new Member(vm, place, true, "", "127.0.0.1", 1, 2, leaving);
+	private static Member entry(String vm, String failureDomain, boolean leaving) {
+		return new Member(vm, failureDomain, true, "", "127.0.0.1", 1, 2, leaving);
 	}
 
 }
