--- a/policy/src/main/java/org/wisteriapost/policy/routing/CallLimits.java
+++ b/policy/src/main/java/org/wisteriapost/policy/routing/CallLimits.java
@@ -3,12 +3,12 @@
 import java.time.Duration;
 
 /**
- * What a caller may send and how long it may take.
+ * Limits on the size and the duration of calls.
  *
- * @param maxHeaderBytes of a request's head
- * @param maxBodyBytes of a request's body
- * @param headerTimeout until a request's head is whole
- * @param idleTimeout between requests on one connection
+ * @param maxHeaderBytes the size of a request's header section
+ * @param maxBodyBytes the size of a request's body
+ * @param headerTimeout until a request's header section is complete
+ * @param idleTimeout the time between requests on one connection
  */
 public record CallLimits(int maxHeaderBytes, long maxBodyBytes, Duration headerTimeout, Duration idleTimeout) {
 }
--- a/policy/src/main/java/org/wisteriapost/policy/routing/EngineSpec.java
+++ b/policy/src/main/java/org/wisteriapost/policy/routing/EngineSpec.java
@@ -3,20 +3,21 @@
 /**
  * The declared speed and size of a model engine.
  *
- * @param slots requests that it processes at once
- * @param kvTokens tokens that fit into its memory for requests
- * @param stride token steps in one pass that has writers
- * @param stepMillis time of one token step
- * @param stepMillisPerWriter more for each request that is writing
- * @param stepMillisPerThousandTokens more for each thousand tokens of context
- * @param readTokensPerMilli prompt tokens read in one millisecond
- * @param readMillisPerMillionPairs more for each million pairs of a token and an earlier
- * one
- * @param chunkTokens the most prompt tokens read in one pass
- * @param usualPrompt mean prompt tokens
- * @param usualAnswer mean answer tokens
+ * @param slots the number of requests that it processes at once
+ * @param kvTokens the capacity of its KV cache, in tokens
+ * @param stride the number of token steps in a pass with decoding requests
+ * @param stepMillis the time of one token step
+ * @param stepMillisPerWriter the additional time of a step for each decoding request
+ * @param stepMillisPerThousandTokens the additional time of a step for each thousand
+ * tokens of context
+ * @param readTokensPerMilli the number of prompt tokens prefilled in a millisecond
+ * @param readMillisPerMillionPairs the additional time of prefill for each million pairs
+ * of a token and an earlier one
+ * @param chunkTokens the maximum number of prompt tokens prefilled in one pass
+ * @param usualPrompt the mean number of prompt tokens
+ * @param usualAnswer the mean number of answer tokens
  * @param model the model that it serves
- * @param warmupMillis time to take new weights once they are there
+ * @param warmupMillis the time to load new weights once they are downloaded
  */
 public record EngineSpec(int slots, long kvTokens, int stride, double stepMillis, double stepMillisPerWriter,
 		double stepMillisPerThousandTokens, double readTokensPerMilli, double readMillisPerMillionPairs,
--- a/policy/src/main/java/org/wisteriapost/policy/routing/KnownMoment.java
+++ b/policy/src/main/java/org/wisteriapost/policy/routing/KnownMoment.java
@@ -3,56 +3,58 @@
 import java.util.OptionalLong;
 
 /**
- * The newest moment as of which something is known, by this process's monotonic clock.
+ * The latest time as of which a state was confirmed, on this process's monotonic clock.
  */
 public final class KnownMoment {
 
-	private OptionalLong newestNanos = OptionalLong.empty();
+	private OptionalLong confirmedNanos = OptionalLong.empty();
 
-	private OptionalLong doubtNanos = OptionalLong.empty();
+	private OptionalLong notBeforeNanos = OptionalLong.empty();
 
 	/**
-	 * Hears that all there was at a moment is known.
+	 * Records that the state is confirmed as of a time.
 	 */
 	public void confirmed(long nanos) {
-		boolean doubtful = this.doubtNanos.isPresent() && nanos - this.doubtNanos.getAsLong() < 0;
-		if (!doubtful && (this.newestNanos.isEmpty() || nanos - this.newestNanos.getAsLong() > 0)) {
-			this.newestNanos = OptionalLong.of(nanos);
+		boolean tooOld = this.notBeforeNanos.isPresent() && nanos - this.notBeforeNanos.getAsLong() < 0;
+		if (!tooOld && (this.confirmedNanos.isEmpty() || nanos - this.confirmedNanos.getAsLong() > 0)) {
+			this.confirmedNanos = OptionalLong.of(nanos);
 		}
 	}
 
 	/**
-	 * Hears that the clock stood still until a moment, since this VM was suspended.
+	 * Discards all confirmations from before a time, as the clock stood still until then:
+	 * this VM was suspended.
 	 *
-	 * Failure: what was known or asked for before seems younger than it is by as long as
-	 * that took. Symptom: a request is called wrong by an old belief, here or at whoever
-	 * is told its age. Nothing from before that moment counts any more, which is enough.
+	 * What was confirmed or requested before seems less stale than it is, by the duration
+	 * of the suspension; a request would be rejected by an outdated state, here or at a
+	 * peer that receives the staleness.
 	 */
 	public void doubt(long nowNanos) {
 		forget();
-		this.doubtNanos = OptionalLong.of(nowNanos);
+		this.notBeforeNanos = OptionalLong.of(nowNanos);
 	}
 
 	/**
-	 * Hears that something else is to be known from now on.
+	 * Discards the confirmed time; used when another state is to be confirmed from now
+	 * on.
 	 */
 	public void forget() {
-		this.newestNanos = OptionalLong.empty();
+		this.confirmedNanos = OptionalLong.empty();
 	}
 
 	/**
-	 * Returns the moment; empty when there is none.
+	 * Returns the latest confirmed time; empty when there is none.
 	 */
 	public OptionalLong nanos() {
-		return this.newestNanos;
+		return this.confirmedNanos;
 	}
 
 	/**
-	 * Returns how long ago it is.
+	 * Returns the time since then; empty when there is none.
 	 */
 	public OptionalLong ageNanos(long nowNanos) {
-		return this.newestNanos.isEmpty() ? OptionalLong.empty()
-				: OptionalLong.of(nowNanos - this.newestNanos.getAsLong());
+		return this.confirmedNanos.isEmpty() ? OptionalLong.empty()
+				: OptionalLong.of(nowNanos - this.confirmedNanos.getAsLong());
 	}
 
 }
--- a/policy/src/main/java/org/wisteriapost/policy/routing/Organisation.java
+++ b/policy/src/main/java/org/wisteriapost/policy/routing/Organisation.java
@@ -3,10 +3,10 @@
 import java.util.OptionalInt;
 
 /**
- * Who sends requests.
+ * An organisation that sends requests.
  *
- * @param name its name, as runners hear it
- * @param priority goes before the route's when present; 0 is the most urgent
+ * @param name its name, as sent to runners
+ * @param priority overrides the route's priority when present; 0 is the most urgent
  */
 public record Organisation(String name, OptionalInt priority) {
 }
--- a/policy/src/main/java/org/wisteriapost/policy/routing/RejectionGuard.java
+++ b/policy/src/main/java/org/wisteriapost/policy/routing/RejectionGuard.java
@@ -4,78 +4,78 @@
 import java.util.OptionalLong;
 
 /**
- * Whether what this process knows of the declared routes, tokens and limits is recent
- * enough to call a request wrong for good.
+ * Decides whether this process's view of the declared routes, tokens and limits is recent
+ * enough to reject a request permanently.
  *
- * Load: declarations change while the way to where they are read is full, slow or cut.
- * Harm prevented: a caller whose route or token was declared seconds ago is told that
- * there is none, and does not come back, since an answer of that kind is final. A request
- * that an old table does not cover is refused as not run instead; the caller comes back
- * or asks another entry.
+ * Declarations change while the network path to the store is congested, slow or broken. A
+ * rejection is final: a caller whose route or token was declared seconds ago would not
+ * retry. So a request that a stale table does not cover is refused as not run instead;
+ * the caller retries or asks another entry.
  *
- * A declaration binds when the site's bound for it has passed. What was known to be the
- * newest within a little less than that holds everything that binds, so this is enough.
+ * A declaration takes effect after the site's activation delay. A table that was
+ * confirmed as the newest within a little less than that contains all active
+ * declarations.
  */
 public final class RejectionGuard {
 
-	// What is left of the bound covers the time from the check to the answer.
-	private static final double USED_SHARE = 0.9;
+	// The rest of the activation delay is for the time from the check to the answer.
+	private static final double ACTIVATION_DELAY_SHARE = 0.9;
 
-	private final long mostAgeNanos;
+	private final long maxStalenessNanos;
 
-	private final KnownMoment known = new KnownMoment();
+	private final KnownMoment lastConfirmed = new KnownMoment();
 
-	private RejectionGuard(long mostAgeNanos) {
-		this.mostAgeNanos = mostAgeNanos;
+	private RejectionGuard(long maxStalenessNanos) {
+		this.maxStalenessNanos = maxStalenessNanos;
 	}
 
 	/**
-	 * Returns a guard that rejects nothing until something was confirmed.
-	 * @param inForce from a declaration until it binds
+	 * Returns a guard that rejects nothing until the declarations were confirmed.
+	 * @param activationDelay from a declaration until it takes effect
 	 */
-	public static RejectionGuard of(Duration inForce) {
-		return new RejectionGuard((long) (inForce.toNanos() * USED_SHARE));
+	public static RejectionGuard of(Duration activationDelay) {
+		return new RejectionGuard((long) (activationDelay.toNanos() * ACTIVATION_DELAY_SHARE));
 	}
 
 	/**
-	 * Hears that all that was declared up to a moment is known.
+	 * Records that all declarations up to a time are known.
 	 */
 	public void confirmed(long nanos) {
-		this.known.confirmed(nanos);
+		this.lastConfirmed.confirmed(nanos);
 	}
 
 	/**
-	 * Hears that what was known before a moment may be older than the clock says: this VM
-	 * was suspended. It counts no more.
+	 * Discards all confirmations from before a time: this VM was suspended until then,
+	 * and they are more stale than the clock shows.
 	 */
 	public void doubt(long nowNanos) {
-		this.known.doubt(nowNanos);
+		this.lastConfirmed.doubt(nowNanos);
 	}
 
 	/**
-	 * Returns whether a request may be called wrong now.
+	 * Returns whether a request may be rejected now.
 	 */
 	public boolean allows(long nowNanos) {
-		OptionalLong age = ageNanos(nowNanos);
-		return age.isPresent() && age.getAsLong() <= this.mostAgeNanos;
+		OptionalLong staleness = ageNanos(nowNanos);
+		return staleness.isPresent() && staleness.getAsLong() <= this.maxStalenessNanos;
 	}
 
 	/**
-	 * Returns what is allowed from now on if nothing more is heard.
+	 * Returns a permit that holds if there is no further confirmation.
 	 * @param nowNanos on the monotonic clock
-	 * @param nowDayMillis the time of day, in milliseconds since 1970
+	 * @param nowEpochMillis the wall clock time, in milliseconds since 1970
 	 */
-	public RejectionPermit permit(long nowNanos, long nowDayMillis) {
-		OptionalLong asOf = this.known.nanos();
-		return asOf.isEmpty() ? RejectionPermit.NONE
-				: new RejectionPermit(OptionalLong.of(asOf.getAsLong() + this.mostAgeNanos), nowNanos, nowDayMillis);
+	public RejectionPermit permit(long nowNanos, long nowEpochMillis) {
+		OptionalLong confirmed = this.lastConfirmed.nanos();
+		return confirmed.isEmpty() ? RejectionPermit.NONE : new RejectionPermit(
+				OptionalLong.of(confirmed.getAsLong() + this.maxStalenessNanos), nowNanos, nowEpochMillis);
 	}
 
 	/**
-	 * Returns how long ago the newest moment is as of which all is known.
+	 * Returns the time since the latest confirmation; empty when there is none.
 	 */
 	public OptionalLong ageNanos(long nowNanos) {
-		return this.known.ageNanos(nowNanos);
+		return this.lastConfirmed.ageNanos(nowNanos);
 	}
 
 }
--- a/policy/src/main/java/org/wisteriapost/policy/routing/RejectionPermit.java
+++ b/policy/src/main/java/org/wisteriapost/policy/routing/RejectionPermit.java
@@ -5,29 +5,29 @@
 import org.wisteriapost.kernel.SuspensionWatch;
 
 /**
- * What a {@link RejectionGuard} allowed at one moment, for threads that look at it later.
+ * A snapshot of a {@link RejectionGuard}, for use by other threads.
  *
- * Failure: the thread that decides is held up, or the VM was suspended since it spoke.
- * Symptom: another thread calls a request wrong by a belief that has grown old meanwhile.
- * So whoever looks says when that is, by both clocks.
+ * The thread of the guard may be delayed, or the VM suspended, after the permit was
+ * issued. Another thread must not reject a request by a state that has become stale
+ * meanwhile, so each check passes the current time of both clocks.
  *
- * @param untilNanos until when a request may be called wrong; empty for not at all
- * @param saidNanos when it was said, by the monotonic clock
- * @param saidDayMillis when it was said, by the time of day
+ * @param untilNanos until when requests may be rejected; empty if they may not
+ * @param issuedNanos when the permit was issued, on the monotonic clock
+ * @param issuedEpochMillis when the permit was issued, on the wall clock
  */
-public record RejectionPermit(OptionalLong untilNanos, long saidNanos, long saidDayMillis) {
+public record RejectionPermit(OptionalLong untilNanos, long issuedNanos, long issuedEpochMillis) {
 
-	/** Nothing may be called wrong. */
+	/** Allows no rejections. */
 	public static final RejectionPermit NONE = new RejectionPermit(OptionalLong.empty(), 0, 0);
 
 	/**
-	 * Returns whether a request may be called wrong now.
+	 * Returns whether a request may be rejected now.
 	 * @param nowNanos on the monotonic clock
-	 * @param nowDayMillis the time of day, in milliseconds since 1970
+	 * @param nowEpochMillis the wall clock time, in milliseconds since 1970
 	 */
-	public boolean allows(long nowNanos, long nowDayMillis) {
+	public boolean allows(long nowNanos, long nowEpochMillis) {
 		return this.untilNanos.isPresent() && nowNanos - this.untilNanos.getAsLong() <= 0
-				&& !SuspensionWatch.start(this.saidNanos, this.saidDayMillis).woke(nowNanos, nowDayMillis);
+				&& !SuspensionWatch.start(this.issuedNanos, this.issuedEpochMillis).woke(nowNanos, nowEpochMillis);
 	}
 
 }
--- a/policy/src/main/java/org/wisteriapost/policy/routing/Route.java
+++ b/policy/src/main/java/org/wisteriapost/policy/routing/Route.java
@@ -4,20 +4,20 @@
 import java.util.List;
 
 /**
- * How one host's requests under one path prefix are handled.
+ * The declaration of how requests of a host with a path prefix are handled.
  *
- * @param name for logs
+ * @param name the name in logs
  * @param host the host, lower-case, without a port
  * @param prefix the path prefix; starts and ends with a slash
- * @param kind what may be repeated
- * @param timeout the longest time to the final answer
- * @param target the time to the answer, or to a stream's first event, that callers expect
+ * @param kind which requests may be retried
+ * @param timeout the maximum time to the final answer
+ * @param target the target latency of the answer, or of a stream's first event
  * @param priority 0 is the most urgent
- * @param services where requests go, by weight
- * @param maxAttempts the most runners that one request may be sent to
+ * @param services the services that handle requests, by weight
+ * @param maxAttempts the maximum number of runners that one request is sent to
  * @param anonymous whether requests need no token
- * @param resumable whether a stream may go on at another runner after its last event
- * @param targetGap the longest pause between events that callers expect
+ * @param resumable whether a stream may resume at another runner after its last event
+ * @param targetGap the target for the longest pause between events
  */
 public record Route(String name, String host, String prefix, RouteKind kind, Duration timeout, Duration target,
 		int priority, List<WeightedService> services, int maxAttempts, boolean anonymous, boolean resumable,
@@ -28,34 +28,34 @@
 	}
 
 	/**
-	 * Returns whether a request that may have run may be sent again: it is idempotent, or
-	 * a stream that goes on after its last event.
+	 * Returns whether a request that may have run may be retried: it is idempotent, or a
+	 * stream that resumes after its last event.
 	 */
 	public boolean repeatable() {
 		return this.kind == RouteKind.IDEMPOTENT || (this.kind == RouteKind.STREAM && this.resumable);
 	}
 
 	/**
-	 * Returns the service for a request.
-	 * @param draw a number from 0 to below 1, drawn anew for each request
+	 * Selects the service for a request, by weight.
+	 * @param draw a random number from 0 inclusive to 1 exclusive
 	 */
 	public String service(double draw) {
 		long total = this.services.stream().mapToLong(WeightedService::weight).sum();
-		double left = draw * total;
-		for (WeightedService one : this.services) {
-			left -= one.weight();
-			if (left < 0) {
-				return one.service();
+		double remaining = draw * total;
+		for (WeightedService candidate : this.services) {
+			remaining -= candidate.weight();
+			if (remaining < 0) {
+				return candidate.service();
 			}
 		}
 		return this.services.getLast().service();
 	}
 
 	/**
-	 * One service's part of a route.
+	 * A service of a route, with its share of the requests.
 	 *
 	 * @param service its name
-	 * @param weight its part of the sum of all weights
+	 * @param weight its share of the sum of all weights
 	 */
 	public record WeightedService(String service, int weight) {
 	}
--- a/policy/src/main/java/org/wisteriapost/policy/routing/RouteKind.java
+++ b/policy/src/main/java/org/wisteriapost/policy/routing/RouteKind.java
@@ -1,7 +1,7 @@
 package org.wisteriapost.policy.routing;
 
 /**
- * What may be repeated of a route's requests.
+ * Which of a route's requests may be retried.
  */
 public enum RouteKind {
 
--- a/policy/src/main/java/org/wisteriapost/policy/routing/RouteTable.java
+++ b/policy/src/main/java/org/wisteriapost/policy/routing/RouteTable.java
@@ -9,8 +9,9 @@
 import java.util.Optional;
 
 /**
- * One version of everything that operators declare of traffic. Versions only move up in a
- * process: a reader that lags must not bring a removed route or token back.
+ * An immutable snapshot of all declarations for routing: routes, services, tokens and
+ * limits. Within a process the version only increases: a source that lags must not
+ * restore a removed route or token.
  */
 public final class RouteTable {
 
@@ -39,7 +40,7 @@
 
 	/**
 	 * Returns a table.
-	 * @param tokens each organisation by its bearer tokens; empty when none are asked for
+	 * @param tokens the organisations by bearer token; empty when requests need no token
 	 */
 	public static RouteTable of(long version, List<Route> routes, List<ServiceSpec> services,
 			Map<String, Organisation> tokens, CallLimits limits) {
@@ -61,7 +62,7 @@
 	}
 
 	/**
-	 * Returns the route with the longest prefix of a path.
+	 * Returns the route with the longest prefix that matches a path.
 	 * @param host lower-case, without a port
 	 * @param path as sent, without the query
 	 */
@@ -75,36 +76,30 @@
 	}
 
 	/**
-	 * Returns whether requests carry tokens at all.
+	 * Returns whether any tokens are declared; without any, requests need none.
 	 */
 	public boolean asksForTokens() {
 		return !this.tokens.isEmpty();
 	}
 
 	/**
-	 * Returns who holds a token.
+	 * Returns the organisation that a token belongs to.
 	 */
 	public Optional<Organisation> organisation(String token) {
 		return Optional.ofNullable(this.tokens.get(token));
 	}
 
-	/**
-	 * Returns a service by name.
-	 */
 	public Optional<ServiceSpec> service(String name) {
 		return Optional.ofNullable(this.services.get(name));
 	}
 
 	/**
-	 * Returns the address of the origin of weights, when one is declared.
+	 * Returns the origin of weights, if one is declared.
 	 */
 	public Optional<ServiceSpec.OriginSpec> origin() {
 		return this.services.values().stream().flatMap((service) -> service.origin().stream()).findFirst();
 	}
 
-	/**
-	 * Returns all services.
-	 */
 	public Collection<ServiceSpec> services() {
 		return this.services.values();
 	}
--- a/policy/src/main/java/org/wisteriapost/policy/routing/ServiceSpec.java
+++ b/policy/src/main/java/org/wisteriapost/policy/routing/ServiceSpec.java
@@ -3,21 +3,21 @@
 import java.util.Optional;
 
 /**
- * What is declared of one service.
+ * The declaration of a service.
  *
  * @param name its name
- * @param maxConnections the most connections that one of its runners takes from all
- * callers together
- * @param engine present when its runners are model engines
- * @param origin present when the service is the origin of weights
+ * @param maxConnections the maximum number of connections that one of its runners accepts
+ * from all callers together
+ * @param engine present if its runners are model engines
+ * @param origin present if the service is the origin of weights
  */
 public record ServiceSpec(String name, int maxConnections, Optional<EngineSpec> engine, Optional<OriginSpec> origin) {
 
 	/**
-	 * Where weights are published.
+	 * The origin from which weights are downloaded.
 	 *
-	 * @param address as {@code IP:PORT}
-	 * @param bytesPerSecond what its link carries
+	 * @param address {@code IP:PORT}
+	 * @param bytesPerSecond the bandwidth of its link
 	 */
 	public record OriginSpec(String address, double bytesPerSecond) {
 	}
--- a/policy/src/main/java/org/wisteriapost/policy/routing/package-info.java
+++ b/policy/src/main/java/org/wisteriapost/policy/routing/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What operators declare of traffic: routes, services, organisations and limits, as one
- * immutable table that is replaced whole.
+ * The operators' declarations for routing: routes, services, organisations and limits, as
+ * an immutable table that is replaced as a whole.
  */
 package org.wisteriapost.policy.routing;
--- a/policy/src/test/java/org/wisteriapost/policy/routing/RejectionGuardTests.java
+++ b/policy/src/test/java/org/wisteriapost/policy/routing/RejectionGuardTests.java
@@ -10,9 +10,9 @@
 import static org.hamcrest.MatcherAssert.assertThat;
 
 /**
- * A caller is told that there is no such route, though it was declared long before. The
- * entry's table was old: the way to the store was full. An answer of that kind is final,
- * so it may rest only on a table that holds all that binds.
+ * An entry with a stale table must not reject a request for a route that has been
+ * declared meanwhile: a rejection is final, so it requires a table with all active
+ * declarations.
  */
 class RejectionGuardTests {
 
@@ -21,25 +21,27 @@
 	private final RejectionGuard guard = RejectionGuard.of(Duration.ofSeconds(2));
 
 	@Test
-	void nothingIsRejectedBeforeAnythingIsKnown() {
+	void nothingIsRejectedBeforeTheFirstConfirmation() {
 		assertThat(this.guard.allows(5 * MILLI), Matchers.equalTo(false));
 		assertThat(this.guard.ageNanos(5 * MILLI).isPresent(), Matchers.equalTo(false));
 	}
 
-	// A clock that starts below zero, as the process's own may, counts like any other.
+	// System.nanoTime() may be negative.
 	@ParameterizedTest
 	@CsvSource({ "0,true", "1000,true", "1800,true", "1801,false", "60000,false" })
-	void anOldTableRejectsNothing(long ageMillis, boolean allowed) {
+	void aStaleTableRejectsNothing(long stalenessMillis, boolean allowed) {
 		long confirmed = -700 * MILLI;
 		this.guard.confirmed(confirmed);
-		assertThat(this.guard.allows(confirmed + ageMillis * MILLI), Matchers.equalTo(allowed));
+		assertThat(this.guard.allows(confirmed + stalenessMillis * MILLI), Matchers.equalTo(allowed));
 	}
 
-	// The VM is suspended for ten seconds, which its own clock does not count: right
-	// after waking the table seems a few milliseconds old. Nothing is rejected until
-	// something asked for since has confirmed it.
+	// The monotonic clock does not count a suspension of the VM, so right after it the
+	// table
+	// seems a few milliseconds old. Nothing is rejected until a read that began
+	// afterwards
+	// has confirmed it.
 	@Test
-	void afterASuspensionNothingThatWasKnownBeforeCounts() {
+	void confirmationsBeforeASuspensionAreDiscarded() {
 		this.guard.confirmed(1000 * MILLI);
 		this.guard.doubt(1005 * MILLI);
 		assertThat(this.guard.allows(1006 * MILLI), Matchers.equalTo(false));
@@ -50,7 +52,7 @@
 	}
 
 	@Test
-	void whatIsConfirmedForAnEarlierMomentChangesNothing() {
+	void aConfirmationOfAnEarlierTimeIsIgnored() {
 		this.guard.confirmed(1000 * MILLI);
 		this.guard.confirmed(400 * MILLI);
 		assertThat(this.guard.ageNanos(1500 * MILLI).getAsLong(), Matchers.equalTo(500 * MILLI));
--- a/policy/src/test/java/org/wisteriapost/policy/routing/RouteTableTests.java
+++ b/policy/src/test/java/org/wisteriapost/policy/routing/RouteTableTests.java
@@ -27,18 +27,18 @@
 	@ParameterizedTest
 	@CsvSource({ "one.example,/a/x,short", "one.example,/a/b/x,long", "one.example,/a/b,short", "one.example,/b/,",
 			"two.example,/a/x," })
-	void theLongestPrefixOfTheHostWins(String host, String path, String expected) {
+	void theRouteWithTheLongestPrefixIsSelected(String host, String path, String expected) {
 		assertThat(this.table.route(host, path).map(Route::name), Matchers.equalTo(Optional.ofNullable(expected)));
 	}
 
 	@ParameterizedTest
 	@CsvSource({ "0.0,first", "0.099,first", "0.1,second", "0.999,second" })
-	void aDrawFallsOnServicesByWeight(double draw, String expected) {
+	void servicesAreSelectedByWeight(double draw, String expected) {
 		assertThat(route("split", "/a/", 1).service(draw), Matchers.equalTo(expected));
 	}
 
 	@Test
-	void aTableWithoutTokensAsksForNone() {
+	void aTableWithoutTokensRequiresNone() {
 		assertThat(this.table.asksForTokens(), Matchers.equalTo(false));
 	}
 
