--- a/policy/src/main/java/org/wisteriapost/policy/request/ArrivalRates.java
+++ b/policy/src/main/java/org/wisteriapost/policy/request/ArrivalRates.java
@@ -5,108 +5,108 @@
 import java.util.Map;
 
 /**
- * How much work each organisation has lately had admitted at a service, in units of cost
- * a second, by an average that fades over two seconds.
+ * Rate of admitted work per organisation at one service, in units of cost per second, as
+ * an exponentially decaying average.
  *
- * Queues alone do not show who competes: the requests of an organisation within its share
- * hardly ever wait, and yet go before the backlog of one that is beyond it.
+ * Queue lengths alone do not show who competes for slots: requests of an organisation
+ * within its share hardly ever wait, yet they go before the backlog of one that exceeds
+ * its share.
  */
 final class ArrivalRates {
 
 	/**
-	 * Long enough to average over the gaps of a few requests a second, short enough that
-	 * a burst is known before its backlog has reached a usual deadline.
+	 * Long enough to average over the gaps of a few requests per second, short enough
+	 * that a burst is visible before its backlog reaches a typical deadline.
 	 */
-	private static final double FADE_NANOS = Duration.ofSeconds(2).toNanos();
+	private static final double DECAY_NANOS = Duration.ofSeconds(2).toNanos();
 
-	/** Below this an organisation is idle and forgotten. */
-	private static final double IDLE = 0.01;
+	/** Organisations below this rate are idle and evicted. */
+	private static final double IDLE_RATE = 0.01;
 
-	private final Map<String, Meter> meters = new HashMap<>();
+	private final Map<String, PriorityRates> rates = new HashMap<>();
 
-	private final Meter all = new Meter();
+	private final PriorityRates total = new PriorityRates();
 
 	private final RequestPolicySettings settings;
 
-	private int weight;
+	private int activeWeight;
 
 	ArrivalRates(RequestPolicySettings settings) {
 		this.settings = settings;
 	}
 
-	void admitted(Request request, long nowNanos) {
-		Meter meter = this.meters.get(request.organisation());
-		if (meter == null) {
-			meter = new Meter();
-			this.meters.put(request.organisation(), meter);
-			this.weight += this.settings.weight(request.organisation());
+	void recordAdmitted(Request request, long nowNanos) {
+		PriorityRates own = this.rates.get(request.organisation());
+		if (own == null) {
+			own = new PriorityRates();
+			this.rates.put(request.organisation(), own);
+			this.activeWeight += this.settings.weight(request.organisation());
 		}
-		meter.add(request, nowNanos);
-		this.all.add(request, nowNanos);
+		own.add(request, nowNanos);
+		this.total.add(request, nowNanos);
 	}
 
 	/**
-	 * Returns the rate of all organisations but one.
+	 * Returns the rate of all organisations except the given one.
 	 */
-	double others(String organisation, long nowNanos) {
-		Meter own = this.meters.get(organisation);
-		double mine = (own != null) ? own.upTo(Priority.values().length, nowNanos) : 0;
-		return Math.max(0, this.all.upTo(Priority.values().length, nowNanos) - mine);
+	double otherOrganisationsRate(String organisation, long nowNanos) {
+		PriorityRates own = this.rates.get(organisation);
+		double ownRate = (own != null) ? own.rateUpTo(Priority.values().length, nowNanos) : 0;
+		return Math.max(0, this.total.rateUpTo(Priority.values().length, nowNanos) - ownRate);
 	}
 
 	/**
-	 * Returns the rate of an organisation's more urgent work.
+	 * Returns the rate of the organisation's work that is more urgent than the request.
 	 */
-	double ownMoreUrgent(Request request, long nowNanos) {
-		Meter own = this.meters.get(request.organisation());
-		return (own != null) ? own.upTo(request.priority().ordinal(), nowNanos) : 0;
+	double moreUrgentRate(Request request, long nowNanos) {
+		PriorityRates own = this.rates.get(request.organisation());
+		return (own != null) ? own.rateUpTo(request.priority().ordinal(), nowNanos) : 0;
 	}
 
 	/**
-	 * Returns the sum of the weights of the organisations that send work, with the given
-	 * one.
+	 * Returns the sum of the weights of all active organisations and the given one.
 	 */
-	int weightWith(String organisation) {
-		return this.weight + (this.meters.containsKey(organisation) ? 0 : this.settings.weight(organisation));
+	int activeWeightWith(String organisation) {
+		return this.activeWeight + (this.rates.containsKey(organisation) ? 0 : this.settings.weight(organisation));
 	}
 
-	void forgetIdle(long nowNanos) {
-		this.meters.entrySet().removeIf((entry) -> {
-			boolean idle = entry.getValue().upTo(Priority.values().length, nowNanos) < IDLE;
-			this.weight -= idle ? this.settings.weight(entry.getKey()) : 0;
+	void evictIdle(long nowNanos) {
+		this.rates.entrySet().removeIf((entry) -> {
+			boolean idle = entry.getValue().rateUpTo(Priority.values().length, nowNanos) < IDLE_RATE;
+			this.activeWeight -= idle ? this.settings.weight(entry.getKey()) : 0;
 			return idle;
 		});
 	}
 
 	/**
-	 * One fading sum for each priority.
+	 * Exponentially decaying sums of cost, one per priority.
 	 */
-	private static final class Meter {
+	private static final class PriorityRates {
 
 		private final double[] sums = new double[Priority.values().length];
 
-		private long nanos;
+		private long lastDecayNanos;
 
 		private void add(Request request, long nowNanos) {
-			fade(nowNanos);
+			decay(nowNanos);
 			this.sums[request.priority().ordinal()] += request.cost();
 		}
 
-		private double upTo(int rank, long nowNanos) {
-			fade(nowNanos);
+		private double rateUpTo(int rank, long nowNanos) {
+			decay(nowNanos);
 			double sum = 0;
-			for (int each = 0; each < rank; each++) {
-				sum += this.sums[each];
+			for (int i = 0; i < rank; i++) {
+				sum += this.sums[i];
 			}
-			return sum * Duration.ofSeconds(1).toNanos() / FADE_NANOS;
+			return sum * Duration.ofSeconds(1).toNanos() / DECAY_NANOS;
 		}
 
-		private void fade(long nowNanos) {
-			double factor = Math.exp(-(nowNanos - this.nanos) / FADE_NANOS);
-			for (int each = 0; each < this.sums.length; each++) {
-				this.sums[each] *= factor;
+		private void decay(long nowNanos) {
+			double factor = Math.exp(-(nowNanos - this.lastDecayNanos) / DECAY_NANOS);
+			for (int i = 0; i < this.sums.length; i++) {
+				this.sums[i] *= factor;
 			}
-			this.nanos = nowNanos;
+			this.lastDecayNanos = nowNanos;
 		}
 
 	}
--- a/policy/src/main/java/org/wisteriapost/policy/request/FairQueue.java
+++ b/policy/src/main/java/org/wisteriapost/policy/request/FairQueue.java
@@ -11,20 +11,21 @@
 import java.util.TreeSet;
 
 /**
- * Returns which waiting request of a service goes next.
+ * Weighted fair queue of the waiting requests of one service.
  *
- * Load: more work than slots, from organisations of which one sends many times its share,
- * with long prompts among short ones. Harm prevented: the loudest organisation's backlog
- * becomes everybody's waiting time.
+ * Load: more work than slots, with one organisation sending many times its share, and
+ * long prompts among short ones. Harm prevented: the backlog of the busiest organisation
+ * determines the waiting time of all.
  *
- * Every organisation has a virtual time that grows by cost / weight with each request it
- * gets through; the one furthest behind goes next, whatever the length of its queue. The
- * priority classes of one organisation are strictly ordered. Between organisations a
- * class is a head start and not a right: an organisation that calls all its work urgent
- * is ahead by the head start once and then back at its share.
+ * Each organisation has a virtual time that advances by cost / weight with each of its
+ * dequeued requests; the one with the lowest virtual time is next, whatever the length of
+ * its queue. Within an organisation, priority classes are strictly ordered. Between
+ * organisations, a more urgent class only has a bounded head start: an organisation that
+ * marks all of its requests urgent gains the head start once and is then limited to its
+ * share.
  *
- * Long requests wait in lanes of their own, so that short ones pass them while no slot
- * for long work is free. Each step costs O(log organisations).
+ * Long requests wait in separate lanes, so that short ones overtake them while no slot
+ * for long requests is free. Each operation costs O(log organisations).
  */
 final class FairQueue {
 
@@ -34,9 +35,9 @@
 
 	private final RequestPolicySettings settings;
 
-	private final Map<String, Share> shares = new HashMap<>();
+	private final Map<String, OrganisationQueue> organisations = new HashMap<>();
 
-	private final List<TreeSet<Share>> lanes = new ArrayList<>();
+	private final List<TreeSet<OrganisationQueue>> byVirtualTime = new ArrayList<>();
 
 	private final long[] costs = new long[LANES];
 
@@ -44,14 +45,15 @@
 
 	private int activeWeight;
 
-	/** Virtual time of the organisation furthest behind at the last step. */
-	private double behind;
+	/** Lowest virtual time at the last dequeue, used while no request waits. */
+	private double minVirtualTime;
 
 	FairQueue(RequestPolicySettings settings) {
 		this.settings = settings;
 		for (int lane = 0; lane < LANES; lane++) {
-			this.lanes.add(new TreeSet<>(Comparator.<Share>comparingDouble((share) -> share.virtual)
-				.thenComparing((share) -> share.organisation)));
+			this.byVirtualTime
+				.add(new TreeSet<>(Comparator.<OrganisationQueue>comparingDouble((queue) -> queue.virtualTime)
+					.thenComparing((queue) -> queue.organisation)));
 		}
 	}
 
@@ -63,33 +65,30 @@
 		return this.size == 0;
 	}
 
-	/**
-	 * Returns how many requests of an organisation wait.
-	 */
 	int size(String organisation) {
-		Share share = this.shares.get(organisation);
-		return (share != null) ? share.size : 0;
+		OrganisationQueue queue = this.organisations.get(organisation);
+		return (queue != null) ? queue.size : 0;
 	}
 
 	/**
-	 * Returns the sum of the weights of all organisations that have work waiting.
+	 * Returns the sum of the weights of all organisations with waiting requests.
 	 */
 	int activeWeight() {
 		return this.activeWeight;
 	}
 
 	/**
-	 * Returns the cost of an organisation's waiting work that goes before a new request
-	 * of it, with the request.
+	 * Returns the cost of the new request and of the waiting requests of its organisation
+	 * that go before it.
 	 */
 	double ownCost(Request request) {
-		Share share = this.shares.get(request.organisation());
-		return request.cost() + ((share != null) ? share.costUpTo(lane(request)) : 0);
+		OrganisationQueue queue = this.organisations.get(request.organisation());
+		return request.cost() + ((queue != null) ? queue.costUpTo(lane(request)) : 0);
 	}
 
 	/**
-	 * Returns the cost of the other organisations' more urgent waiting work that goes
-	 * before a new request by its head start.
+	 * Returns the cost of more urgent requests of other organisations that go before a
+	 * new request because of their head start.
 	 */
 	double headStartCost(Request request) {
 		int rank = request.priority().ordinal();
@@ -97,82 +96,81 @@
 		for (int lane = 0; lane < rank * 2; lane++) {
 			waiting += this.costs[lane];
 		}
-		Share share = this.shares.get(request.organisation());
-		waiting -= (share != null) ? share.costUpTo(rank * 2 - 1) : 0;
+		OrganisationQueue queue = this.organisations.get(request.organisation());
+		waiting -= (queue != null) ? queue.costUpTo(rank * 2 - 1) : 0;
 		return Math.min(waiting, (double) rank * this.settings.priorityHeadStart() * this.activeWeight);
 	}
 
-	void offer(Flight flight) {
-		Share share = this.shares.computeIfAbsent(flight.request.organisation(), this::newShare);
-		if (share.size == 0) {
-			share.virtual = Math.max(share.virtual, behind());
-			this.activeWeight += share.weight;
+	void enqueue(PendingRequest pending) {
+		OrganisationQueue queue = this.organisations.computeIfAbsent(pending.request.organisation(),
+				this::newOrganisation);
+		if (queue.size == 0) {
+			queue.virtualTime = Math.max(queue.virtualTime, minVirtualTime());
+			this.activeWeight += queue.weight;
 		}
-		int lane = lane(flight.request);
-		share.queues.get(lane).addLast(flight);
-		count(share, flight.request, 1);
-		this.lanes.get(lane).add(share);
+		int lane = lane(pending.request);
+		queue.lanes.get(lane).addLast(pending);
+		updateTotals(queue, pending.request, 1);
+		this.byVirtualTime.get(lane).add(queue);
 	}
 
 	/**
-	 * Puts back a request that was taken and not run, before all others of its lane, and
-	 * gives its organisation the cost back.
+	 * Returns a dequeued request that did not run to the front of its lane and refunds
+	 * its cost to the organisation's virtual time.
 	 */
-	void putBack(Flight flight) {
-		Share share = this.shares.computeIfAbsent(flight.request.organisation(), this::newShare);
-		if (share.size == 0) {
-			share.virtual = Math.max(share.virtual, behind());
-			this.activeWeight += share.weight;
+	void requeueFirst(PendingRequest pending) {
+		OrganisationQueue queue = this.organisations.computeIfAbsent(pending.request.organisation(),
+				this::newOrganisation);
+		if (queue.size == 0) {
+			queue.virtualTime = Math.max(queue.virtualTime, minVirtualTime());
+			this.activeWeight += queue.weight;
 		}
-		move(share, -(double) flight.request.cost() / share.weight);
-		int lane = lane(flight.request);
-		share.queues.get(lane).addFirst(flight);
-		count(share, flight.request, 1);
-		this.lanes.get(lane).add(share);
+		advance(queue, -(double) pending.request.cost() / queue.weight);
+		int lane = lane(pending.request);
+		queue.lanes.get(lane).addFirst(pending);
+		updateTotals(queue, pending.request, 1);
+		this.byVirtualTime.get(lane).add(queue);
 	}
 
 	/**
-	 * Takes the next request.
-	 * @param longToo false while no slot is to be had for long work
+	 * Removes and returns the next request.
+	 * @param includeLong false while no slot is available for long requests
 	 */
-	Optional<Flight> poll(boolean longToo) {
-		int lane = next(longToo);
+	Optional<PendingRequest> poll(boolean includeLong) {
+		int lane = nextLane(includeLong);
 		if (lane < 0) {
 			return Optional.empty();
 		}
-		this.behind = behind();
-		Share share = this.lanes.get(lane).first();
-		Flight flight = share.queues.get(lane).peekFirst();
-		take(share, lane, flight);
+		this.minVirtualTime = minVirtualTime();
+		OrganisationQueue queue = this.byVirtualTime.get(lane).first();
+		PendingRequest pending = queue.lanes.get(lane).peekFirst();
+		dequeue(queue, lane, pending);
 		if (this.size == 0) {
-			// Nobody waits, so nobody is behind: shares need not be remembered.
-			this.shares.clear();
-			this.behind = 0;
-			return Optional.of(flight);
+			// Without waiting requests all organisations are at their share.
+			this.organisations.clear();
+			this.minVirtualTime = 0;
+			return Optional.of(pending);
 		}
-		move(share, (double) flight.request.cost() / share.weight);
-		return Optional.of(flight);
+		advance(queue, (double) pending.request.cost() / queue.weight);
+		return Optional.of(pending);
 	}
 
-	/**
-	 * Takes out one request, wherever it stands.
-	 */
-	void remove(Flight flight) {
-		Share share = this.shares.get(flight.request.organisation());
-		int lane = lane(flight.request);
-		if (share != null && share.queues.get(lane).contains(flight)) {
-			take(share, lane, flight);
+	void remove(PendingRequest pending) {
+		OrganisationQueue queue = this.organisations.get(pending.request.organisation());
+		int lane = lane(pending.request);
+		if (queue != null && queue.lanes.get(lane).contains(pending)) {
+			dequeue(queue, lane, pending);
 		}
 	}
 
 	/**
-	 * Returns the newest request of the organisation furthest ahead of its share in the
-	 * lowest class that has any, and at most as urgent as given.
+	 * Returns the newest request of the organisation furthest ahead of its share, in the
+	 * least urgent non-empty class that is at most as urgent as the given one.
 	 */
-	Optional<Flight> last(Priority priority) {
+	Optional<PendingRequest> shedCandidate(Priority priority) {
 		for (int lane = LANES - 1; lane >= priority.ordinal() * 2; lane--) {
-			if (!this.lanes.get(lane).isEmpty()) {
-				return Optional.of(this.lanes.get(lane).last().queues.get(lane).peekLast());
+			if (!this.byVirtualTime.get(lane).isEmpty()) {
+				return Optional.of(this.byVirtualTime.get(lane).last().lanes.get(lane).peekLast());
 			}
 		}
 		return Optional.empty();
@@ -180,129 +178,131 @@
 
 	/**
 	 * Returns whether the first organisation is further ahead of its share than the
-	 * second; an organisation with nothing waiting is at its share.
+	 * second. An organisation without waiting requests counts as being at its share
+	 * unless it is still ahead of it.
 	 */
-	boolean ahead(String organisation, String other) {
-		return virtual(organisation) > virtual(other);
+	boolean isFurtherAhead(String organisation, String other) {
+		return virtualTimeOf(organisation) > virtualTimeOf(other);
 	}
 
-	List<Flight> all() {
-		List<Flight> flights = new ArrayList<>();
-		for (Share share : this.shares.values()) {
-			share.queues.forEach(flights::addAll);
+	List<PendingRequest> waiting() {
+		List<PendingRequest> requests = new ArrayList<>();
+		for (OrganisationQueue queue : this.organisations.values()) {
+			queue.lanes.forEach(requests::addAll);
 		}
-		flights.sort(Comparator.comparingLong(Flight::id));
-		return flights;
+		requests.sort(Comparator.comparingLong(PendingRequest::id));
+		return requests;
 	}
 
 	/**
-	 * Forgets organisations that have nothing waiting and are not ahead of their share.
+	 * Evicts organisations that have no waiting requests and are not ahead of their
+	 * share.
 	 */
-	void forgetIdle() {
-		double now = behind();
-		this.shares.values().removeIf((share) -> share.size == 0 && share.virtual <= now);
+	void evictIdle() {
+		double current = minVirtualTime();
+		this.organisations.values().removeIf((queue) -> queue.size == 0 && queue.virtualTime <= current);
 	}
 
-	private double virtual(String organisation) {
-		Share share = this.shares.get(organisation);
-		return (share != null) ? Math.max(share.virtual, behind()) : behind();
+	private double virtualTimeOf(String organisation) {
+		OrganisationQueue queue = this.organisations.get(organisation);
+		return (queue != null) ? Math.max(queue.virtualTime, minVirtualTime()) : minVirtualTime();
 	}
 
-	private Share newShare(String organisation) {
-		return new Share(organisation, this.settings.weight(organisation));
+	private OrganisationQueue newOrganisation(String organisation) {
+		return new OrganisationQueue(organisation, this.settings.weight(organisation));
 	}
 
-	private int next(boolean longToo) {
-		int best = -1;
-		double bestVirtual = Double.MAX_VALUE;
+	private int nextLane(boolean includeLong) {
+		int bestLane = -1;
+		double bestTime = Double.MAX_VALUE;
 		for (int lane = 0; lane < LANES; lane++) {
-			if (this.lanes.get(lane).isEmpty() || (!longToo && lane % 2 == 1)) {
+			if (this.byVirtualTime.get(lane).isEmpty() || (!includeLong && lane % 2 == 1)) {
 				continue;
 			}
-			double virtual = this.lanes.get(lane).first().virtual
+			double effectiveTime = this.byVirtualTime.get(lane).first().virtualTime
 					+ (double) (lane / 2) * this.settings.priorityHeadStart();
-			if (virtual < bestVirtual) {
-				best = lane;
-				bestVirtual = virtual;
+			if (effectiveTime < bestTime) {
+				bestLane = lane;
+				bestTime = effectiveTime;
 			}
 		}
-		return best;
+		return bestLane;
 	}
 
-	private double behind() {
-		double behind = Double.MAX_VALUE;
-		for (TreeSet<Share> lane : this.lanes) {
+	private double minVirtualTime() {
+		double lowest = Double.MAX_VALUE;
+		for (TreeSet<OrganisationQueue> lane : this.byVirtualTime) {
 			if (!lane.isEmpty()) {
-				behind = Math.min(behind, lane.first().virtual);
+				lowest = Math.min(lowest, lane.first().virtualTime);
 			}
 		}
-		return (behind != Double.MAX_VALUE) ? behind : this.behind;
+		return (lowest != Double.MAX_VALUE) ? lowest : this.minVirtualTime;
 	}
 
-	private void take(Share share, int lane, Flight flight) {
-		Deque<Flight> queue = share.queues.get(lane);
-		if (queue.peekFirst() == flight) {
-			queue.pollFirst();
+	private void dequeue(OrganisationQueue queue, int lane, PendingRequest pending) {
+		Deque<PendingRequest> requests = queue.lanes.get(lane);
+		if (requests.peekFirst() == pending) {
+			requests.pollFirst();
 		}
 		else {
-			queue.removeLastOccurrence(flight);
+			requests.removeLastOccurrence(pending);
 		}
-		if (queue.isEmpty()) {
-			this.lanes.get(lane).remove(share);
+		if (requests.isEmpty()) {
+			this.byVirtualTime.get(lane).remove(queue);
 		}
-		count(share, flight.request, -1);
-		if (share.size == 0) {
-			this.activeWeight -= share.weight;
+		updateTotals(queue, pending.request, -1);
+		if (queue.size == 0) {
+			this.activeWeight -= queue.weight;
 		}
 	}
 
-	private void move(Share share, double by) {
+	private void advance(OrganisationQueue queue, double delta) {
 		for (int lane = 0; lane < LANES; lane++) {
-			this.lanes.get(lane).remove(share);
+			this.byVirtualTime.get(lane).remove(queue);
 		}
-		share.virtual += by;
+		queue.virtualTime += delta;
 		for (int lane = 0; lane < LANES; lane++) {
-			if (!share.queues.get(lane).isEmpty()) {
-				this.lanes.get(lane).add(share);
+			if (!queue.lanes.get(lane).isEmpty()) {
+				this.byVirtualTime.get(lane).add(queue);
 			}
 		}
 	}
 
-	private void count(Share share, Request request, int sign) {
+	private void updateTotals(OrganisationQueue queue, Request request, int sign) {
 		int lane = lane(request);
 		this.costs[lane] += (long) sign * request.cost();
-		share.costs[lane] += (long) sign * request.cost();
-		share.size += sign;
+		queue.costs[lane] += (long) sign * request.cost();
+		queue.size += sign;
 		this.size += sign;
 	}
 
 	private int lane(Request request) {
-		boolean longOne = request.cost() >= this.settings.longCost();
-		return request.priority().ordinal() * 2 + (longOne ? 1 : 0);
+		boolean longRequest = request.cost() >= this.settings.longCost();
+		return request.priority().ordinal() * 2 + (longRequest ? 1 : 0);
 	}
 
 	/**
-	 * One organisation's virtual time and its waiting requests.
+	 * One organisation's virtual time and waiting requests.
 	 */
-	private static final class Share {
+	private static final class OrganisationQueue {
 
 		private final String organisation;
 
 		private final int weight;
 
-		private final List<Deque<Flight>> queues = new ArrayList<>();
+		private final List<Deque<PendingRequest>> lanes = new ArrayList<>();
 
 		private final long[] costs = new long[LANES];
 
-		private double virtual;
+		private double virtualTime;
 
 		private int size;
 
-		private Share(String organisation, int weight) {
+		private OrganisationQueue(String organisation, int weight) {
 			this.organisation = organisation;
 			this.weight = weight;
 			for (int lane = 0; lane < LANES; lane++) {
-				this.queues.add(new ArrayDeque<>());
+				this.lanes.add(new ArrayDeque<>());
 			}
 		}
 
--- a/policy/src/main/java/org/wisteriapost/policy/request/GateCodes.java
+++ b/policy/src/main/java/org/wisteriapost/policy/request/GateCodes.java
@@ -5,48 +5,48 @@
 import org.wisteriapost.kernel.Code;
 
 /**
- * What a runner's gate says when it refuses a call. The gate raises them and entries
- * decide by them, so they stand once, here.
+ * Codes with which a runner's gate refuses a call, shared by the gate that raises them
+ * and the entries that act on them.
  */
 public final class GateCodes {
 
-	/** The runner starts, switches weights or does not answer. */
+	/** The runner is starting, switching weights or not responding. */
 	public static final Code NOT_ADMITTING = Code.refusal("gate-not-admitting",
 			"The runner takes no calls now: it starts, switches weights or does not answer.");
 
-	/** The VM leaves. */
+	/** The VM is leaving. */
 	public static final Code LEAVING = Code.refusal("gate-leaving", "The runner's VM is leaving.");
 
-	/** The call asks for other weights. */
+	/** The call requires weights that the runner does not serve. */
 	public static final Code OTHER_WEIGHTS = Code.refusal("gate-other-weights",
 			"The runner does not serve the weights that the call asks for.");
 
-	/** There is no room. */
+	/** The runner and its queue are full. */
 	public static final Code FULL = Code.refusal("gate-full", "The runner and its short queue are full.");
 
-	/** The caller's time is too short. */
+	/** The call's deadline has passed or would pass in the queue. */
 	public static final Code TOO_LATE = Code.refusal("gate-deadline",
 			"The call's deadline has passed or would pass in the queue.");
 
-	private static final Set<String> WELL = Set.of(NOT_ADMITTING.name(), LEAVING.name(), OTHER_WEIGHTS.name(),
+	private static final Set<String> HEALTH_NEUTRAL = Set.of(NOT_ADMITTING.name(), LEAVING.name(), OTHER_WEIGHTS.name(),
 			TOO_LATE.name());
 
 	private GateCodes() {
 	}
 
 	/**
-	 * Returns whether the code says that the runner is full.
+	 * Returns whether the runner refused the call because it is full.
 	 */
-	static boolean full(String code) {
+	static boolean isFull(String code) {
 		return code.equals(FULL.name());
 	}
 
 	/**
-	 * Returns whether the code is a gate's word that is no sign of a runner in trouble.
-	 * Counted as an error, three callers with short deadlines would eject a runner.
+	 * Returns whether a refusal is routine and does not count as a failure of the runner.
+	 * Otherwise three callers with short deadlines would eject a runner.
 	 */
-	static boolean well(String code) {
-		return WELL.contains(code);
+	static boolean isHealthNeutral(String code) {
+		return HEALTH_NEUTRAL.contains(code);
 	}
 
 }
--- a/policy/src/main/java/org/wisteriapost/policy/request/Flight.java
+++ b/policy/src/main/java/org/wisteriapost/policy/request/PendingRequest.java
@@ -1,9 +1,9 @@
 package org.wisteriapost.policy.request;
 
 /**
- * One request from its arrival to its only final answer.
+ * A request that has not received its final answer.
  */
-final class Flight {
+final class PendingRequest {
 
 	final Request request;
 
@@ -11,7 +11,7 @@
 
 	RunnerState runner;
 
-	/** Where it was last, so that a retry goes elsewhere first. */
+	/** Runner of the previous dispatch, avoided by a retry. */
 	String lastRunner = "";
 
 	long dispatchedNanos;
@@ -20,15 +20,15 @@
 
 	boolean claimed;
 
-	boolean started;
+	boolean answerStarted;
 
 	/**
-	 * Dispatches that have not certainly failed to run. Above zero <em>not run</em> would
-	 * be a guess, so that every answer but a whole one is <em>unknown</em>.
+	 * Number of dispatches that may have run. Above zero, <em>not run</em> cannot be
+	 * guaranteed, so that every incomplete answer is reported as <em>unknown</em>.
 	 */
-	int uncertain;
+	int possibleRuns;
 
-	Flight(Request request) {
+	PendingRequest(Request request) {
 		this.request = request;
 	}
 
@@ -37,17 +37,17 @@
 	}
 
 	boolean mayHaveRun() {
-		return this.uncertain > 0;
+		return this.possibleRuns > 0;
 	}
 
 	/**
-	 * Where a request stands.
+	 * Processing stage of a request.
 	 */
 	enum Stage {
 
 		/** Waits for a runner. */
 		QUEUED,
-		/** Waits for the jittered time of its retry. */
+		/** Waits for its retry backoff to elapse. */
 		DELAYED,
 		/** A runner is reserved while the idempotency key is claimed. */
 		CLAIMING,
--- a/policy/src/main/java/org/wisteriapost/policy/request/Priority.java
+++ b/policy/src/main/java/org/wisteriapost/policy/request/Priority.java
@@ -1,15 +1,15 @@
 package org.wisteriapost.policy.request;
 
 /**
- * How urgent a request is to its caller, most urgent first.
+ * Urgency of a request to its caller, most urgent first.
  */
 public enum Priority {
 
-	/** A person waits at a form that times out. */
+	/** Interactive work: a person waits, and the calling form times out. */
 	URGENT,
 	/** Ordinary work. */
 	NORMAL,
-	/** Work that may wait for quiet hours. */
+	/** Work that can wait until load is low. */
 	BULK
 
 }
--- a/policy/src/main/java/org/wisteriapost/policy/request/RequestEffect.java
+++ b/policy/src/main/java/org/wisteriapost/policy/request/RequestEffect.java
@@ -1,17 +1,14 @@
 package org.wisteriapost.policy.request;
 
 /**
- * Everything that the request decisions ask the I/O layer to do.
+ * Actions that {@link RequestMachine} requests from the I/O layer.
  */
 public sealed interface RequestEffect {
 
-	/**
-	 * Returns the request it is about.
-	 */
 	long id();
 
 	/**
-	 * Claim the request's idempotency key in the platform before anything is sent;
+	 * Claims the request's idempotency key in the platform before the request is sent;
 	 * answered by {@link RequestEvent.Claimed} or {@link RequestEvent.ClaimLost}.
 	 *
 	 * @param id the request
@@ -20,37 +17,38 @@
 	}
 
 	/**
-	 * Send the request to a runner.
+	 * Sends the request to a runner.
 	 *
 	 * @param id the request
 	 * @param runner the endpoint VM
-	 * @param weightsDigest what it must be answered with; empty for a plain service
+	 * @param weightsDigest the weights that must produce the answer; empty for a plain
+	 * service
 	 */
 	record Dispatch(long id, String runner, String weightsDigest) implements RequestEffect {
 	}
 
 	/**
-	 * Give the caller its final answer now: not run, come back later.
+	 * Gives the caller its final answer: the request did not run and may be retried.
 	 *
 	 * @param id the request
 	 * @param code the refusal's code
-	 * @param retryAfterMillis an honest time to come back
+	 * @param retryAfterMillis when to retry, estimated from the backlog
 	 */
 	record Refuse(long id, String code, long retryAfterMillis) implements RequestEffect {
 	}
 
 	/**
-	 * Give the caller its final answer now: it may have run. After the answer's head has
-	 * gone out this means to cut the answer visibly.
+	 * Gives the caller its final answer: the request may have run. If the response header
+	 * has already been sent, the response is cut off so that the caller notices.
 	 *
 	 * @param id the request
-	 * @param code why
+	 * @param code the reason
 	 */
 	record GiveUp(long id, String code) implements RequestEffect {
 	}
 
 	/**
-	 * Cancel the request's work at a runner.
+	 * Cancels the request at a runner.
 	 *
 	 * @param id the request
 	 * @param runner the endpoint VM
--- a/policy/src/main/java/org/wisteriapost/policy/request/RequestEvent.java
+++ b/policy/src/main/java/org/wisteriapost/policy/request/RequestEvent.java
@@ -4,12 +4,12 @@
 import java.util.Set;
 
 /**
- * Everything that the request decisions learn.
+ * Inputs of {@link RequestMachine}.
  */
 public sealed interface RequestEvent {
 
 	/**
-	 * A caller's request, authenticated and within its limits.
+	 * A caller's request, authenticated and within the limits of a single request.
 	 *
 	 * @param request the request
 	 */
@@ -17,7 +17,8 @@
 	}
 
 	/**
-	 * The idempotency key of a request is claimed in the platform: it may now run, once.
+	 * The request's idempotency key is claimed in the platform, so that the request may
+	 * run once.
 	 *
 	 * @param id the request
 	 */
@@ -25,7 +26,8 @@
 	}
 
 	/**
-	 * The key could not be claimed or was claimed before; the I/O layer has answered.
+	 * The key could not be claimed or was claimed before; the I/O layer has answered the
+	 * caller.
 	 *
 	 * @param id the request
 	 */
@@ -33,8 +35,8 @@
 	}
 
 	/**
-	 * The answer's head is on its way to the caller: from here on no other runner can
-	 * take over unnoticed.
+	 * The start of the answer has been forwarded to the caller, so that the request can
+	 * no longer be retried on another runner.
 	 *
 	 * @param id the request
 	 */
@@ -42,7 +44,7 @@
 	}
 
 	/**
-	 * The whole answer has come.
+	 * The answer is complete.
 	 *
 	 * @param id the request
 	 */
@@ -50,19 +52,19 @@
 	}
 
 	/**
-	 * A runner did not answer whole.
+	 * A runner did not return a complete answer.
 	 *
 	 * @param id the request
-	 * @param runner who had it
-	 * @param notRun whether it is certain that not one byte reached the runner
-	 * @param code why
-	 * @param retryAfterMillis when the gate wants it back, 0 for no word
+	 * @param runner the runner that it was sent to
+	 * @param notRun whether it is certain that the request did not run
+	 * @param code the reason
+	 * @param retryAfterMillis retry interval given by the gate, 0 for none
 	 */
 	record Failed(long id, String runner, boolean notRun, String code, long retryAfterMillis) implements RequestEvent {
 	}
 
 	/**
-	 * The caller has hung up.
+	 * The caller has disconnected.
 	 *
 	 * @param id the request
 	 */
@@ -70,15 +72,16 @@
 	}
 
 	/**
-	 * An agent's report.
+	 * A status report of an agent.
 	 *
-	 * @param view what it says
+	 * @param view the reported status
 	 */
 	record RunnerSeen(RunnerView view) implements RequestEvent {
 	}
 
 	/**
-	 * The link to an agent is gone. Its calls end by {@link Failed} of their own.
+	 * The connection to an agent is closed. A {@link Failed} event follows for each of
+	 * its calls.
 	 *
 	 * @param runner the endpoint VM
 	 */
@@ -86,11 +89,11 @@
 	}
 
 	/**
-	 * A new head is known.
+	 * A head was read.
 	 *
 	 * @param generation its generation
-	 * @param digests for each service the weights digests an answer may come from: the
-	 * accepted bundle's and, while runners still switch, its predecessor's
+	 * @param digests for each service, the weights digests that may serve it: those of
+	 * the accepted bundle and, while runners are still switching, of its predecessor
 	 */
 	record HeadSeen(long generation, Map<String, Set<String>> digests) implements RequestEvent {
 
@@ -101,7 +104,7 @@
 	}
 
 	/**
-	 * The VM list or the platform's mark says these VMs are leaving.
+	 * The VMs that are leaving according to the VM list or a mark in the platform.
 	 *
 	 * @param vms all VMs known to be leaving
 	 */
@@ -113,11 +116,11 @@
 
 	}
 
-	/** This entry takes no new work from now on; running requests end whole. */
+	/** This entry accepts no new requests; pending ones are completed. */
 	record Drain() implements RequestEvent {
 	}
 
-	/** Time has passed. */
+	/** Periodic tick. */
 	record Tick() implements RequestEvent {
 	}
 
--- a/policy/src/main/java/org/wisteriapost/policy/request/RequestMachine.java
+++ b/policy/src/main/java/org/wisteriapost/policy/request/RequestMachine.java
@@ -13,16 +13,18 @@
 import org.wisteriapost.kernel.Invariants;
 
 /**
- * Returns for each event the effects that the I/O layer must carry out. Used by one
- * thread.
+ * State machine of request routing: returns the effects that the I/O layer must carry out
+ * for each event. Confined to one thread.
  *
  * The I/O layer reports the end of each dispatch once, by {@link RequestEvent.Ended} or
  * {@link RequestEvent.Failed}, and sends a {@link RequestEvent.Tick} at least every 50
- * ms. Work for an event does not grow with the number of runners, but for a new head.
+ * ms. The cost of an event does not depend on the number of runners, except for a new
+ * head.
  *
- * The decisions are in classes of their own: {@link Admission}, {@link Shedding},
- * {@link FairQueue}, {@link Placement}, {@link Dispatch}, {@link ConcurrencyLimit},
- * {@link SlowStart}, {@link OutlierEjection} and {@link RetryBudget}.
+ * The decisions are made by {@link AdmissionControl}, {@link LoadShedding},
+ * {@link FairQueue}, {@link RunnerSelector}, {@link Dispatcher},
+ * {@link ConcurrencyLimit}, {@link SlowStart}, {@link OutlierEjection} and
+ * {@link RetryBudget}.
  */
 public final class RequestMachine {
 
@@ -35,9 +37,12 @@
 	private static final Code DEADLINE_PASSED = Code.warning("deadline-passed",
 			"The caller's deadline passed while the request ran.");
 
-	private static final long RETRY_MILLIS = 1000;
+	private static final long NO_RUNNER_RETRY_MILLIS = 1000;
 
-	/** Another entry may be asked at once; the time lets the refused spread out. */
+	/**
+	 * Short, because another entry can take the request at once; jitter spreads the
+	 * retries.
+	 */
 	private static final long DRAIN_RETRY_MILLIS = 100;
 
 	private static final long DEFAULT_SEED = 1;
@@ -48,17 +53,18 @@
 
 	private final Invariants invariants;
 
-	private final Flights flights;
+	private final PendingRequests pendingRequests;
 
-	private final Runners runners;
+	private final RunnerRegistry runners;
 
-	private final Dispatch dispatch;
+	private final Dispatcher dispatcher;
 
-	private final Placement placement;
+	private final RunnerSelector selector;
 
-	private final RetryBudget retries;
+	private final RetryBudget retryBudget;
 
-	private final PriorityQueue<Delayed> delayed = new PriorityQueue<>(Comparator.comparingLong(Delayed::nanos));
+	private final PriorityQueue<DelayedRetry> delayedRetries = new PriorityQueue<>(
+			Comparator.comparingLong(DelayedRetry::dueNanos));
 
 	private boolean draining;
 
@@ -66,48 +72,48 @@
 		this.settings = settings;
 		this.random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
 		this.invariants = invariants;
-		this.flights = new Flights(invariants);
-		this.runners = new Runners(settings, this.random);
-		this.dispatch = new Dispatch(invariants);
-		this.placement = new Placement(settings, this.random);
-		this.retries = new RetryBudget(settings, this.random);
+		this.pendingRequests = new PendingRequests(invariants);
+		this.runners = new RunnerRegistry(settings, this.random);
+		this.dispatcher = new Dispatcher(invariants);
+		this.selector = new RunnerSelector(settings, this.random);
+		this.retryBudget = new RetryBudget(settings, this.random);
 	}
 
 	/**
-	 * Returns a machine with default limits that knows nothing yet.
+	 * Returns a machine with default settings and no runners.
 	 */
 	public static RequestMachine create() {
 		return create(RequestPolicySettings.defaults(), DEFAULT_SEED);
 	}
 
 	/**
-	 * Returns a machine that knows nothing yet.
-	 * @param seed of the generator; another for each entry, so that entries with the same
-	 * reports do not choose alike
+	 * Returns a machine without runners.
+	 * @param seed of the random generator; differs between entries, so that entries with
+	 * the same reports do not select the same runners
 	 */
 	public static RequestMachine create(RequestPolicySettings settings, long seed) {
 		return create(settings, seed, Invariants.create());
 	}
 
 	/**
-	 * Returns a machine that counts violations with the given invariants.
+	 * Returns a machine that records violations with the given invariants.
 	 */
 	public static RequestMachine create(RequestPolicySettings settings, long seed, Invariants invariants) {
 		return new RequestMachine(settings, seed, invariants);
 	}
 
 	/**
-	 * Returns the violations by invariant; empty when all held.
+	 * Returns the number of violations by invariant; empty when all held.
 	 */
 	public Map<String, Long> violations() {
 		return this.invariants.violations();
 	}
 
 	/**
-	 * Returns how many requests have no final answer yet.
+	 * Returns the number of requests without a final answer.
 	 */
-	public int open() {
-		return this.flights.size();
+	public int pendingCount() {
+		return this.pendingRequests.size();
 	}
 
 	/**
@@ -116,295 +122,301 @@
 	 */
 	public List<RequestEffect> apply(RequestEvent event, long nowNanos) {
 		List<RequestEffect> effects = new ArrayList<>(2);
-		this.runners.wake(nowNanos);
+		this.runners.refreshDue(nowNanos);
 		switch (event) {
-			case RequestEvent.Arrived arrived -> arrive(arrived.request(), nowNanos, effects);
-			case RequestEvent.Claimed claimed -> claimed(claimed.id(), nowNanos, effects);
-			case RequestEvent.ClaimLost lost -> claimLost(lost.id(), nowNanos);
-			case RequestEvent.Started started -> start(started.id());
-			case RequestEvent.Ended ended -> end(ended.id(), nowNanos);
-			case RequestEvent.Failed failed -> fail(failed, nowNanos, effects);
-			case RequestEvent.CallerGone gone -> callerGone(gone.id(), nowNanos, effects);
-			case RequestEvent.RunnerSeen seen -> this.runners.seen(seen.view(), nowNanos);
-			case RequestEvent.RunnerLost lost -> this.runners.lost(lost.runner(), nowNanos);
-			case RequestEvent.HeadSeen head -> this.runners.head(head, nowNanos);
-			case RequestEvent.LeavingSeen leaving -> this.runners.leaving(leaving.vms(), nowNanos);
+			case RequestEvent.Arrived arrived -> onArrival(arrived.request(), nowNanos, effects);
+			case RequestEvent.Claimed claimed -> onClaimed(claimed.id(), nowNanos, effects);
+			case RequestEvent.ClaimLost lost -> onClaimFailed(lost.id(), nowNanos);
+			case RequestEvent.Started started -> onAnswerStarted(started.id());
+			case RequestEvent.Ended ended -> onCompletion(ended.id(), nowNanos);
+			case RequestEvent.Failed failed -> onFailure(failed, nowNanos, effects);
+			case RequestEvent.CallerGone gone -> onCallerDisconnected(gone.id(), nowNanos, effects);
+			case RequestEvent.RunnerSeen report -> this.runners.onReport(report.view(), nowNanos);
+			case RequestEvent.RunnerLost lost -> this.runners.onDisconnect(lost.runner(), nowNanos);
+			case RequestEvent.HeadSeen head -> this.runners.onHeadUpdate(head, nowNanos);
+			case RequestEvent.LeavingSeen leaving -> this.runners.onLeavingVms(leaving.vms(), nowNanos);
 			case RequestEvent.Drain drain -> this.draining = true;
-			case RequestEvent.Tick tick -> this.runners.forgetIdle(nowNanos);
+			case RequestEvent.Tick tick -> this.runners.evictIdle(nowNanos);
 		}
-		expire(nowNanos, effects);
-		resume(nowNanos);
-		pump(nowNanos, effects);
+		expireDue(nowNanos, effects);
+		requeueDueRetries(nowNanos);
+		dispatchWaiting(nowNanos, effects);
 		return effects;
 	}
 
-	private void arrive(Request request, long nowNanos, List<RequestEffect> effects) {
-		Optional<Flight> added = this.flights.add(request);
+	private void onArrival(Request request, long nowNanos, List<RequestEffect> effects) {
+		Optional<PendingRequest> added = this.pendingRequests.add(request);
 		if (added.isEmpty()) {
 			return;
 		}
-		Flight flight = added.get();
+		PendingRequest pending = added.get();
 		if (this.draining) {
-			this.flights.answer(flight, ENTRY_DRAINING.name(), jittered(DRAIN_RETRY_MILLIS), effects);
+			this.pendingRequests.answerFailed(pending, ENTRY_DRAINING.name(), jittered(DRAIN_RETRY_MILLIS), effects);
 			return;
 		}
 		Optional<ServiceState> service = this.runners.service(request.service());
 		if (service.isEmpty() || service.get().pool.eligible().isEmpty()) {
-			this.flights.answer(flight, NO_RUNNER.name(), jittered(RETRY_MILLIS), effects);
+			this.pendingRequests.answerFailed(pending, NO_RUNNER.name(), jittered(NO_RUNNER_RETRY_MILLIS), effects);
 			return;
 		}
-		admit(flight, service.get(), nowNanos, effects);
+		admit(pending, service.get(), nowNanos, effects);
 	}
 
-	private void admit(Flight flight, ServiceState service, long nowNanos, List<RequestEffect> effects) {
-		Request request = flight.request;
+	private void admit(PendingRequest pending, ServiceState service, long nowNanos, List<RequestEffect> effects) {
+		Request request = pending.request;
 		double jitter = this.random.nextDouble();
-		Optional<Long> late = Admission.refuse(request, service, jitter, nowNanos);
-		if (late.isPresent()) {
-			this.flights.answer(flight, Admission.DEADLINE_UNREACHABLE.name(), late.get(), effects);
+		Optional<Long> retryAfter = AdmissionControl.retryAfterIfLate(request, service, jitter, nowNanos);
+		if (retryAfter.isPresent()) {
+			this.pendingRequests.answerFailed(pending, AdmissionControl.DEADLINE_UNREACHABLE.name(), retryAfter.get(),
+					effects);
 			return;
 		}
-		Optional<Code> full = Shedding.refuse(request, service.queue, this.settings);
-		if (full.isPresent()) {
-			long retry = Admission.drainMillis(request, service, jitter, nowNanos);
-			this.flights.answer(flight, full.get().name(), retry, effects);
+		Optional<Code> refusal = LoadShedding.refuse(request, service.queue, this.settings);
+		if (refusal.isPresent()) {
+			long retry = AdmissionControl.backlogDrainMillis(request, service, jitter, nowNanos);
+			this.pendingRequests.answerFailed(pending, refusal.get().name(), retry, effects);
 			return;
 		}
-		Shedding.victim(request, service.queue, this.settings)
+		LoadShedding.victim(request, service.queue, this.settings)
 			.ifPresent((victim) -> shed(victim, service, jitter, nowNanos, effects));
-		service.admitted(request, nowNanos);
-		service.queue.offer(flight);
-		this.runners.touch(service);
+		service.recordAdmitted(request, nowNanos);
+		service.queue.enqueue(pending);
+		this.runners.markChanged(service);
 	}
 
-	private void shed(Flight victim, ServiceState service, double jitter, long nowNanos, List<RequestEffect> effects) {
+	private void shed(PendingRequest victim, ServiceState service, double jitter, long nowNanos,
+			List<RequestEffect> effects) {
 		service.queue.remove(victim);
-		long retry = Admission.drainMillis(victim.request, service, jitter, nowNanos);
-		this.flights.answer(victim, Shedding.SHED.name(), retry, effects);
+		long retry = AdmissionControl.backlogDrainMillis(victim.request, service, jitter, nowNanos);
+		this.pendingRequests.answerFailed(victim, LoadShedding.SHED.name(), retry, effects);
 	}
 
-	private void claimed(long id, long nowNanos, List<RequestEffect> effects) {
-		Flight flight = in(id, Flight.Stage.CLAIMING).orElse(null);
-		if (flight == null) {
+	private void onClaimed(long id, long nowNanos, List<RequestEffect> effects) {
+		PendingRequest pending = findInStage(id, PendingRequest.Stage.CLAIMING).orElse(null);
+		if (pending == null) {
 			return;
 		}
-		flight.claimed = true;
-		ServiceState service = serviceOf(flight);
-		if (flight.runner.eligibleIndex >= 0 && !flight.runner.ejected) {
-			send(flight, nowNanos, effects);
+		pending.claimed = true;
+		ServiceState service = serviceOf(pending);
+		if (pending.runner.eligibleIndex >= 0 && !pending.runner.ejected) {
+			send(pending, nowNanos, effects);
 			return;
 		}
-		// The runner went away or was ejected during the claim: any other may have it.
-		release(flight, nowNanos);
-		requeue(flight, service);
+		// The runner became ineligible or was ejected during the claim.
+		release(pending, nowNanos);
+		requeue(pending, service);
 	}
 
-	private void claimLost(long id, long nowNanos) {
-		in(id, Flight.Stage.CLAIMING).ifPresent((flight) -> {
-			release(flight, nowNanos);
-			this.flights.remove(flight);
+	private void onClaimFailed(long id, long nowNanos) {
+		findInStage(id, PendingRequest.Stage.CLAIMING).ifPresent((pending) -> {
+			release(pending, nowNanos);
+			this.pendingRequests.remove(pending);
 		});
 	}
 
-	private void start(long id) {
-		in(id, Flight.Stage.DISPATCHED).ifPresent((flight) -> flight.started = true);
+	private void onAnswerStarted(long id) {
+		findInStage(id, PendingRequest.Stage.DISPATCHED).ifPresent((pending) -> pending.answerStarted = true);
 	}
 
-	private void end(long id, long nowNanos) {
-		in(id, Flight.Stage.DISPATCHED).ifPresent((flight) -> {
-			RunnerState runner = release(flight, nowNanos);
-			this.runners.answered(runner, flight, true, nowNanos);
-			this.flights.remove(flight);
+	private void onCompletion(long id, long nowNanos) {
+		findInStage(id, PendingRequest.Stage.DISPATCHED).ifPresent((pending) -> {
+			RunnerState runner = release(pending, nowNanos);
+			this.runners.onAnswer(runner, pending, true, nowNanos);
+			this.pendingRequests.remove(pending);
 		});
 	}
 
-	private void fail(RequestEvent.Failed failed, long nowNanos, List<RequestEffect> effects) {
-		Flight flight = in(failed.id(), Flight.Stage.DISPATCHED)
-			.filter((each) -> each.runner.name.equals(failed.runner()))
+	private void onFailure(RequestEvent.Failed failed, long nowNanos, List<RequestEffect> effects) {
+		PendingRequest pending = findInStage(failed.id(), PendingRequest.Stage.DISPATCHED)
+			.filter((candidate) -> candidate.runner.name.equals(failed.runner()))
 			.orElse(null);
-		if (flight == null) {
+		if (pending == null) {
 			return;
 		}
-		RunnerState runner = release(flight, nowNanos);
-		// An answer that has begun has run, whatever else is said of it.
-		boolean notRun = failed.notRun() && !flight.started;
-		this.invariants.holds(notRun || !failed.notRun(), "not-run-after-start", "request " + flight.id());
+		RunnerState runner = release(pending, nowNanos);
+		// A request whose answer has started has run, whatever the runner reports.
+		boolean notRun = failed.notRun() && !pending.answerStarted;
+		this.invariants.holds(notRun || !failed.notRun(), "not-run-after-start", "request " + pending.id());
 		if (notRun) {
-			flight.uncertain--;
+			pending.possibleRuns--;
 		}
-		if (notRun && GateCodes.full(failed.code())) {
-			bounced(flight, runner, failed, nowNanos);
+		if (notRun && GateCodes.isFull(failed.code())) {
+			requeueAfterFullGate(pending, runner, failed, nowNanos);
 			return;
 		}
-		boolean inTime = flight.request.deadlineNanos() > nowNanos;
-		boolean blamed = inTime && !(notRun && GateCodes.well(failed.code()));
-		this.runners.failed(runner, failed.retryAfterMillis(), blamed, nowNanos);
-		retry(flight, failed, notRun, nowNanos, effects);
+		boolean beforeDeadline = pending.request.deadlineNanos() > nowNanos;
+		boolean countsAgainstRunner = beforeDeadline && !(notRun && GateCodes.isHealthNeutral(failed.code()));
+		this.runners.onFailure(runner, failed.retryAfterMillis(), countsAgainstRunner, nowNanos);
+		retry(pending, failed, notRun, nowNanos, effects);
 	}
 
 	/**
-	 * A full gate cost the runner nothing and says nothing against it. The request waits
-	 * on at the head of its lane, and the runner's backoff keeps the pace.
+	 * Requeues a request that a full gate refused at the front of its lane. Such a
+	 * refusal is no failure of the runner and no attempt of the request; the runner's
+	 * backoff limits the rate of further attempts.
 	 */
-	private void bounced(Flight flight, RunnerState runner, RequestEvent.Failed failed, long nowNanos) {
-		this.runners.overCapacity(runner, failed.retryAfterMillis(), nowNanos);
-		flight.dispatches--;
-		requeue(flight, serviceOf(flight));
+	private void requeueAfterFullGate(PendingRequest pending, RunnerState runner, RequestEvent.Failed failed,
+			long nowNanos) {
+		this.runners.onGateFull(runner, failed.retryAfterMillis(), nowNanos);
+		pending.dispatches--;
+		requeue(pending, serviceOf(pending));
 	}
 
 	/**
-	 * Tries elsewhere or answers now: a caller that is told at once can still come back
-	 * before its own deadline.
+	 * Schedules a retry, or answers at once so that the caller can still retry before its
+	 * own deadline.
 	 */
-	private void retry(Flight flight, RequestEvent.Failed failed, boolean notRun, long nowNanos,
+	private void retry(PendingRequest pending, RequestEvent.Failed failed, boolean notRun, long nowNanos,
 			List<RequestEffect> effects) {
-		long wait = this.retries.waitNanos(flight);
-		ServiceState service = serviceOf(flight);
-		if (Admission.inTime(flight.request, service.pool, nowNanos + wait) && this.retries.take(flight)) {
-			flight.stage = Flight.Stage.DELAYED;
-			this.delayed.add(new Delayed(nowNanos + wait, flight));
+		long backoff = this.retryBudget.backoffNanos(pending);
+		ServiceState service = serviceOf(pending);
+		if (AdmissionControl.canMeetDeadline(pending.request, service.pool, nowNanos + backoff)
+				&& this.retryBudget.tryAcquire(pending)) {
+			pending.stage = PendingRequest.Stage.DELAYED;
+			this.delayedRetries.add(new DelayedRetry(nowNanos + backoff, pending));
 			return;
 		}
 		String code = notRun ? failed.code() : ANSWER_CUT.name();
-		long retry = Math.max(failed.retryAfterMillis(), drainMillis(flight, service, nowNanos));
-		this.flights.answer(flight, code, retry, effects);
+		long retry = Math.max(failed.retryAfterMillis(), backlogDrainMillis(pending, service, nowNanos));
+		this.pendingRequests.answerFailed(pending, code, retry, effects);
 	}
 
-	private void callerGone(long id, long nowNanos, List<RequestEffect> effects) {
-		this.flights.get(id).ifPresent((flight) -> {
-			withdraw(flight, nowNanos, effects);
-			this.flights.remove(flight);
+	private void onCallerDisconnected(long id, long nowNanos, List<RequestEffect> effects) {
+		this.pendingRequests.get(id).ifPresent((pending) -> {
+			withdraw(pending, nowNanos, effects);
+			this.pendingRequests.remove(pending);
 		});
 	}
 
-	private void expire(long nowNanos, List<RequestEffect> effects) {
-		Optional<Flight> due = this.flights.expired(nowNanos);
+	private void expireDue(long nowNanos, List<RequestEffect> effects) {
+		Optional<PendingRequest> due = this.pendingRequests.firstExpired(nowNanos);
 		while (due.isPresent()) {
-			Flight flight = due.get();
-			ServiceState service = serviceOf(flight);
-			withdraw(flight, nowNanos, effects);
-			Code code = flight.mayHaveRun() ? DEADLINE_PASSED : Admission.DEADLINE_UNREACHABLE;
-			long retry = drainMillis(flight, service, nowNanos);
-			this.flights.answer(flight, code.name(), retry, effects);
-			due = this.flights.expired(nowNanos);
+			PendingRequest pending = due.get();
+			ServiceState service = serviceOf(pending);
+			withdraw(pending, nowNanos, effects);
+			Code code = pending.mayHaveRun() ? DEADLINE_PASSED : AdmissionControl.DEADLINE_UNREACHABLE;
+			long retry = backlogDrainMillis(pending, service, nowNanos);
+			this.pendingRequests.answerFailed(pending, code.name(), retry, effects);
+			due = this.pendingRequests.firstExpired(nowNanos);
 		}
 	}
 
 	/**
-	 * Takes a request out of wherever it stands, cancelling its work.
+	 * Removes a request from its current stage and cancels its work at the runner.
 	 */
-	private void withdraw(Flight flight, long nowNanos, List<RequestEffect> effects) {
-		switch (flight.stage) {
-			case QUEUED -> serviceOf(flight).queue.remove(flight);
-			case DELAYED -> this.delayed.removeIf((each) -> each.flight() == flight);
-			case CLAIMING -> release(flight, nowNanos);
+	private void withdraw(PendingRequest pending, long nowNanos, List<RequestEffect> effects) {
+		switch (pending.stage) {
+			case QUEUED -> serviceOf(pending).queue.remove(pending);
+			case DELAYED -> this.delayedRetries.removeIf((candidate) -> candidate.pending() == pending);
+			case CLAIMING -> release(pending, nowNanos);
 			case DISPATCHED -> {
-				RunnerState runner = release(flight, nowNanos);
-				effects.add(new RequestEffect.Cancel(flight.id(), runner.name));
-				this.runners.answered(runner, flight, false, nowNanos);
+				RunnerState runner = release(pending, nowNanos);
+				effects.add(new RequestEffect.Cancel(pending.id(), runner.name));
+				this.runners.onAnswer(runner, pending, false, nowNanos);
 			}
 		}
 	}
 
-	private void resume(long nowNanos) {
-		while (!this.delayed.isEmpty() && this.delayed.peek().nanos() <= nowNanos) {
-			Flight flight = this.delayed.poll().flight();
-			requeue(flight, serviceOf(flight));
+	private void requeueDueRetries(long nowNanos) {
+		while (!this.delayedRetries.isEmpty() && this.delayedRetries.peek().dueNanos() <= nowNanos) {
+			PendingRequest pending = this.delayedRetries.poll().pending();
+			requeue(pending, serviceOf(pending));
 		}
 	}
 
-	private void pump(long nowNanos, List<RequestEffect> effects) {
-		Optional<ServiceState> next = this.runners.nextTouched();
+	private void dispatchWaiting(long nowNanos, List<RequestEffect> effects) {
+		Optional<ServiceState> next = this.runners.nextChanged();
 		while (next.isPresent()) {
-			pump(next.get(), nowNanos, effects);
-			next = this.runners.nextTouched();
+			dispatchWaiting(next.get(), nowNanos, effects);
+			next = this.runners.nextChanged();
 		}
 	}
 
-	private void pump(ServiceState service, long nowNanos, List<RequestEffect> effects) {
+	private void dispatchWaiting(ServiceState service, long nowNanos, List<RequestEffect> effects) {
 		if (service.pool.eligible().isEmpty()) {
 			refuseAll(service, effects);
 			return;
 		}
 		while (!service.pool.free().isEmpty()) {
-			Flight flight = service.queue.poll(service.longAllowed(nowNanos)).orElse(null);
-			if (flight == null) {
+			PendingRequest pending = service.queue.poll(service.longRequestAllowed(nowNanos)).orElse(null);
+			if (pending == null) {
 				return;
 			}
-			if (!place(flight, service, nowNanos, effects)) {
+			if (!dispatchOne(pending, service, nowNanos, effects)) {
 				return;
 			}
 		}
 	}
 
 	private void refuseAll(ServiceState service, List<RequestEffect> effects) {
-		for (Flight flight : service.queue.all()) {
-			service.queue.remove(flight);
-			this.flights.answer(flight, NO_RUNNER.name(), jittered(RETRY_MILLIS), effects);
+		for (PendingRequest pending : service.queue.waiting()) {
+			service.queue.remove(pending);
+			this.pendingRequests.answerFailed(pending, NO_RUNNER.name(), jittered(NO_RUNNER_RETRY_MILLIS), effects);
 		}
 	}
 
 	/**
-	 * Sends one request on, or answers it when it is too late for it.
+	 * Dispatches one request, or answers it if its deadline can no longer be met.
 	 * @return false when no runner may take it now
 	 */
-	private boolean place(Flight flight, ServiceState service, long nowNanos, List<RequestEffect> effects) {
-		if (!Admission.inTime(flight.request, service.pool, nowNanos)) {
-			long retry = drainMillis(flight, service, nowNanos);
-			this.flights.answer(flight, Admission.DEADLINE_UNREACHABLE.name(), retry, effects);
+	private boolean dispatchOne(PendingRequest pending, ServiceState service, long nowNanos,
+			List<RequestEffect> effects) {
+		if (!AdmissionControl.canMeetDeadline(pending.request, service.pool, nowNanos)) {
+			long retry = backlogDrainMillis(pending, service, nowNanos);
+			this.pendingRequests.answerFailed(pending, AdmissionControl.DEADLINE_UNREACHABLE.name(), retry, effects);
 			return true;
 		}
-		Optional<RunnerState> runner = this.placement.choose(service.pool, flight);
+		Optional<RunnerState> runner = this.selector.select(service.pool, pending);
 		if (runner.isEmpty()) {
-			service.queue.putBack(flight);
+			service.queue.requeueFirst(pending);
 			return false;
 		}
-		this.dispatch.reserve(flight, runner.get(), service);
+		this.dispatcher.reserve(pending, runner.get(), service);
 		this.runners.refresh(runner.get(), nowNanos);
-		send(flight, nowNanos, effects);
+		send(pending, nowNanos, effects);
 		return true;
 	}
 
-	private void send(Flight flight, long nowNanos, List<RequestEffect> effects) {
-		if (!this.dispatch.send(flight, nowNanos, effects)) {
-			release(flight, nowNanos);
-			this.flights.answer(flight, ANSWER_CUT.name(), RETRY_MILLIS, effects);
+	private void send(PendingRequest pending, long nowNanos, List<RequestEffect> effects) {
+		if (!this.dispatcher.send(pending, nowNanos, effects)) {
+			release(pending, nowNanos);
+			this.pendingRequests.answerFailed(pending, ANSWER_CUT.name(), NO_RUNNER_RETRY_MILLIS, effects);
 			return;
 		}
-		if (flight.stage == Flight.Stage.DISPATCHED && flight.dispatches == 1) {
-			this.retries.dispatched();
+		if (pending.stage == PendingRequest.Stage.DISPATCHED && pending.dispatches == 1) {
+			this.retryBudget.recordFirstDispatch();
 		}
 	}
 
-	private void requeue(Flight flight, ServiceState service) {
-		flight.stage = Flight.Stage.QUEUED;
-		service.queue.putBack(flight);
-		this.runners.touch(service);
+	private void requeue(PendingRequest pending, ServiceState service) {
+		pending.stage = PendingRequest.Stage.QUEUED;
+		service.queue.requeueFirst(pending);
+		this.runners.markChanged(service);
 	}
 
-	private RunnerState release(Flight flight, long nowNanos) {
-		RunnerState runner = this.dispatch.release(flight, serviceOf(flight));
+	private RunnerState release(PendingRequest pending, long nowNanos) {
+		RunnerState runner = this.dispatcher.release(pending, serviceOf(pending));
 		this.runners.refresh(runner, nowNanos);
 		return runner;
 	}
 
-	private Optional<Flight> in(long id, Flight.Stage stage) {
-		return this.flights.get(id).filter((flight) -> flight.stage == stage);
+	private Optional<PendingRequest> findInStage(long id, PendingRequest.Stage stage) {
+		return this.pendingRequests.get(id).filter((pending) -> pending.stage == stage);
 	}
 
-	private ServiceState serviceOf(Flight flight) {
-		return this.runners.service(flight.request.service()).orElseThrow();
+	private ServiceState serviceOf(PendingRequest pending) {
+		return this.runners.service(pending.request.service()).orElseThrow();
 	}
 
-	private long drainMillis(Flight flight, ServiceState service, long nowNanos) {
-		return Admission.drainMillis(flight.request, service, this.random.nextDouble(), nowNanos);
+	private long backlogDrainMillis(PendingRequest pending, ServiceState service, long nowNanos) {
+		return AdmissionControl.backlogDrainMillis(pending.request, service, this.random.nextDouble(), nowNanos);
 	}
 
 	private long jittered(long millis) {
 		return (long) (millis * (1 + this.random.nextDouble() / 4));
 	}
 
-	private record Delayed(long nanos, Flight flight) {
+	private record DelayedRetry(long dueNanos, PendingRequest pending) {
 	}
 
 }
--- a/policy/src/main/java/org/wisteriapost/policy/request/RequestPolicyKeys.java
+++ b/policy/src/main/java/org/wisteriapost/policy/request/RequestPolicyKeys.java
@@ -7,7 +7,7 @@
 import org.wisteriapost.kernel.settings.SettingsSchema;
 
 /**
- * Keys of the limits under load. All have defaults that suit the sizes of today.
+ * Settings of the request policy.
  */
 public final class RequestPolicyKeys implements SettingsSchema {
 
--- a/policy/src/main/java/org/wisteriapost/policy/request/RequestPolicySettings.java
+++ b/policy/src/main/java/org/wisteriapost/policy/request/RequestPolicySettings.java
@@ -7,31 +7,31 @@
 import org.wisteriapost.kernel.settings.Settings;
 
 /**
- * The limits that the request decisions work with; each is explained at the decision that
- * uses it.
+ * Limits of the request policy.
  *
- * @param place the failure domain of this entry; empty when it does not matter
- * @param weights share of each organisation; one that is not named has weight 1
+ * @param failureDomain the failure domain of this entry; empty for no preference
+ * @param weights share of each organisation; one that is not listed has weight 1
  * @param queuePerOrganisation queued requests of one organisation for one service
  * @param queuePerService queued requests for one service
  * @param priorityHeadStart units of cost that a class may be ahead of the next lower one
+ * between organisations
  * @param longCost cost from which a request counts as long
- * @param longShare share of the calls in flight that may be long while short ones come
- * @param retryShare retries for each first dispatch
- * @param slowStart how long a runner that returns is ramped up
- * @param ejection how long a runner is ejected the first time
- * @param ejectedShare share of a service's runners that may be ejected at once
+ * @param longShare share of the calls in flight that may be long while short ones arrive
+ * @param retryShare retries allowed per first dispatch
+ * @param slowStartDuration how long a returning runner is ramped up
+ * @param baseEjectionTime duration of a runner's first ejection
+ * @param maxEjectedShare share of a service's runners that may be ejected at once
  */
-public record RequestPolicySettings(String place, Map<String, Integer> weights, int queuePerOrganisation,
+public record RequestPolicySettings(String failureDomain, Map<String, Integer> weights, int queuePerOrganisation,
 		int queuePerService, int priorityHeadStart, int longCost, double longShare, double retryShare,
-		Duration slowStart, Duration ejection, double ejectedShare) {
+		Duration slowStartDuration, Duration baseEjectionTime, double maxEjectedShare) {
 
 	public RequestPolicySettings {
 		weights = Map.copyOf(weights);
 	}
 
 	/**
-	 * Returns the limits that are used when the settings say nothing.
+	 * Returns the limits that apply without settings.
 	 */
 	public static RequestPolicySettings defaults() {
 		return new RequestPolicySettings("", Map.of(), 512, 2048, 20, 8, 0.5, 0.1, Duration.ofSeconds(5),
@@ -39,12 +39,12 @@
 	}
 
 	/**
-	 * Returns the limits that the settings name.
-	 * @param settings settings that were checked whole
-	 * @param place the failure domain of this entry
+	 * Returns the limits from the settings.
+	 * @param settings validated settings
+	 * @param failureDomain the failure domain of this entry
 	 */
-	public static RequestPolicySettings from(Settings settings, String place) {
-		return new RequestPolicySettings(place, weights(settings),
+	public static RequestPolicySettings from(Settings settings, String failureDomain) {
+		return new RequestPolicySettings(failureDomain, weights(settings),
 				RequestPolicyKeys.QUEUE_PER_ORGANISATION.get(settings).intValue(),
 				RequestPolicyKeys.QUEUE_PER_SERVICE.get(settings).intValue(),
 				RequestPolicyKeys.PRIORITY_HEAD_START.get(settings).intValue(),
--- a/policy/src/main/java/org/wisteriapost/policy/request/RetryBudget.java
+++ b/policy/src/main/java/org/wisteriapost/policy/request/RetryBudget.java
@@ -5,68 +5,62 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * Returns when a request that failed may be tried elsewhere, if at all.
+ * Limits and delays retries of failed requests.
  *
- * Load: runners fail while there is hardly room to spare. Harm prevented: every failure
- * turns into two or three calls, which make the rest fail.
+ * Load: runners fail while there is hardly any free capacity. Harm prevented: each
+ * failure turns into two or three calls, which overload the remaining runners.
  *
- * A token bucket that fills by a share of the first dispatches: retries add at most that
- * share to the load, whatever fails. Some tokens are there from the start, so that a
- * quiet entry can retry at all. At most two retries, for a request that fails everywhere
- * is at fault itself. The wait is jittered, so that calls which failed together do not
- * come back together.
+ * A token bucket is filled by a share of the first dispatches, so that retries add at
+ * most that share to the load. It is full at the start, so that an entry with little
+ * traffic can retry at all. A request is retried at most twice, because one that fails
+ * everywhere is itself the likely cause. The backoff is jittered, so that calls that
+ * failed together are not retried together.
  */
 final class RetryBudget {
 
-	private static final double MOST_TOKENS = 20;
+	private static final double MAX_TOKENS = 20;
 
-	private static final int MOST_DISPATCHES = 3;
+	private static final int MAX_DISPATCHES = 3;
 
-	private static final long WAIT_NANOS = Duration.ofMillis(10).toNanos();
+	private static final long BASE_BACKOFF_NANOS = Duration.ofMillis(10).toNanos();
 
-	private final double share;
+	private final double retryShare;
 
 	private final UniformRandomProvider random;
 
-	private double tokens = MOST_TOKENS;
+	private double tokens = MAX_TOKENS;
 
 	RetryBudget(RequestPolicySettings settings, UniformRandomProvider random) {
-		this.share = settings.retryShare();
+		this.retryShare = settings.retryShare();
 		this.random = random;
 	}
 
-	/**
-	 * Notes the first dispatch of a request.
-	 */
-	void dispatched() {
-		this.tokens = Math.min(MOST_TOKENS, this.tokens + this.share);
+	void recordFirstDispatch() {
+		this.tokens = Math.min(MAX_TOKENS, this.tokens + this.retryShare);
 	}
 
 	/**
-	 * Returns whether a failed request may run again at all: its answer has not begun,
-	 * and it is idempotent or has certainly not run.
+	 * Returns whether a failed request may be retried: its answer has not started, and it
+	 * is idempotent or certainly did not run.
 	 */
-	static boolean repeatable(Flight flight) {
-		return !flight.started && (flight.request.idempotent() || !flight.mayHaveRun());
+	static boolean isRetryable(PendingRequest pending) {
+		return !pending.answerStarted && (pending.request.idempotent() || !pending.mayHaveRun());
 	}
 
 	/**
-	 * Takes a token for a retry and returns whether there was one.
+	 * Takes a token for a retry if the request is retryable and a token is available.
 	 */
-	boolean take(Flight flight) {
-		if (!repeatable(flight) || flight.dispatches >= MOST_DISPATCHES || this.tokens < 1) {
+	boolean tryAcquire(PendingRequest pending) {
+		if (!isRetryable(pending) || pending.dispatches >= MAX_DISPATCHES || this.tokens < 1) {
 			return false;
 		}
 		this.tokens--;
 		return true;
 	}
 
-	/**
-	 * Returns the time to wait before a retry.
-	 */
-	long waitNanos(Flight flight) {
+	long backoffNanos(PendingRequest pending) {
 		double jitter = 0.5 + this.random.nextDouble();
-		return (long) (WAIT_NANOS * jitter * flight.dispatches);
+		return (long) (BASE_BACKOFF_NANOS * jitter * pending.dispatches);
 	}
 
 }
--- a/policy/src/main/java/org/wisteriapost/policy/request/RunnerPool.java
+++ b/policy/src/main/java/org/wisteriapost/policy/request/RunnerPool.java
@@ -7,22 +7,25 @@
 import java.util.Optional;
 
 /**
- * The runners of one service, kept so that a step costs the same at ten runners and at
- * thousands: membership of the two lists is corrected when something happens to a runner,
- * never searched for when a request comes.
+ * The runners of one service. Operations cost the same whatever the number of runners:
+ * the lists of eligible and free runners are updated when the state of a runner changes
+ * and not searched for each request.
  *
- * Eligible runners may answer the service's calls by their weights and state. Free ones
- * are eligible and would take a call from this entry now.
+ * Eligible runners may serve the service by their weights and status. Free ones are
+ * eligible and can take a call from this entry now.
  */
 final class RunnerPool {
 
-	/** Prefixes remembered; a hint only, so old ones may be forgotten. */
-	private static final int PREFIXES = 8192;
+	/**
+	 * Bound of the prefix map. Entries are hints, so that the least recently used may be
+	 * evicted.
+	 */
+	private static final int MAX_PREFIXES = 8192;
 
-	final WorkRate rate = new WorkRate();
+	final ServiceTimeEstimate serviceTime = new ServiceTimeEstimate();
 
-	/** Share of the raised limits that lately held, 0 to 1. */
-	double raiseHeld;
+	/** Smoothed share of the raised limits that no gate refused, 0 to 1. */
+	double heldRaiseShare;
 
 	private final List<RunnerState> eligible = new ArrayList<>();
 
@@ -32,7 +35,7 @@
 
 		@Override
 		protected boolean removeEldestEntry(Map.Entry<Long, RunnerState> eldest) {
-			return size() > PREFIXES;
+			return size() > MAX_PREFIXES;
 		}
 
 	};
@@ -55,62 +58,56 @@
 		return this.free;
 	}
 
-	/**
-	 * Returns how many runners are ejected now.
-	 */
 	int ejected() {
 		return this.ejected;
 	}
 
-	void countEjected(int by) {
-		this.ejected += by;
+	void addEjected(int delta) {
+		this.ejected += delta;
 	}
 
 	/**
-	 * Returns how many runners are in slow start now.
+	 * Returns the number of runners in slow start.
 	 */
 	int ramping() {
 		return this.ramping;
 	}
 
-	void countRamping(int by) {
-		this.ramping += by;
+	void addRamping(int delta) {
+		this.ramping += delta;
 	}
 
-	/**
-	 * Returns this entry's calls in flight at the service.
-	 */
 	int inFlight() {
 		return this.inFlight;
 	}
 
 	/**
-	 * Returns the calls that this entry may have in flight at the service.
+	 * Returns the number of calls that this entry may have in flight at the service.
 	 */
 	int slots() {
 		return this.slots;
 	}
 
-	void countSlots(RunnerState runner, int now) {
-		this.slots += now - runner.slots;
-		runner.slots = now;
+	void setSlots(RunnerState runner, int allowed) {
+		this.slots += allowed - runner.countedSlots;
+		runner.countedSlots = allowed;
 	}
 
 	int longInFlight() {
 		return this.longInFlight;
 	}
 
-	void countInFlight(int by, boolean longOne) {
-		this.inFlight += by;
-		this.longInFlight += longOne ? by : 0;
+	void addInFlight(int delta, boolean longRequest) {
+		this.inFlight += delta;
+		this.longInFlight += longRequest ? delta : 0;
 	}
 
-	void setEligible(RunnerState runner, boolean in) {
-		if (in && runner.eligibleIndex < 0) {
+	void setEligible(RunnerState runner, boolean member) {
+		if (member && runner.eligibleIndex < 0) {
 			runner.eligibleIndex = this.eligible.size();
 			this.eligible.add(runner);
 		}
-		else if (!in && runner.eligibleIndex >= 0) {
+		else if (!member && runner.eligibleIndex >= 0) {
 			RunnerState moved = this.eligible.removeLast();
 			if (moved != runner) {
 				this.eligible.set(runner.eligibleIndex, moved);
@@ -120,12 +117,12 @@
 		}
 	}
 
-	void setFree(RunnerState runner, boolean in) {
-		if (in && runner.freeIndex < 0) {
+	void setFree(RunnerState runner, boolean member) {
+		if (member && runner.freeIndex < 0) {
 			runner.freeIndex = this.free.size();
 			this.free.add(runner);
 		}
-		else if (!in && runner.freeIndex >= 0) {
+		else if (!member && runner.freeIndex >= 0) {
 			RunnerState moved = this.free.removeLast();
 			if (moved != runner) {
 				this.free.set(runner.freeIndex, moved);
@@ -136,16 +133,16 @@
 	}
 
 	/**
-	 * Notes that a runner is likely to have a prompt prefix in its cache.
+	 * Records that a runner probably has a prompt prefix in its cache.
 	 */
-	void notePrefix(long prefix, RunnerState runner) {
+	void recordPrefix(long prefix, RunnerState runner) {
 		if (prefix != 0) {
 			this.prefixes.put(prefix, runner);
 		}
 	}
 
 	/**
-	 * Returns the runner that is likely to have a prefix, if it is free.
+	 * Returns the runner that probably has the prefix cached, if it is free.
 	 */
 	Optional<RunnerState> freeWithPrefix(long prefix) {
 		if (prefix == 0) {
--- a/policy/src/main/java/org/wisteriapost/policy/request/RunnerState.java
+++ b/policy/src/main/java/org/wisteriapost/policy/request/RunnerState.java
@@ -1,52 +1,55 @@
 package org.wisteriapost.policy.request;
 
 /**
- * One runner as this entry sees it: the lagged report and, on top, what this entry itself
- * has sent and measured.
+ * State of one runner in this entry: its last report, which lags, and this entry's own
+ * calls and measurements.
  */
 final class RunnerState {
 
 	final String name;
 
-	RunnerView view;
+	RunnerView status;
 
-	/** Position in the pool's list of free runners, -1 when it is not there. */
+	/** Index in the pool's list of free runners, -1 if absent. */
 	int freeIndex = -1;
 
-	/** Position in the pool's list of eligible runners, -1 when it is not there. */
+	/** Index in the pool's list of eligible runners, -1 if absent. */
 	int eligibleIndex = -1;
 
 	int inFlight;
 
-	/** Calls in flight from this entry when the last report came. */
+	/** This entry's calls in flight when the last report arrived. */
 	int inFlightAtReport;
 
-	/** Calls that this entry may have in flight here; moved by ConcurrencyLimit. */
+	/**
+	 * Calls that this entry may have in flight at the runner, adapted by
+	 * {@link ConcurrencyLimit}.
+	 */
 	double limit;
 
-	/** The limit rose by a slot that has not been tried yet. */
-	boolean raised;
+	/** Whether the limit was raised by a slot that has not been used since. */
+	boolean untriedRaise;
 
-	long loweredNanos = Long.MIN_VALUE;
+	long lastDecreaseNanos = Long.MIN_VALUE;
 
 	long backoffUntilNanos = Long.MIN_VALUE;
 
 	long slowStartNanos = Long.MIN_VALUE;
 
-	/** Seconds for each unit of cost, smoothed; 0 before the first sample. */
+	/** Smoothed seconds per unit of cost, 0 before the first sample. */
 	double secondsPerCost;
 
 	int samples;
 
-	/** Slots that the pool counts for this runner. */
-	int slots;
+	/** This runner's contribution to {@link RunnerPool#slots()}. */
+	int countedSlots;
 
-	boolean gone;
+	boolean disconnected;
 
-	/** When to look at this runner again, whatever else happens. */
-	long wakeNanos = Long.MAX_VALUE;
+	/** Time of the next scheduled refresh. */
+	long nextRefreshNanos = Long.MAX_VALUE;
 
-	int errorsInRow;
+	int consecutiveErrors;
 
 	boolean ejected;
 
@@ -54,19 +57,19 @@
 
 	int ejections;
 
-	RunnerState(RunnerView view) {
-		this.name = view.runner();
-		this.view = view;
-		this.limit = Math.max(1, view.capacity());
+	RunnerState(RunnerView status) {
+		this.name = status.runner();
+		this.status = status;
+		this.limit = Math.max(1, status.capacity());
 	}
 
 	/**
-	 * Returns the calls in progress or waiting there: other entries' as last reported and
-	 * this entry's own as of now.
+	 * Returns the calls that run or wait at the runner: those of other entries as last
+	 * reported and this entry's own at present.
 	 */
 	int load() {
-		int others = Math.max(0, this.view.running() + this.view.queued() - this.inFlightAtReport);
-		return others + this.inFlight;
+		int fromOtherEntries = Math.max(0, this.status.running() + this.status.queued() - this.inFlightAtReport);
+		return fromOtherEntries + this.inFlight;
 	}
 
 }
--- a/policy/src/main/java/org/wisteriapost/policy/request/RunnerView.java
+++ b/policy/src/main/java/org/wisteriapost/policy/request/RunnerView.java
@@ -3,18 +3,19 @@
 import java.util.Set;
 
 /**
- * One runner as its agent last reported it; the figures lag.
+ * Status of a runner as last reported by its agent; the figures lag.
  *
  * @param runner the endpoint VM's name
  * @param place its failure domain
- * @param service what it serves
- * @param admitting false while it is starting, switching or leaving
- * @param weightsDigest what it serves, read back from it; empty for a plain service
- * @param generation of the bundle in force there
- * @param running calls in progress there, from all entries
- * @param queued calls waiting there
- * @param capacity calls at once
- * @param prefixes cached prompt prefixes, a hint with gaps
+ * @param service the service that it provides
+ * @param admitting false while it is starting, switching weights or leaving
+ * @param weightsDigest the weights in use, read back from the runner; empty for a plain
+ * service
+ * @param generation of the bundle that is active there
+ * @param running calls in progress, from all entries
+ * @param queued calls waiting
+ * @param capacity concurrent calls
+ * @param prefixes cached prompt prefixes, an incomplete hint
  */
 public record RunnerView(String runner, String place, String service, boolean admitting, String weightsDigest,
 		long generation, int running, int queued, int capacity, Set<Long> prefixes) {
--- a/policy/src/main/java/org/wisteriapost/policy/request/ServiceState.java
+++ b/policy/src/main/java/org/wisteriapost/policy/request/ServiceState.java
@@ -3,16 +3,16 @@
 import java.time.Duration;
 
 /**
- * What waits for one service and the runners that serve it.
+ * Waiting requests and runners of one service.
  */
 final class ServiceState {
 
 	/**
-	 * How long after the last short request slots are kept for short ones: long enough to
-	 * bridge the gaps in ordinary traffic, short enough that a night of bulk work uses
-	 * all slots.
+	 * How long slots stay reserved after the last short request: long enough to bridge
+	 * the gaps in ordinary traffic, short enough that bulk work at night can use all
+	 * slots.
 	 */
-	private static final long KEPT_NANOS = Duration.ofSeconds(2).toNanos();
+	private static final long SHORT_RESERVATION_NANOS = Duration.ofSeconds(2).toNanos();
 
 	final FairQueue queue;
 
@@ -36,8 +36,8 @@
 		return request.cost() >= this.settings.longCost();
 	}
 
-	void admitted(Request request, long nowNanos) {
-		this.arrivals.admitted(request, nowNanos);
+	void recordAdmitted(Request request, long nowNanos) {
+		this.arrivals.recordAdmitted(request, nowNanos);
 		if (!isLong(request)) {
 			this.shortSeen = true;
 			this.lastShortNanos = nowNanos;
@@ -45,12 +45,12 @@
 	}
 
 	/**
-	 * Returns whether a slot may go to long work now. While short requests come, long
-	 * ones may not hold every slot: the short ones would wait for the end of a long one,
-	 * tens of times their own length.
+	 * Returns whether a slot may be given to a long request. While short requests arrive,
+	 * long ones must not hold every slot: the short ones would have to wait for the end
+	 * of a long one, which takes tens of times as long as they do.
 	 */
-	boolean longAllowed(long nowNanos) {
-		if (!this.shortSeen || nowNanos - this.lastShortNanos > KEPT_NANOS) {
+	boolean longRequestAllowed(long nowNanos) {
+		if (!this.shortSeen || nowNanos - this.lastShortNanos > SHORT_RESERVATION_NANOS) {
 			return true;
 		}
 		return this.pool.longInFlight() < Math.max(1, this.settings.longShare() * this.pool.slots());
--- a/policy/src/main/java/org/wisteriapost/policy/request/package-info.java
+++ b/policy/src/main/java/org/wisteriapost/policy/request/package-info.java
@@ -1,6 +1,6 @@
 /**
- * What to do with each request: admit, queue, place, retry, shed, refuse. One pure state
- * machine, {@link org.wisteriapost.policy.request.RequestMachine}, made of one decision a
- * file.
+ * Decisions about each request: admission, queueing, selection of a runner, retries and
+ * load shedding. {@link org.wisteriapost.policy.request.RequestMachine} is the state
+ * machine that combines them.
  */
 package org.wisteriapost.policy.request;
--- a/policy/src/test/java/org/wisteriapost/policy/request/FairQueueTests.java
+++ b/policy/src/test/java/org/wisteriapost/policy/request/FairQueueTests.java
@@ -21,17 +21,17 @@
 	private long ids;
 
 	@Test
-	void loudOrganisationDoesNotDelayTheOthers() {
-		offer("loud", Priority.NORMAL, 1, 100);
-		offer("quiet", Priority.NORMAL, 1, 2);
+	void busyOrganisationDoesNotDelayOthers() {
+		enqueue("busy", Priority.NORMAL, 1, 100);
+		enqueue("light", Priority.NORMAL, 1, 2);
 		List<String> order = drain(4);
-		assertThat(order.stream().filter("quiet"::equals).count(), is(2L));
+		assertThat(order.stream().filter("light"::equals).count(), is(2L));
 	}
 
 	@Test
-	void organisationAloneGetsEverything() {
-		offer("loud", Priority.NORMAL, 1, 3);
-		assertThat(drain(3), contains("loud", "loud", "loud"));
+	void soleOrganisationGetsAllSlots() {
+		enqueue("busy", Priority.NORMAL, 1, 3);
+		assertThat(drain(3), contains("busy", "busy", "busy"));
 		assertThat(this.queue.isEmpty(), is(true));
 	}
 
@@ -39,13 +39,13 @@
 	void shareFollowsTheWeight() {
 		RequestPolicySettings plain = RequestPolicySettings.defaults();
 		FairQueue weighted = new FairQueue(new RequestPolicySettings("", Map.of("large", 3), 512, 2048, 20, 8, 0.5, 0.1,
-				plain.slowStart(), plain.ejection(), 0.3));
-		for (int each = 0; each < 40; each++) {
-			weighted.offer(flight("large", Priority.NORMAL, 1));
-			weighted.offer(flight("small", Priority.NORMAL, 1));
+				plain.slowStartDuration(), plain.baseEjectionTime(), 0.3));
+		for (int i = 0; i < 40; i++) {
+			weighted.enqueue(pending("large", Priority.NORMAL, 1));
+			weighted.enqueue(pending("small", Priority.NORMAL, 1));
 		}
 		long large = 0;
-		for (int each = 0; each < 40; each++) {
+		for (int i = 0; i < 40; i++) {
 			large += weighted.poll(true).orElseThrow().request.organisation().equals("large") ? 1 : 0;
 		}
 		assertThat(large, is(30L));
@@ -53,67 +53,67 @@
 
 	@Test
 	void longRequestsAreChargedByTheirCost() {
-		offer("long", Priority.NORMAL, 10, 10);
-		offer("short", Priority.NORMAL, 1, 10);
+		enqueue("long", Priority.NORMAL, 10, 10);
+		enqueue("short", Priority.NORMAL, 1, 10);
 		assertThat(drain(11).stream().filter("short"::equals).count(), greaterThan(8L));
 	}
 
 	@Test
 	void moreUrgentOfOneOrganisationGoesFirst() {
-		offer("a", Priority.BULK, 1, 1);
-		offer("a", Priority.URGENT, 1, 1);
+		enqueue("a", Priority.BULK, 1, 1);
+		enqueue("a", Priority.URGENT, 1, 1);
 		assertThat(this.queue.poll(true).orElseThrow().request.priority(), is(Priority.URGENT));
 	}
 
 	@Test
-	void organisationThatCallsAllUrgentIsAheadByTheHeadStartOnly() {
-		offer("cheat", Priority.URGENT, 1, 200);
-		offer("honest", Priority.NORMAL, 1, 200);
+	void urgentOnlyOrganisationIsAheadByTheHeadStartOnly() {
+		enqueue("all-urgent", Priority.URGENT, 1, 200);
+		enqueue("normal", Priority.NORMAL, 1, 200);
 		List<String> order = drain(100);
-		assertThat(order.subList(0, 20).contains("honest"), is(false));
-		assertThat(order.stream().filter("honest"::equals).count(), equalTo(40L));
+		assertThat(order.subList(0, 20).contains("normal"), is(false));
+		assertThat(order.stream().filter("normal"::equals).count(), equalTo(40L));
 	}
 
 	@Test
-	void shortRequestPassesALongOneThatMayNotRunYet() {
-		offer("a", Priority.NORMAL, 50, 1);
-		offer("a", Priority.NORMAL, 1, 1);
+	void shortRequestOvertakesLongOneThatMayNotRunYet() {
+		enqueue("a", Priority.NORMAL, 50, 1);
+		enqueue("a", Priority.NORMAL, 1, 1);
 		assertThat(this.queue.poll(false).orElseThrow().request.cost(), is(1));
 		assertThat(this.queue.poll(false), is(Optional.empty()));
 		assertThat(this.queue.poll(true).orElseThrow().request.cost(), is(50));
 	}
 
 	@Test
-	void requestPutBackIsNextAndNotChargedTwice() {
-		offer("a", Priority.NORMAL, 1, 2);
-		offer("b", Priority.NORMAL, 1, 2);
-		Flight first = this.queue.poll(true).orElseThrow();
-		this.queue.putBack(first);
+	void requeuedRequestIsNextAndNotChargedTwice() {
+		enqueue("a", Priority.NORMAL, 1, 2);
+		enqueue("b", Priority.NORMAL, 1, 2);
+		PendingRequest first = this.queue.poll(true).orElseThrow();
+		this.queue.requeueFirst(first);
 		assertThat(this.queue.poll(true).orElseThrow(), is(first));
 		assertThat(drain(3), contains("b", "a", "b"));
 	}
 
 	@Test
-	void organisationThatReturnsHasNoCreditFromItsAbsence() {
-		offer("a", Priority.NORMAL, 1, 50);
+	void returningOrganisationHasNoCreditFromIdleTime() {
+		enqueue("a", Priority.NORMAL, 1, 50);
 		drain(40);
-		offer("b", Priority.NORMAL, 1, 50);
+		enqueue("b", Priority.NORMAL, 1, 50);
 		assertThat(drain(10).stream().filter("b"::equals).count(), lessThan(7L));
 	}
 
-	private void offer(String organisation, Priority priority, int cost, int times) {
-		for (int each = 0; each < times; each++) {
-			this.queue.offer(flight(organisation, priority, cost));
+	private void enqueue(String organisation, Priority priority, int cost, int times) {
+		for (int i = 0; i < times; i++) {
+			this.queue.enqueue(pending(organisation, priority, cost));
 		}
 	}
 
-	private Flight flight(String organisation, Priority priority, int cost) {
-		return new Flight(new Request(++this.ids, organisation, "s", priority, Long.MAX_VALUE, true, 0, cost));
+	private PendingRequest pending(String organisation, Priority priority, int cost) {
+		return new PendingRequest(new Request(++this.ids, organisation, "s", priority, Long.MAX_VALUE, true, 0, cost));
 	}
 
 	private List<String> drain(int count) {
 		List<String> order = new ArrayList<>();
-		for (int each = 0; each < count; each++) {
+		for (int i = 0; i < count; i++) {
 			order.add(this.queue.poll(true).orElseThrow().request.organisation());
 		}
 		return order;
--- a/policy/src/test/java/org/wisteriapost/policy/request/RandomEventsTests.java
+++ b/policy/src/test/java/org/wisteriapost/policy/request/RandomEventsTests.java
@@ -17,9 +17,9 @@
 import static org.hamcrest.Matchers.is;
 
 /**
- * Long runs of random events in any order: answers that are late, crossed or doubled,
- * runners that come and go, heads that change and are old. The promises are checked from
- * the outside, by what was asked of the I/O layer and what it said before.
+ * Long sequences of random events in any order: late, reordered and duplicate answers,
+ * runners that connect and disconnect, new and outdated heads. The guarantees are checked
+ * from outside, by the effects and the events that caused them.
  */
 class RandomEventsTests {
 
@@ -27,15 +27,16 @@
 
 	private static final int RUNNERS = 8;
 
-	private final Fixture fixture = Fixture.of(RequestPolicySettings.defaults(), 2, "runner-0", "runner-1", "runner-2");
+	private final RequestMachineFixture fixture = RequestMachineFixture.of(RequestPolicySettings.defaults(), 2,
+			"runner-0", "runner-1", "runner-2");
 
-	private final Map<Long, Seen> seen = new HashMap<>();
+	private final Map<Long, ObservedRequest> requests = new HashMap<>();
 
-	private final List<Long> live = new ArrayList<>();
+	private final List<Long> openIds = new ArrayList<>();
 
-	private final List<RequestEvent> past = new ArrayList<>();
+	private final List<RequestEvent> history = new ArrayList<>();
 
-	private final Set<String> broken = new HashSet<>();
+	private final Set<String> violations = new HashSet<>();
 
 	private UniformRandomProvider random;
 
@@ -45,121 +46,122 @@
 
 	@ParameterizedTest
 	@ValueSource(longs = { 1, 2, 3, 4, 5, 6, 7, 8 })
-	void everyPromiseHolds(long seed) {
+	void allGuaranteesHold(long seed) {
 		this.random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
-		for (int each = 0; each < EVENTS; each++) {
+		for (int i = 0; i < EVENTS; i++) {
 			this.fixture.nowNanos += this.random.nextLong(20_000_000);
-			step(event());
+			step(nextEvent());
 		}
 		this.fixture.nowNanos += Duration.ofMinutes(10).toNanos();
 		step(new RequestEvent.Tick());
-		this.seen.forEach((id, one) -> check(one.ended, "request without an end"));
-		assertThat(this.broken, is(Set.of()));
+		this.requests.forEach((id, request) -> check(request.ended, "request without a final answer"));
+		assertThat(this.violations, is(Set.of()));
 		assertThat(this.fixture.machine.violations(), is(Map.of()));
-		assertThat(this.fixture.machine.open(), is(0));
+		assertThat(this.fixture.machine.pendingCount(), is(0));
 	}
 
-	private RequestEvent event() {
-		if (!this.past.isEmpty() && this.random.nextInt(20) == 0) {
-			return again(this.past.get(this.random.nextInt(this.past.size())));
+	private RequestEvent nextEvent() {
+		if (!this.history.isEmpty() && this.random.nextInt(20) == 0) {
+			return repeat(this.history.get(this.random.nextInt(this.history.size())));
 		}
 		return switch (this.random.nextInt(16)) {
-			case 0, 1, 2, 3 -> arrived();
-			case 4, 5, 6, 7, 8, 9 -> ofRequest();
-			case 10 -> remembered(new RequestEvent.RunnerLost(runner()));
-			case 11, 12, 13 -> remembered(new RequestEvent.RunnerSeen(Fixture.view(runner(), this.random.nextInt(8) > 0,
-					"d" + (1 + this.random.nextInt(2)), this.random.nextInt(3), 2)));
-			case 14 -> (this.random.nextInt(10) > 0) ? new RequestEvent.Tick() : head();
+			case 0, 1, 2, 3 -> arrival();
+			case 4, 5, 6, 7, 8, 9 -> requestEvent();
+			case 10 -> recorded(new RequestEvent.RunnerLost(runner()));
+			case 11, 12, 13 -> recorded(new RequestEvent.RunnerSeen(RequestMachineFixture.view(runner(),
+					this.random.nextInt(8) > 0, "d" + (1 + this.random.nextInt(2)), this.random.nextInt(3), 2)));
+			case 14 -> (this.random.nextInt(10) > 0) ? new RequestEvent.Tick() : headUpdate();
 			default ->
-				remembered(new RequestEvent.LeavingSeen((this.random.nextInt(4) > 0) ? Set.of() : Set.of(runner())));
+				recorded(new RequestEvent.LeavingSeen((this.random.nextInt(4) > 0) ? Set.of() : Set.of(runner())));
 		};
 	}
 
 	/**
-	 * An event comes a second time. The I/O layer knows its own calls and reports the end
-	 * of each once, so what comes again for a request in progress is of another call.
+	 * Repeats an earlier event. The I/O layer reports the end of each of its calls once,
+	 * so that a repeated event for a pending request must concern another call.
 	 */
-	private RequestEvent again(RequestEvent event) {
-		if (!this.live.contains(idOf(event))) {
+	private RequestEvent repeat(RequestEvent event) {
+		if (!this.openIds.contains(idOf(event))) {
 			return event;
 		}
 		boolean otherCall = event instanceof RequestEvent.Failed failed
-				&& !failed.runner().equals(this.seen.get(failed.id()).runner);
+				&& !failed.runner().equals(this.requests.get(failed.id()).runner);
 		return (otherCall || event instanceof RequestEvent.Claimed) ? event : new RequestEvent.Tick();
 	}
 
-	private RequestEvent head() {
+	private RequestEvent headUpdate() {
 		this.generation++;
 		Set<String> digests = this.random.nextBoolean() ? Set.of("d1", "d2") : Set.of("d1");
-		return remembered(new RequestEvent.HeadSeen(this.generation, Map.of(Fixture.SERVICE, digests)));
+		return recorded(new RequestEvent.HeadSeen(this.generation, Map.of(RequestMachineFixture.SERVICE, digests)));
 	}
 
-	private RequestEvent arrived() {
+	private RequestEvent arrival() {
 		long id = ++this.ids;
-		this.live.add(id);
+		this.openIds.add(id);
 		boolean idempotent = this.random.nextBoolean();
-		this.seen.put(id, new Seen(idempotent));
+		this.requests.put(id, new ObservedRequest(idempotent));
 		long deadline = this.fixture.nowNanos + this.random.nextLong(3_000_000_000L);
-		return new RequestEvent.Arrived(new Request(id, "org-" + this.random.nextInt(4), Fixture.SERVICE,
+		return new RequestEvent.Arrived(new Request(id, "org-" + this.random.nextInt(4), RequestMachineFixture.SERVICE,
 				Priority.values()[this.random.nextInt(3)], deadline, idempotent, this.random.nextInt(5),
 				1 + this.random.nextInt(12)));
 	}
 
 	/**
-	 * What the I/O layer could say of a request at this time, and sometimes of another.
+	 * Returns an event that the I/O layer may send for a pending request in its current
+	 * stage.
 	 */
-	private RequestEvent ofRequest() {
-		if (this.live.isEmpty()) {
+	private RequestEvent requestEvent() {
+		if (this.openIds.isEmpty()) {
 			return new RequestEvent.Tick();
 		}
-		long id = this.live.get(this.random.nextInt(this.live.size()));
-		Seen one = this.seen.get(id);
+		long id = this.openIds.get(this.random.nextInt(this.openIds.size()));
+		ObservedRequest request = this.requests.get(id);
 		if (this.random.nextInt(30) == 0) {
-			one.ended = true;
-			return remembered(new RequestEvent.CallerGone(id));
+			request.ended = true;
+			return recorded(new RequestEvent.CallerGone(id));
 		}
-		if (one.claiming) {
-			one.claiming = false;
-			one.claimed = this.random.nextInt(5) > 0;
-			one.ended |= !one.claimed;
-			return remembered(one.claimed ? new RequestEvent.Claimed(id) : new RequestEvent.ClaimLost(id));
+		if (request.claiming) {
+			request.claiming = false;
+			request.claimed = this.random.nextInt(5) > 0;
+			request.ended |= !request.claimed;
+			return recorded(request.claimed ? new RequestEvent.Claimed(id) : new RequestEvent.ClaimLost(id));
 		}
-		if (one.runner.isEmpty()) {
+		if (request.runner.isEmpty()) {
 			return new RequestEvent.Tick();
 		}
-		if (!one.started && this.random.nextInt(3) == 0) {
-			one.started = true;
-			return remembered(new RequestEvent.Started(id));
+		if (!request.started && this.random.nextInt(3) == 0) {
+			request.started = true;
+			return recorded(new RequestEvent.Started(id));
 		}
-		return end(id, one);
+		return end(id, request);
 	}
 
-	private RequestEvent end(long id, Seen one) {
-		String runner = one.runner;
-		one.runner = "";
+	private RequestEvent end(long id, ObservedRequest request) {
+		String runner = request.runner;
+		request.runner = "";
 		if (this.random.nextBoolean()) {
-			one.ended = true;
-			return remembered(new RequestEvent.Ended(id));
+			request.ended = true;
+			return recorded(new RequestEvent.Ended(id));
 		}
-		boolean notRun = !one.started && this.random.nextBoolean();
-		one.uncertain -= notRun ? 1 : 0;
+		boolean notRun = !request.started && this.random.nextBoolean();
+		request.possibleRuns -= notRun ? 1 : 0;
 		String code = (notRun && this.random.nextBoolean()) ? "gate-full" : "link-lost";
-		return remembered(new RequestEvent.Failed(id, runner, notRun, code, 0));
+		return recorded(new RequestEvent.Failed(id, runner, notRun, code, 0));
 	}
 
-	private RequestEvent remembered(RequestEvent event) {
-		if (this.past.size() < 500) {
-			this.past.add(event);
+	private RequestEvent recorded(RequestEvent event) {
+		if (this.history.size() < 500) {
+			this.history.add(event);
 		}
 		else {
-			this.past.set(this.random.nextInt(500), event);
+			this.history.set(this.random.nextInt(500), event);
 		}
 		return event;
 	}
 
 	private void step(RequestEvent event) {
-		this.fixture.apply(event).forEach(this::effect);
-		this.live.removeIf((id) -> this.seen.get(id).ended);
+		this.fixture.apply(event).forEach(this::checkEffect);
+		this.openIds.removeIf((id) -> this.requests.get(id).ended);
 	}
 
 	private static long idOf(RequestEvent event) {
@@ -174,35 +176,35 @@
 		};
 	}
 
-	private void effect(RequestEffect effect) {
-		Seen one = this.seen.get(effect.id());
+	private void checkEffect(RequestEffect effect) {
+		ObservedRequest request = this.requests.get(effect.id());
 		boolean cancel = effect instanceof RequestEffect.Cancel;
-		check(!one.ended || cancel, "effect after the end");
+		check(!request.ended || cancel, "effect after the final answer");
 		switch (effect) {
 			case RequestEffect.Claim claim -> {
-				check(!one.claimed && !one.idempotent, "needless claim");
-				one.claiming = true;
+				check(!request.claimed && !request.idempotent, "unnecessary claim");
+				request.claiming = true;
 			}
 			case RequestEffect.Dispatch dispatch -> {
-				check(one.idempotent || one.claimed, "sent without a claim");
-				check(one.idempotent || one.uncertain == 0, "sent twice");
-				check(one.runner.isEmpty() && !one.started, "sent while running");
-				one.runner = dispatch.runner();
-				one.uncertain++;
+				check(request.idempotent || request.claimed, "sent without a claim");
+				check(request.idempotent || request.possibleRuns == 0, "sent twice");
+				check(request.runner.isEmpty() && !request.started, "sent while running");
+				request.runner = dispatch.runner();
+				request.possibleRuns++;
 			}
 			case RequestEffect.Refuse refuse -> {
-				check(one.uncertain == 0, "not run said of what may have run");
-				check(refuse.retryAfterMillis() > 0, "no time to come back");
-				one.ended = true;
+				check(request.possibleRuns == 0, "reported as not run although it may have run");
+				check(refuse.retryAfterMillis() > 0, "no retry interval");
+				request.ended = true;
 			}
-			case RequestEffect.GiveUp gaveUp -> one.ended = true;
-			case RequestEffect.Cancel cancelled -> one.runner = "";
+			case RequestEffect.GiveUp gaveUp -> request.ended = true;
+			case RequestEffect.Cancel cancelled -> request.runner = "";
 		}
 	}
 
-	private void check(boolean condition, String promise) {
+	private void check(boolean condition, String guarantee) {
 		if (!condition) {
-			this.broken.add(promise);
+			this.violations.add(guarantee);
 		}
 	}
 
@@ -211,9 +213,9 @@
 	}
 
 	/**
-	 * What the outside knows of one request.
+	 * State of one request as seen by the I/O layer.
 	 */
-	private static final class Seen {
+	private static final class ObservedRequest {
 
 		private final boolean idempotent;
 
@@ -227,9 +229,9 @@
 
 		private boolean ended;
 
-		private int uncertain;
+		private int possibleRuns;
 
-		private Seen(boolean idempotent) {
+		private ObservedRequest(boolean idempotent) {
 			this.idempotent = idempotent;
 		}
 
--- a/policy/src/test/java/org/wisteriapost/policy/request/Fixture.java
+++ b/policy/src/test/java/org/wisteriapost/policy/request/RequestMachineFixture.java
@@ -6,9 +6,9 @@
 import java.util.Set;
 
 /**
- * A machine with a clock of its own and short ways to say what happens to it.
+ * A {@link RequestMachine} with a simulated clock, and shorthands for its events.
  */
-final class Fixture {
+final class RequestMachineFixture {
 
 	static final String SERVICE = "lm-notice";
 
@@ -18,17 +18,17 @@
 
 	long nowNanos;
 
-	private Fixture(RequestPolicySettings settings) {
+	private RequestMachineFixture(RequestPolicySettings settings) {
 		this.machine = RequestMachine.create(settings, 7);
 		apply(new RequestEvent.HeadSeen(1, Map.of(SERVICE, Set.of(DIGEST))));
 	}
 
-	static Fixture of(String... runners) {
+	static RequestMachineFixture of(String... runners) {
 		return of(RequestPolicySettings.defaults(), 1, runners);
 	}
 
-	static Fixture of(RequestPolicySettings settings, int capacity, String... runners) {
-		Fixture fixture = new Fixture(settings);
+	static RequestMachineFixture of(RequestPolicySettings settings, int capacity, String... runners) {
+		RequestMachineFixture fixture = new RequestMachineFixture(settings);
 		for (String runner : runners) {
 			fixture.apply(new RequestEvent.RunnerSeen(view(runner, capacity)));
 		}
@@ -52,9 +52,10 @@
 		return new Request(id, organisation, SERVICE, priority, deadline, true, 0, cost);
 	}
 
-	Request once(long id) {
-		Request any = request(id);
-		return new Request(id, any.organisation(), SERVICE, any.priority(), any.deadlineNanos(), false, 0, 1);
+	Request nonIdempotentRequest(long id) {
+		Request idempotent = request(id);
+		return new Request(id, idempotent.organisation(), SERVICE, idempotent.priority(), idempotent.deadlineNanos(),
+				false, 0, 1);
 	}
 
 	List<RequestEffect> apply(RequestEvent event) {
@@ -70,7 +71,7 @@
 	}
 
 	/**
-	 * Lets a request end after its time.
+	 * Completes a request after the given time.
 	 */
 	List<RequestEffect> end(long id, long millis) {
 		this.nowNanos += Duration.ofMillis(millis).toNanos();
--- a/policy/src/test/java/org/wisteriapost/policy/request/RequestMachineTests.java
+++ b/policy/src/test/java/org/wisteriapost/policy/request/RequestMachineTests.java
@@ -22,10 +22,10 @@
 
 class RequestMachineTests {
 
-	private Fixture fixture = Fixture.of("runner-0");
+	private RequestMachineFixture fixture = RequestMachineFixture.of("runner-0");
 
 	@AfterEach
-	void noPromiseWasBroken() {
+	void noInvariantIsViolated() {
 		assertThat(this.fixture.machine.violations(), is(Map.of()));
 	}
 
@@ -35,39 +35,40 @@
 	}
 
 	@Test
-	void withoutAnyRunnerTheAnswerIsNotRunAtOnce() {
-		this.fixture = Fixture.of();
+	void withoutRunnerRequestIsRefusedAtOnce() {
+		this.fixture = RequestMachineFixture.of();
 		assertThat(code(this.fixture.arrive(1)), is("no-runner"));
 	}
 
 	@ParameterizedTest
 	@ValueSource(strings = { "switching", "other-weights", "leaving", "lost", "new-head" })
-	void runnerThatMayNotAnswerGetsNothing(String why) {
-		this.fixture.apply(switch (why) {
-			case "switching" -> new RequestEvent.RunnerSeen(Fixture.view("runner-0", false, "d1", 0, 1));
-			case "other-weights" -> new RequestEvent.RunnerSeen(Fixture.view("runner-0", true, "d2", 0, 1));
+	void ineligibleRunnerGetsNoRequests(String reason) {
+		this.fixture.apply(switch (reason) {
+			case "switching" -> new RequestEvent.RunnerSeen(RequestMachineFixture.view("runner-0", false, "d1", 0, 1));
+			case "other-weights" ->
+				new RequestEvent.RunnerSeen(RequestMachineFixture.view("runner-0", true, "d2", 0, 1));
 			case "leaving" -> new RequestEvent.LeavingSeen(Set.of("runner-0"));
 			case "lost" -> new RequestEvent.RunnerLost("runner-0");
-			default -> new RequestEvent.HeadSeen(2, Map.of(Fixture.SERVICE, Set.of("d2")));
+			default -> new RequestEvent.HeadSeen(2, Map.of(RequestMachineFixture.SERVICE, Set.of("d2")));
 		});
 		assertThat(code(this.fixture.arrive(1)), is("no-runner"));
 	}
 
 	@Test
 	void olderHeadDoesNotRevert() {
-		this.fixture.apply(new RequestEvent.HeadSeen(0, Map.of(Fixture.SERVICE, Set.of("d0"))));
+		this.fixture.apply(new RequestEvent.HeadSeen(0, Map.of(RequestMachineFixture.SERVICE, Set.of("d0"))));
 		assertThat(this.fixture.arrive(1), contains(instanceOf(RequestEffect.Dispatch.class)));
 	}
 
 	@Test
-	void waitingRequestGoesOnceASlotIsFree() {
+	void waitingRequestIsDispatchedWhenASlotIsFree() {
 		this.fixture.arrive(1);
 		assertThat(this.fixture.arrive(2), is(empty()));
 		assertThat(this.fixture.end(1, 100), contains(new RequestEffect.Dispatch(2, "runner-0", "d1")));
 	}
 
 	@Test
-	void waitingRequestsAreToldAtOnceWhenTheLastRunnerGoes() {
+	void waitingRequestsAreRefusedWhenTheLastRunnerDisconnects() {
 		this.fixture.arrive(1);
 		this.fixture.arrive(2);
 		assertThat(code(this.fixture.apply(new RequestEvent.RunnerLost("runner-0"))), is("no-runner"));
@@ -85,21 +86,21 @@
 	}
 
 	/**
-	 * The caller of an allocation sees the answer <em>unknown</em> after its runner was
-	 * lost. The runner may have allocated the number before it went; a second run would
-	 * allocate another, and <em>not run</em> would make the caller ask for one.
+	 * Guards against allocating a number twice: the disconnected runner may have
+	 * allocated one, so that the request must neither run again nor be reported as
+	 * <em>not run</em>, which would make the caller retry.
 	 */
 	@Test
-	void nonIdempotentRequestIsNeverSentAgainAfterAnUnknownEnd() {
-		this.fixture = Fixture.of("runner-0", "runner-1");
+	void nonIdempotentRequestIsNotRetriedAfterAnUnknownOutcome() {
+		this.fixture = RequestMachineFixture.of("runner-0", "runner-1");
 		String runner = claimAndSend(1);
 		assertThat(this.fixture.fail(1, runner, false), contains(new RequestEffect.GiveUp(1, "answer-cut")));
 		assertThat(this.fixture.tickAfter(1000), is(empty()));
 	}
 
 	@Test
-	void nonIdempotentRequestThatCertainlyDidNotRunGoesElsewhereWithoutASecondClaim() {
-		this.fixture = Fixture.of("runner-0", "runner-1");
+	void nonIdempotentRequestThatDidNotRunIsRetriedWithoutASecondClaim() {
+		this.fixture = RequestMachineFixture.of("runner-0", "runner-1");
 		String runner = claimAndSend(1);
 		assertThat(this.fixture.fail(1, runner, true), is(empty()));
 		List<RequestEffect> effects = this.fixture.tickAfter(100);
@@ -108,40 +109,40 @@
 	}
 
 	@Test
-	void claimIsAskedForOnlyOnceARunnerIsAtHand() {
+	void claimIsMadeOnlyAfterARunnerIsReserved() {
 		this.fixture.arrive(1);
-		assertThat(this.fixture.arrive(this.fixture.once(2)), is(empty()));
+		assertThat(this.fixture.arrive(this.fixture.nonIdempotentRequest(2)), is(empty()));
 		assertThat(this.fixture.end(1, 100), contains(new RequestEffect.Claim(2)));
 	}
 
 	@Test
-	void claimThatIsLostFreesItsSlot() {
-		this.fixture.arrive(this.fixture.once(1));
+	void failedClaimFreesItsSlot() {
+		this.fixture.arrive(this.fixture.nonIdempotentRequest(1));
 		this.fixture.arrive(2);
 		assertThat(this.fixture.apply(new RequestEvent.ClaimLost(1)),
 				contains(new RequestEffect.Dispatch(2, "runner-0", "d1")));
 	}
 
 	@Test
-	void runnerThatGoesDuringTheClaimIsReplaced() {
-		this.fixture.arrive(this.fixture.once(1));
-		this.fixture.apply(new RequestEvent.RunnerSeen(Fixture.view("runner-1", 1)));
+	void runnerThatLeavesDuringTheClaimIsReplaced() {
+		this.fixture.arrive(this.fixture.nonIdempotentRequest(1));
+		this.fixture.apply(new RequestEvent.RunnerSeen(RequestMachineFixture.view("runner-1", 1)));
 		this.fixture.apply(new RequestEvent.LeavingSeen(Set.of("runner-0")));
 		assertThat(this.fixture.apply(new RequestEvent.Claimed(1)),
 				contains(new RequestEffect.Dispatch(1, "runner-1", "d1")));
 	}
 
 	@Test
-	void claimThatComesAfterTheDeadlineSendsNothing() {
-		this.fixture.arrive(this.fixture.once(1));
+	void claimConfirmedAfterTheDeadlineIsIgnored() {
+		this.fixture.arrive(this.fixture.nonIdempotentRequest(1));
 		assertThat(code(this.fixture.tickAfter(10_000)), is("deadline-unreachable"));
 		assertThat(this.fixture.apply(new RequestEvent.Claimed(1)), is(empty()));
 	}
 
 	@ParameterizedTest
 	@CsvSource({ "false, true", "true, false" })
-	void idempotentRequestIsRepeatedUntilItsAnswerHasBegun(boolean started, boolean repeated) {
-		this.fixture = Fixture.of("runner-0", "runner-1");
+	void idempotentRequestIsRetriedUnlessItsAnswerHasStarted(boolean started, boolean repeated) {
+		this.fixture = RequestMachineFixture.of("runner-0", "runner-1");
 		String runner = runner(this.fixture.arrive(1));
 		if (started) {
 			this.fixture.apply(new RequestEvent.Started(1));
@@ -152,8 +153,8 @@
 	}
 
 	@Test
-	void afterAnUnknownEndTheAnswerIsNeverNotRun() {
-		this.fixture = Fixture.of("runner-0", "runner-1");
+	void requestThatMayHaveRunIsNeverRefusedAsNotRun() {
+		this.fixture = RequestMachineFixture.of("runner-0", "runner-1");
 		String runner = runner(this.fixture.arrive(1));
 		this.fixture.fail(1, runner, false);
 		String other = runner(this.fixture.tickAfter(100));
@@ -163,8 +164,9 @@
 	}
 
 	@Test
-	void retriesEndWithTheBudgetAndTheAnswerComesAtOnce() {
-		this.fixture = Fixture.of(RequestPolicySettings.defaults(), 100, "runner-0", "runner-1", "runner-2");
+	void requestIsAnsweredAtOnceWhenTheRetryBudgetIsSpent() {
+		this.fixture = RequestMachineFixture.of(RequestPolicySettings.defaults(), 100, "runner-0", "runner-1",
+				"runner-2");
 		int retried = 0;
 		int answered = 0;
 		for (int id = 1; id <= 60; id++) {
@@ -181,7 +183,7 @@
 
 	@Test
 	void noRetryThatWouldEndAfterTheDeadline() {
-		this.fixture = Fixture.of("runner-0", "runner-1");
+		this.fixture = RequestMachineFixture.of("runner-0", "runner-1");
 		this.fixture.arrive(1);
 		this.fixture.end(1, 6000);
 		String runner = runner(this.fixture.arrive(2));
@@ -190,7 +192,7 @@
 	}
 
 	@Test
-	void callerThatGoesAwayCancelsTheWorkAndFreesTheSlot() {
+	void callerDisconnectCancelsTheWorkAndFreesTheSlot() {
 		this.fixture.arrive(1);
 		this.fixture.arrive(2);
 		assertThat(this.fixture.apply(new RequestEvent.CallerGone(1)),
@@ -198,7 +200,7 @@
 	}
 
 	@Test
-	void drainingEntryRefusesNewWorkAndEndsWhatItHas() {
+	void drainingEntryRefusesNewRequestsAndCompletesOthers() {
 		this.fixture.arrive(1);
 		this.fixture.arrive(2);
 		this.fixture.apply(new RequestEvent.Drain());
@@ -207,10 +209,10 @@
 	}
 
 	@Test
-	void fullGateKeepsTheRequestWaitingAndIsAskedAgainLater() {
+	void requestRefusedByFullGateWaitsAndIsRetried() {
 		this.fixture.arrive(1);
 		RequestEvent full = new RequestEvent.Failed(1, "runner-0", true, "gate-full", 20);
-		for (int each = 0; each < 6; each++) {
+		for (int i = 0; i < 6; i++) {
 			assertThat(this.fixture.apply(full), is(empty()));
 			assertThat(this.fixture.tickAfter(40), contains(instanceOf(RequestEffect.Dispatch.class)));
 		}
@@ -218,41 +220,41 @@
 
 	@ParameterizedTest
 	@CsvSource({ "gate-deadline, true", "gate-not-admitting, true", "link-lost, false" })
-	void gateThatRefusesIsNoReasonToEjectItsRunner(String code, boolean stays) {
-		this.fixture = Fixture.of("runner-0", "runner-1", "runner-2", "runner-3");
-		for (int each = 0; each < 12; each++) {
-			String runner = runner(this.fixture.arrive(each));
-			this.fixture.apply(new RequestEvent.Failed(each, runner, true, code, 0));
-			this.fixture.apply(new RequestEvent.CallerGone(each));
+	void routineGateRefusalDoesNotEjectTheRunner(String code, boolean stays) {
+		this.fixture = RequestMachineFixture.of("runner-0", "runner-1", "runner-2", "runner-3");
+		for (int i = 0; i < 12; i++) {
+			String runner = runner(this.fixture.arrive(i));
+			this.fixture.apply(new RequestEvent.Failed(i, runner, true, code, 0));
+			this.fixture.apply(new RequestEvent.CallerGone(i));
 			this.fixture.tickAfter(100);
 		}
 		int sent = 0;
-		for (int each = 20; each < 24; each++) {
-			sent += this.fixture.arrive(each).size();
+		for (int i = 20; i < 24; i++) {
+			sent += this.fixture.arrive(i).size();
 		}
 		assertThat(sent, is(stays ? 4 : 3));
 	}
 
 	@Test
-	void lateAndDoubledEventsChangeNothing() {
-		this.fixture = Fixture.of("runner-0", "runner-1");
+	void lateAndDuplicateEventsAreIgnored() {
+		this.fixture = RequestMachineFixture.of("runner-0", "runner-1");
 		this.fixture.arrive(1);
 		this.fixture.end(1, 100);
 		assertThat(this.fixture.end(1, 0), is(empty()));
 		assertThat(this.fixture.fail(1, "runner-0", true), is(empty()));
 		assertThat(this.fixture.apply(new RequestEvent.Claimed(1)), is(empty()));
-		assertThat(this.fixture.machine.open(), is(0));
+		assertThat(this.fixture.machine.pendingCount(), is(0));
 	}
 
 	@Test
-	void retryAfterIsNeverABusyLoop() {
-		this.fixture = Fixture.of();
+	void retryAfterHasALowerBound() {
+		this.fixture = RequestMachineFixture.of();
 		RequestEffect.Refuse refuse = (RequestEffect.Refuse) this.fixture.arrive(1).getFirst();
 		assertThat(refuse.retryAfterMillis(), greaterThanOrEqualTo(100L));
 	}
 
 	private String claimAndSend(long id) {
-		assertThat(this.fixture.arrive(this.fixture.once(id)), contains(new RequestEffect.Claim(id)));
+		assertThat(this.fixture.arrive(this.fixture.nonIdempotentRequest(id)), contains(new RequestEffect.Claim(id)));
 		return runner(this.fixture.apply(new RequestEvent.Claimed(id)));
 	}
 
--- a/policy/src/test/java/org/wisteriapost/policy/request/PlacementTests.java
+++ b/policy/src/test/java/org/wisteriapost/policy/request/RunnerSelectorTests.java
@@ -12,25 +12,25 @@
 import static org.hamcrest.Matchers.is;
 import static org.hamcrest.Matchers.lessThan;
 
-class PlacementTests {
+class RunnerSelectorTests {
 
 	private static final int DRAWS = 1000;
 
 	private final RunnerPool pool = new RunnerPool();
 
-	private final RequestPolicySettings plain = RequestPolicySettings.defaults();
+	private final RequestPolicySettings defaults = RequestPolicySettings.defaults();
 
 	@ParameterizedTest
 	@CsvSource({ "true, d1, 4, here, true", "true, d2, 4, here, false", "false, d1, 4, here, false",
 			"true, d1, 0, here, false", "true, d1, 4, leaving, false", "true, '', 4, here, false" })
-	void onlyRunnersWithAcceptedWeightsThatAdmitAndStayAreEligible(boolean admitting, String digest, int capacity,
-			String name, boolean eligible) {
-		RunnerView view = Fixture.view(name, admitting, digest, 0, capacity);
-		assertThat(Placement.eligible(view, Set.of("d1"), Set.of("leaving")), is(eligible));
+	void onlyAdmittingRunnersWithAcceptedWeightsAreEligible(boolean admitting, String digest, int capacity, String name,
+			boolean eligible) {
+		RunnerView view = RequestMachineFixture.view(name, admitting, digest, 0, capacity);
+		assertThat(RunnerSelector.eligible(view, Set.of("d1"), Set.of("leaving")), is(eligible));
 	}
 
 	@Test
-	void fullerRunnerGetsLess() {
+	void busierRunnerGetsFewerRequests() {
 		RunnerState idle = add("idle", "a", 0);
 		RunnerState busy = add("busy", "a", 6);
 		add("other", "a", 6);
@@ -39,19 +39,19 @@
 	}
 
 	@Test
-	void slowerRunnerGetsLessAtTheSameLoad() {
+	void slowerRunnerGetsFewerRequestsAtTheSameLoad() {
 		RunnerState slow = add("slow", "a", 2);
 		add("well", "a", 2);
-		this.pool.rate.sample(0.1);
+		this.pool.serviceTime.addSample(0.1);
 		slow.secondsPerCost = 0.25;
 		assertThat(share(slow, 0), lessThan(0.3));
 	}
 
 	@Test
-	void cachedPrefixIsPreferredWhileItsRunnerIsNotMuchFuller() {
+	void cachedPrefixIsPreferredWhileItsRunnerIsNotMuchBusier() {
 		RunnerState cached = add("cached", "a", 1);
 		add("other", "a", 0);
-		this.pool.notePrefix(99, cached);
+		this.pool.recordPrefix(99, cached);
 		assertThat(share(cached, 99), is(1.0));
 		assertThat(share(cached, 98), lessThan(0.5));
 	}
@@ -60,12 +60,12 @@
 	void cachedPrefixDoesNotOverfillItsRunner() {
 		RunnerState cached = add("cached", "a", 7);
 		add("other", "a", 0);
-		this.pool.notePrefix(99, cached);
+		this.pool.recordPrefix(99, cached);
 		assertThat(share(cached, 99), lessThan(0.3));
 	}
 
 	@Test
-	void samePlaceIsPreferredAtTheSameLoadOnly() {
+	void sameFailureDomainIsPreferredAtTheSameLoadOnly() {
 		RunnerState near = add("near", "here", 0);
 		add("far", "there", 0);
 		assertThat(share(near, 0), greaterThan(0.7));
@@ -77,19 +77,20 @@
 	void retryGoesElsewhereFirst() {
 		add("first", "a", 0);
 		RunnerState second = add("second", "a", 7);
-		Flight flight = new Flight(new Request(1, "o", "s", Priority.NORMAL, 0, true, 0, 1));
-		flight.lastRunner = "first";
-		flight.dispatches = 1;
-		Placement placement = new Placement(this.plain, RandomSource.SPLIT_MIX_64.create(1));
+		PendingRequest pending = new PendingRequest(new Request(1, "o", "s", Priority.NORMAL, 0, true, 0, 1));
+		pending.lastRunner = "first";
+		pending.dispatches = 1;
+		RunnerSelector placement = new RunnerSelector(this.defaults, RandomSource.SPLIT_MIX_64.create(1));
 		int elsewhere = 0;
-		for (int each = 0; each < DRAWS; each++) {
-			elsewhere += (placement.choose(this.pool, flight).orElseThrow() == second) ? 1 : 0;
+		for (int i = 0; i < DRAWS; i++) {
+			elsewhere += (placement.select(this.pool, pending).orElseThrow() == second) ? 1 : 0;
 		}
 		assertThat(elsewhere, is(DRAWS));
 	}
 
-	private RunnerState add(String name, String place, int inFlight) {
-		RunnerState runner = new RunnerState(new RunnerView(name, place, "s", true, "d1", 1, 0, 0, 8, Set.of()));
+	private RunnerState add(String name, String failureDomain, int inFlight) {
+		RunnerState runner = new RunnerState(
+				new RunnerView(name, failureDomain, "s", true, "d1", 1, 0, 0, 8, Set.of()));
 		runner.inFlight = inFlight;
 		this.pool.setEligible(runner, true);
 		this.pool.setFree(runner, true);
@@ -97,13 +98,13 @@
 	}
 
 	private double share(RunnerState runner, long prefix) {
-		RequestPolicySettings here = new RequestPolicySettings("here", this.plain.weights(), 1, 1, 1, 8, 1, 0.1,
-				this.plain.slowStart(), this.plain.ejection(), 0.3);
-		Placement placement = new Placement(here, RandomSource.SPLIT_MIX_64.create(1));
-		Flight flight = new Flight(new Request(1, "o", "s", Priority.NORMAL, 0, true, prefix, 1));
+		RequestPolicySettings here = new RequestPolicySettings("here", this.defaults.weights(), 1, 1, 1, 8, 1, 0.1,
+				this.defaults.slowStartDuration(), this.defaults.baseEjectionTime(), 0.3);
+		RunnerSelector placement = new RunnerSelector(here, RandomSource.SPLIT_MIX_64.create(1));
+		PendingRequest pending = new PendingRequest(new Request(1, "o", "s", Priority.NORMAL, 0, true, prefix, 1));
 		int chosen = 0;
-		for (int each = 0; each < DRAWS; each++) {
-			chosen += (placement.choose(this.pool, flight).orElseThrow() == runner) ? 1 : 0;
+		for (int i = 0; i < DRAWS; i++) {
+			chosen += (placement.select(this.pool, pending).orElseThrow() == runner) ? 1 : 0;
 		}
 		return (double) chosen / DRAWS;
 	}
