--- a/policy/src/main/java/org/wisteriapost/policy/claim/ClaimEffect.java
+++ b/policy/src/main/java/org/wisteriapost/policy/claim/ClaimEffect.java
@@ -1,33 +1,34 @@
 package org.wisteriapost.policy.claim;
 
 /**
- * What the I/O layer must do for claims.
+ * Actions that {@link ClaimTable} requests from the I/O layer.
  */
 public sealed interface ClaimEffect {
 
 	/**
-	 * Read an object; answered by {@link ClaimTable#read} or {@link ClaimTable#failed}.
+	 * Reads an object; answered by {@link ClaimTable#read} or {@link ClaimTable#failed}.
 	 *
-	 * @param object the platform's key
+	 * @param object the object's key in the platform
 	 */
 	record Read(String object) implements ClaimEffect {
 	}
 
 	/**
-	 * Write an object under a condition; answered by {@link ClaimTable#written},
-	 * {@link ClaimTable#read} with what is there instead, or {@link ClaimTable#failed}.
+	 * Writes an object if its version is unchanged; answered by
+	 * {@link ClaimTable#written}, by {@link ClaimTable#read} with the current value on a
+	 * conflict, or by {@link ClaimTable#failed}.
 	 *
-	 * @param object the platform's key
+	 * @param object the object's key in the platform
 	 * @param value the new value
-	 * @param version the version it replaces, 0 when there is none
+	 * @param version the version that is replaced, 0 if there is none
 	 */
 	record Write(String object, byte[] value, long version) implements ClaimEffect {
 	}
 
 	/**
-	 * Tell a call what became of its claim.
+	 * Completes the claim of a call.
 	 *
-	 * @param verdict what
+	 * @param verdict the outcome
 	 */
 	record Tell(ClaimVerdict verdict) implements ClaimEffect {
 	}
--- a/policy/src/main/java/org/wisteriapost/policy/claim/ClaimPage.java
+++ b/policy/src/main/java/org/wisteriapost/policy/claim/ClaimPage.java
@@ -11,17 +11,17 @@
 import org.wisteriapost.kernel.CodedException;
 
 /**
- * The value of one claim object: all keys of one slot of time and one shard. A page of a
- * later slot takes the object over, so that the objects do not grow in number; from then
- * on the earlier slot's keys are refused, never taken for new.
+ * The value of one claim object: the records of all keys of one time slot and shard.
+ * Later slots reuse the object, which bounds the number of objects; keys of the earlier
+ * slot are then rejected as expired and never taken for new.
  *
- * @param slot counts slots of time since 1970
- * @param records one for each key
+ * @param slot index of the time slot since 1970
+ * @param records one per key
  */
 record ClaimPage(long slot, List<ClaimRecord> records) {
 
-	/** Nothing was ever claimed here. */
-	static final ClaimPage NONE = new ClaimPage(-1, List.of());
+	/** The state before the first claim. */
+	static final ClaimPage EMPTY = new ClaimPage(-1, List.of());
 
 	private static final Code CLAIMS_UNREADABLE = Code.error("claims-unreadable",
 			"A claim object in the platform is not what was written there.");
@@ -32,9 +32,6 @@
 		records = List.copyOf(records);
 	}
 
-	/**
-	 * Returns the page in a value.
-	 */
 	static ClaimPage decode(byte[] value) {
 		try {
 			return MAPPER.readValue(value, ClaimPage.class);
@@ -58,10 +55,10 @@
 	}
 
 	ClaimPage with(ClaimRecord record) {
-		List<ClaimRecord> more = new ArrayList<>(this.records);
-		more.removeIf((one) -> one.key().equals(record.key()));
-		more.add(record);
-		return new ClaimPage(this.slot, more);
+		List<ClaimRecord> updated = new ArrayList<>(this.records);
+		updated.removeIf((existing) -> existing.key().equals(record.key()));
+		updated.add(record);
+		return new ClaimPage(this.slot, updated);
 	}
 
 	ClaimPage without(String key) {
--- a/policy/src/main/java/org/wisteriapost/policy/claim/ClaimRecord.java
+++ b/policy/src/main/java/org/wisteriapost/policy/claim/ClaimRecord.java
@@ -3,56 +3,56 @@
 import java.util.List;
 
 /**
- * What is kept of one key. Who wrote it, the nonce says: only the writer of a claim may
+ * The stored record of one key. Only the writer of a claim, identified by its nonce, may
  * settle or release it.
  *
  * @param key hash of organisation and key
  * @param call hash of the call that the key was first used for
- * @param nonce the writer's, new for each claim
- * @param state what is known of the run
- * @param answer the whole first answer, when {@link State#ANSWERED}
+ * @param nonce identifies the writer, unique per claim
+ * @param state what is known about the execution of the call
+ * @param answer the complete first answer if the state is {@link State#ANSWERED}
  */
 public record ClaimRecord(String key, String call, String nonce, State state, KeptAnswer answer) {
 
 	/**
-	 * Returns a claim of a call that has not been sent.
+	 * Returns the record of a call that has not been sent.
 	 */
 	static ClaimRecord claimed(String key, String call, String nonce) {
 		return new ClaimRecord(key, call, nonce, State.CLAIMED, KeptAnswer.NONE);
 	}
 
 	/**
-	 * Returns this claim with what became of it.
+	 * Returns this record with the outcome of the call.
 	 */
-	ClaimRecord settled(State next, KeptAnswer kept) {
-		return new ClaimRecord(this.key, this.call, this.nonce, next, kept);
+	ClaimRecord withOutcome(State outcome, KeptAnswer storedAnswer) {
+		return new ClaimRecord(this.key, this.call, this.nonce, outcome, storedAnswer);
 	}
 
 	/**
-	 * Returns whether this is the claim of one writer.
+	 * Returns whether this record is the claim of the given key by the given writer.
 	 */
-	boolean isOf(String key, String nonce) {
+	boolean isOwnedBy(String key, String nonce) {
 		return this.key.equals(key) && this.nonce.equals(nonce);
 	}
 
 	/**
-	 * What is known of a claimed call.
+	 * What is known about the execution of a claimed call.
 	 */
 	public enum State {
 
-		/** It may be about to run, run, or have run with its writer dead. */
+		/** The call may run, be running, or have run while its writer failed. */
 		CLAIMED,
-		/** It ran; the answer is kept. */
+		/** The call ran; its answer is stored. */
 		ANSWERED,
-		/** It ran; the answer was too large to keep. */
+		/** The call ran; its answer was too large to store. */
 		RAN,
-		/** Its answer was cut; it may have run. */
+		/** The answer was incomplete, so that the call may have run. */
 		UNKNOWN
 
 	}
 
 	/**
-	 * A whole answer.
+	 * A complete answer.
 	 *
 	 * @param status the HTTP status
 	 * @param headers names and values, alternating
@@ -60,7 +60,7 @@
 	 */
 	public record KeptAnswer(int status, List<String> headers, byte[] body) {
 
-		/** No answer is kept. */
+		/** The absence of a stored answer. */
 		public static final KeptAnswer NONE = new KeptAnswer(0, List.of(), new byte[0]);
 
 		public KeptAnswer {
@@ -68,9 +68,9 @@
 		}
 
 		/**
-		 * Returns the size in bytes that it takes in a page, roughly.
+		 * Returns the approximate encoded size in a page.
 		 */
-		int size() {
+		int encodedBytes() {
 			return this.body.length * 4 / 3 + this.headers.stream().mapToInt((text) -> text.length() + 3).sum();
 		}
 
--- a/policy/src/main/java/org/wisteriapost/policy/claim/ClaimShard.java
+++ b/policy/src/main/java/org/wisteriapost/policy/claim/ClaimShard.java
@@ -9,39 +9,41 @@
 import org.wisteriapost.policy.claim.ClaimRecord.State;
 
 /**
- * One claim object as this entry knows it, with the wishes that wait for it. At most one
- * read or write is under way; what is wished meanwhile goes together into the next write.
+ * Local state of one claim object and the operations that wait for it. At most one read
+ * or write is in progress; operations that arrive meanwhile are batched into the next
+ * write.
  *
- * A write whose confirmation is lost is resolved by reading back: the wishes stay at the
- * front, and a claim that finds its own nonce in the page has been claimed.
+ * A write whose confirmation is lost is resolved by reading the page again: its
+ * operations are requeued at the front, and a claim whose nonce is found in the page has
+ * succeeded.
  */
 final class ClaimShard {
 
-	// Below the platform's megabyte with room for one more batch.
+	// Below the platform's limit of one megabyte, with space for one more batch.
 	private static final int MAX_PAGE_BYTES = 900_000;
 
-	// A page that is nearly full still takes claims but keeps no more answers: claims
-	// protect from running twice, answers only spare the caller an "unknown".
-	private static final int ROOM_FOR_ANSWERS_BYTES = 600_000;
+	// Above this size a page still takes claims but stores no answers: claims prevent a
+	// second execution, whereas a missing answer only makes a repeat return "unknown".
+	private static final int MAX_PAGE_BYTES_WITH_ANSWERS = 600_000;
 
-	private static final int RECORD_BYTES = 220;
+	private static final int RECORD_OVERHEAD_BYTES = 220;
 
-	// Bounds the work of one event.
-	private static final int MAX_BATCH = 256;
+	// Bounds the work per event.
+	private static final int MAX_BATCH_OPERATIONS = 256;
 
 	private final String object;
 
-	private final LinkedList<ClaimWish> waiting = new LinkedList<>();
+	private final LinkedList<ClaimOperation> waiting = new LinkedList<>();
 
-	private Optional<Known> known = Optional.empty();
+	private Optional<CachedPage> cached = Optional.empty();
 
-	private Optional<Pending> pending = Optional.empty();
+	private Optional<PendingWrite> pendingWrite = Optional.empty();
 
-	private boolean reading;
+	private boolean readInProgress;
 
 	private long waitingSinceNanos;
 
-	private long knownNanos;
+	private long cachedNanos;
 
 	ClaimShard(String object) {
 		this.object = object;
@@ -51,22 +53,22 @@
 		return this.object;
 	}
 
-	void wish(ClaimWish wish, long nowNanos) {
+	void enqueue(ClaimOperation operation, long nowNanos) {
 		if (this.waiting.isEmpty()) {
 			this.waitingSinceNanos = nowNanos;
 		}
-		this.waiting.add(wish);
+		this.waiting.add(operation);
 	}
 
 	/**
-	 * Returns whether nothing is under way.
+	 * Returns whether no read or write is in progress.
 	 */
-	boolean rests() {
-		return !this.reading && this.pending.isEmpty();
+	boolean isIdle() {
+		return !this.readInProgress && this.pendingWrite.isEmpty();
 	}
 
 	/**
-	 * Returns when the first of what waits came.
+	 * Returns when the oldest waiting operation arrived.
 	 */
 	long waitingSinceNanos() {
 		return this.waitingSinceNanos;
@@ -77,206 +79,209 @@
 	}
 
 	/**
-	 * Returns whether a caller waits for this shard; what else waits can wait longer.
+	 * Returns whether a caller waits for this shard. Settlements and releases are less
+	 * urgent.
 	 */
-	boolean urgent() {
-		return this.waiting.stream().anyMatch((wish) -> wish instanceof ClaimWish.Claim);
+	boolean hasWaitingClaim() {
+		return this.waiting.stream().anyMatch((operation) -> operation instanceof ClaimOperation.Claim);
 	}
 
-	/**
-	 * Returns whether a read is under way.
-	 */
-	boolean reads() {
-		return this.reading;
+	boolean isReading() {
+		return this.readInProgress;
 	}
 
 	/**
-	 * Returns whether the page was last seen at a time or after it.
+	 * Returns whether the page was read or written at the given time or later.
 	 */
-	boolean knownSince(long nanos) {
-		return this.known.isPresent() && this.knownNanos - nanos >= 0;
+	boolean isCachedSince(long nanos) {
+		return this.cached.isPresent() && this.cachedNanos - nanos >= 0;
 	}
 
 	/**
-	 * Forgets the page when it was last seen before a time, so that it is read again.
+	 * Drops a page that was last read or written before the given time, so that it is
+	 * read again.
 	 */
-	void forgetBefore(long nanos) {
-		if (rests() && this.knownNanos - nanos < 0) {
-			this.known = Optional.empty();
+	void evictBefore(long nanos) {
+		if (isIdle() && this.cachedNanos - nanos < 0) {
+			this.cached = Optional.empty();
 		}
 	}
 
 	/**
-	 * Takes the next step for what waits.
+	 * Starts the next read or write if operations wait and none is in progress.
 	 */
-	void step(List<ClaimEffect> effects) {
-		if (!rests() || this.waiting.isEmpty()) {
+	void startNext(List<ClaimEffect> effects) {
+		if (!isIdle() || this.waiting.isEmpty()) {
 			return;
 		}
-		if (this.known.isEmpty()) {
-			this.reading = true;
+		if (this.cached.isEmpty()) {
+			this.readInProgress = true;
 			effects.add(new ClaimEffect.Read(this.object));
 			return;
 		}
-		write(this.known.get(), effects);
+		write(this.cached.get(), effects);
 	}
 
 	/**
-	 * Takes the object as it is in the platform: what was read, or what a write found
-	 * instead of what it expected.
+	 * Handles the object's current value, from a read or from a write conflict.
 	 */
-	void read(ClaimPage page, long version, long nowNanos) {
-		this.reading = false;
-		this.knownNanos = nowNanos;
-		this.known = Optional.of(new Known(page, version));
-		back();
+	void onRead(ClaimPage page, long version, long nowNanos) {
+		this.readInProgress = false;
+		this.cachedNanos = nowNanos;
+		this.cached = Optional.of(new CachedPage(page, version));
+		requeueBatch();
 	}
 
 	/**
-	 * Takes the confirmation of a write.
+	 * Handles the confirmation of a write.
 	 */
-	void written(long version, long nowNanos, List<ClaimEffect> effects) {
-		if (this.pending.isEmpty()) {
+	void onWritten(long version, long nowNanos, List<ClaimEffect> effects) {
+		if (this.pendingWrite.isEmpty()) {
 			return;
 		}
-		Pending done = this.pending.get();
-		this.pending = Optional.empty();
-		this.known = Optional.of(new Known(done.page, version));
-		this.knownNanos = nowNanos;
-		for (ClaimWish wish : done.batch) {
-			if (wish instanceof ClaimWish.Claim claim) {
-				tell(new ClaimVerdict.Claimed(claim.id()), effects);
+		PendingWrite completed = this.pendingWrite.get();
+		this.pendingWrite = Optional.empty();
+		this.cached = Optional.of(new CachedPage(completed.page, version));
+		this.cachedNanos = nowNanos;
+		for (ClaimOperation operation : completed.batch) {
+			if (operation instanceof ClaimOperation.Claim claim) {
+				complete(new ClaimVerdict.Claimed(claim.id()), effects);
 			}
 		}
 	}
 
 	/**
-	 * Takes the failure of a read or write. Claims are refused: they were not sent, so
-	 * that it is certain that they did not run. One whose write may yet take effect is
-	 * taken back as soon as the platform answers again. The other wishes wait for that as
-	 * well.
+	 * Handles the failure of a read or write. Waiting claims are refused; their calls
+	 * were not sent and certainly did not run. A claim whose write may have taken effect
+	 * is released once the platform is available again. Settlements and releases keep
+	 * waiting.
 	 * @param unconfirmed whether a write may have taken effect
 	 */
-	void failed(boolean unconfirmed, List<ClaimEffect> effects) {
-		boolean wrote = this.pending.isPresent();
-		this.reading = false;
-		this.known = Optional.empty();
-		back();
-		if (wrote && unconfirmed) {
-			this.waiting.replaceAll((wish) -> (wish instanceof ClaimWish.Claim claim) ? claim.afterLostAnswer() : wish);
+	void onFailure(boolean unconfirmed, List<ClaimEffect> effects) {
+		boolean writePending = this.pendingWrite.isPresent();
+		this.readInProgress = false;
+		this.cached = Optional.empty();
+		requeueBatch();
+		if (writePending && unconfirmed) {
+			this.waiting.replaceAll((operation) -> (operation instanceof ClaimOperation.Claim claim)
+					? claim.withUnconfirmedWrite() : operation);
 			return;
 		}
-		List<ClaimWish> kept = new ArrayList<>();
-		for (ClaimWish wish : this.waiting) {
-			if (wish instanceof ClaimWish.Claim claim) {
-				tell(new ClaimVerdict.Failed(claim.id(), false), effects);
-				// Only these: an outage of an hour must not gather a wish for each call
-				// that it turned away.
+		List<ClaimOperation> remaining = new ArrayList<>();
+		for (ClaimOperation operation : this.waiting) {
+			if (operation instanceof ClaimOperation.Claim claim) {
+				complete(new ClaimVerdict.Failed(claim.id(), false), effects);
+				// Only for unconfirmed writes: a long outage must not accumulate a
+				// release for every refused call.
 				if (claim.unconfirmed()) {
-					kept.add(new ClaimWish.Release(claim.key(), claim.nonce()));
+					remaining.add(new ClaimOperation.Release(claim.key(), claim.nonce()));
 				}
 			}
 			else {
-				kept.add(wish);
+				remaining.add(operation);
 			}
 		}
 		this.waiting.clear();
-		this.waiting.addAll(kept);
+		this.waiting.addAll(remaining);
 	}
 
-	private void back() {
-		this.pending.ifPresent((failed) -> failed.batch.reversed().forEach(this.waiting::addFirst));
-		this.pending = Optional.empty();
+	private void requeueBatch() {
+		this.pendingWrite.ifPresent((failed) -> failed.batch.reversed().forEach(this.waiting::addFirst));
+		this.pendingWrite = Optional.empty();
 	}
 
-	private void write(Known from, List<ClaimEffect> effects) {
-		List<ClaimWish> batch = new ArrayList<>();
+	private void write(CachedPage from, List<ClaimEffect> effects) {
+		List<ClaimOperation> batch = new ArrayList<>();
 		ClaimPage page = from.page;
 		int bytes = size(page);
-		while (!this.waiting.isEmpty() && batch.size() < MAX_BATCH) {
-			ClaimWish wish = this.waiting.pollFirst();
-			Optional<ClaimPage> next = switch (wish) {
-				case ClaimWish.Claim claim -> claim(claim, page, bytes, effects);
-				case ClaimWish.Settle settle -> settle(settle, page, bytes);
-				case ClaimWish.Release release ->
-					own(page, release.key(), release.nonce()).map((record) -> record.key()).map(page::without);
+		while (!this.waiting.isEmpty() && batch.size() < MAX_BATCH_OPERATIONS) {
+			ClaimOperation operation = this.waiting.pollFirst();
+			Optional<ClaimPage> next = switch (operation) {
+				case ClaimOperation.Claim claim -> claim(claim, page, bytes, effects);
+				case ClaimOperation.Settle settle -> settle(settle, page, bytes);
+				case ClaimOperation.Release release ->
+					findOwned(page, release.key(), release.nonce()).map((record) -> record.key()).map(page::without);
 			};
-			if (this.known.isEmpty()) {
-				// A claim asked for the page to be read again; what came before it is
-				// written after that.
+			if (this.cached.isEmpty()) {
+				// A claim requires the page to be read again; the operations before it
+				// are requeued.
 				batch.reversed().forEach(this.waiting::addFirst);
-				step(effects);
+				startNext(effects);
 				return;
 			}
 			if (next.isPresent()) {
 				page = next.get();
 				bytes = size(page);
-				batch.add(wish);
+				batch.add(operation);
 			}
 		}
 		if (!batch.isEmpty()) {
-			this.pending = Optional.of(new Pending(page, batch));
+			this.pendingWrite = Optional.of(new PendingWrite(page, batch));
 			effects.add(new ClaimEffect.Write(this.object, page.encode(), from.version));
 		}
 	}
 
-	private Optional<ClaimPage> claim(ClaimWish.Claim claim, ClaimPage page, int bytes, List<ClaimEffect> effects) {
+	private Optional<ClaimPage> claim(ClaimOperation.Claim claim, ClaimPage page, int bytes,
+			List<ClaimEffect> effects) {
 		if (claim.key().slot() < page.slot()) {
-			tell(new ClaimVerdict.Expired(claim.id()), effects);
+			complete(new ClaimVerdict.Expired(claim.id()), effects);
 			return Optional.empty();
 		}
-		ClaimPage from = (claim.key().slot() > page.slot()) ? new ClaimPage(claim.key().slot(), List.of()) : page;
-		Optional<ClaimRecord> first = from.find(claim.key().hash());
+		ClaimPage current = (claim.key().slot() > page.slot()) ? new ClaimPage(claim.key().slot(), List.of()) : page;
+		Optional<ClaimRecord> first = current.find(claim.key().hash());
 		if (first.isEmpty()) {
-			if (from == page && bytes + RECORD_BYTES > MAX_PAGE_BYTES) {
-				tell(new ClaimVerdict.Failed(claim.id(), true), effects);
+			if (current == page && bytes + RECORD_OVERHEAD_BYTES > MAX_PAGE_BYTES) {
+				complete(new ClaimVerdict.Failed(claim.id(), true), effects);
 				return Optional.empty();
 			}
-			return Optional.of(from.with(ClaimRecord.claimed(claim.key().hash(), claim.call(), claim.nonce())));
+			return Optional.of(current.with(ClaimRecord.claimed(claim.key().hash(), claim.call(), claim.nonce())));
 		}
 		ClaimRecord record = first.get();
 		if (record.nonce().equals(claim.nonce())) {
-			tell(new ClaimVerdict.Claimed(claim.id()), effects);
+			complete(new ClaimVerdict.Claimed(claim.id()), effects);
 			return Optional.empty();
 		}
 		if (record.state() == State.CLAIMED && !claim.reread()) {
-			// Settled by another entry, perhaps, since the page was read.
-			this.waiting.addFirst(claim.afterReading());
-			this.known = Optional.empty();
+			// Another entry may have settled it since the page was read.
+			this.waiting.addFirst(claim.withReread());
+			this.cached = Optional.empty();
 			return Optional.empty();
 		}
-		tell(new ClaimVerdict.Repeated(claim.id(), record, record.call().equals(claim.call())), effects);
+		complete(new ClaimVerdict.Repeated(claim.id(), record, record.call().equals(claim.call())), effects);
 		return Optional.empty();
 	}
 
-	private Optional<ClaimPage> settle(ClaimWish.Settle settle, ClaimPage page, int bytes) {
-		boolean room = bytes + settle.answer().size() <= ROOM_FOR_ANSWERS_BYTES;
-		boolean kept = settle.state() == State.ANSWERED && room;
-		State state = (settle.state() == State.ANSWERED && !room) ? State.RAN : settle.state();
-		return own(page, settle.key(), settle.nonce())
-			.map((record) -> record.settled(state, kept ? settle.answer() : KeptAnswer.NONE))
+	private Optional<ClaimPage> settle(ClaimOperation.Settle settle, ClaimPage page, int bytes) {
+		boolean fits = bytes + settle.answer().encodedBytes() <= MAX_PAGE_BYTES_WITH_ANSWERS;
+		boolean stored = settle.state() == State.ANSWERED && fits;
+		State state = (settle.state() == State.ANSWERED && !fits) ? State.RAN : settle.state();
+		return findOwned(page, settle.key(), settle.nonce())
+			.map((record) -> record.withOutcome(state, stored ? settle.answer() : KeptAnswer.NONE))
 			.map(page::with);
 	}
 
-	private static Optional<ClaimRecord> own(ClaimPage page, ClaimKey key, String nonce) {
+	private static Optional<ClaimRecord> findOwned(ClaimPage page, ClaimKey key, String nonce) {
 		if (page.slot() != key.slot()) {
 			return Optional.empty();
 		}
-		return page.find(key.hash()).filter((record) -> record.isOf(key.hash(), nonce));
+		return page.find(key.hash()).filter((record) -> record.isOwnedBy(key.hash(), nonce));
 	}
 
 	private static int size(ClaimPage page) {
-		return page.records().stream().mapToInt((record) -> RECORD_BYTES + record.answer().size()).sum();
+		return page.records()
+			.stream()
+			.mapToInt((record) -> RECORD_OVERHEAD_BYTES + record.answer().encodedBytes())
+			.sum();
 	}
 
-	private static void tell(ClaimVerdict verdict, List<ClaimEffect> effects) {
+	private static void complete(ClaimVerdict verdict, List<ClaimEffect> effects) {
 		effects.add(new ClaimEffect.Tell(verdict));
 	}
 
-	private record Known(ClaimPage page, long version) {
+	private record CachedPage(ClaimPage page, long version) {
 	}
 
-	private record Pending(ClaimPage page, List<ClaimWish> batch) {
+	private record PendingWrite(ClaimPage page, List<ClaimOperation> batch) {
 	}
 
 }
--- a/policy/src/main/java/org/wisteriapost/policy/claim/ClaimTable.java
+++ b/policy/src/main/java/org/wisteriapost/policy/claim/ClaimTable.java
@@ -14,35 +14,34 @@
 import org.wisteriapost.policy.claim.ClaimRecord.State;
 
 /**
- * Claims keys for calls that may run at most once, and writes down what became of them.
- * Used by one thread.
+ * Claims idempotency keys for calls that may run at most once, and records the outcomes
+ * of the calls. Confined to one thread.
  *
- * Made for bursts of calls against a platform that takes a few hundred writes a second
- * for all: this entry's writes are paced, and while one must wait, the wishes for its
- * page gather and share the next one. Callers that wait go before records that only have
- * to be brought up to date.
+ * Load: bursts of calls against a platform that accepts a few hundred writes per second
+ * in total. The writes of this entry are rate-limited, and operations on a page that wait
+ * for a write are batched into it. Claims, for which callers wait, take precedence over
+ * settlements and releases.
  */
 public final class ClaimTable {
 
-	// A short burst passes without a wait; the pace holds on average.
-	private static final double BURST = 4;
+	// Lets a short burst of writes pass without delay.
+	private static final double MAX_TOKENS = 4;
 
-	// Six entries that meet at one page write again after different times.
-	private static final long CONFLICT_NANOS = Duration.ofMillis(8).toNanos();
+	// Spreads the retries of six entries that conflict at one page.
+	private static final long MAX_CONFLICT_BACKOFF_NANOS = Duration.ofMillis(8).toNanos();
 
-	// No caller waits for these, so they wait for others to share their write with.
-	private static final long SETTLE_NANOS = Duration.ofMillis(200).toNanos();
+	// Settlements and releases, for which no caller waits, are delayed to share a write.
+	private static final long SETTLE_DELAY_NANOS = Duration.ofMillis(200).toNanos();
 
-	// Another entry has most likely written the page since; a read costs less than a
-	// write
-	// that is bound to fail.
-	private static final long FRESH_NANOS = Duration.ofMillis(10).toNanos();
+	// An older page has probably been rewritten by another entry, and a read costs less
+	// than a write that conflicts.
+	private static final long MAX_PAGE_AGE_NANOS = Duration.ofMillis(10).toNanos();
 
-	private static final long OUTAGE_NANOS = Duration.ofMillis(500).toNanos();
+	private static final long MIN_OUTAGE_BACKOFF_NANOS = Duration.ofMillis(500).toNanos();
 
-	// Pages at rest are kept for the next call in the same ten seconds only; each may be
-	// some hundred kilobytes.
-	private static final int MAX_RESTING = 16;
+	// Bounds the memory of cached pages, each of up to some hundred kilobytes. They are
+	// useful only for calls whose keys were issued in the same ten seconds.
+	private static final int MAX_IDLE_SHARDS = 16;
 
 	private final UniformRandomProvider random;
 
@@ -50,21 +49,21 @@
 
 	private final Map<String, ClaimShard> shards = new LinkedHashMap<>(16, 0.75f, true);
 
-	private final Map<String, Long> notBefore = new LinkedHashMap<>();
+	private final Map<String, Long> notBeforeNanos = new LinkedHashMap<>();
 
-	private double tokens = BURST;
+	private double tokens = MAX_TOKENS;
 
-	private long filledNanos;
+	private long lastRefillNanos;
 
 	private ClaimTable(double writesPerSecond, UniformRandomProvider random, long nowNanos) {
 		this.writesPerNano = writesPerSecond / Duration.ofSeconds(1).toNanos();
 		this.random = random;
-		this.filledNanos = nowNanos;
+		this.lastRefillNanos = nowNanos;
 	}
 
 	/**
-	 * Returns a table without claims.
-	 * @param writesPerSecond this entry's part of the platform's writes
+	 * Returns an empty table.
+	 * @param writesPerSecond this entry's share of the platform's writes
 	 */
 	public static ClaimTable create(double writesPerSecond, UniformRandomProvider random, long nowNanos) {
 		return new ClaimTable(writesPerSecond, random, nowNanos);
@@ -72,30 +71,30 @@
 
 	/**
 	 * Claims a key.
-	 * @param call hash of the call, so that a key cannot be used for two
-	 * @param nonce never used before, by this or another entry
+	 * @param call hash of the call, to detect a key that is reused for another call
+	 * @param nonce unique among all entries
 	 */
 	public List<ClaimEffect> claim(long id, ClaimKey key, String call, String nonce, long nowNanos) {
-		return wish(key, new ClaimWish.Claim(id, key, call, nonce, false, false), nowNanos);
+		return enqueue(key, new ClaimOperation.Claim(id, key, call, nonce, false, false), nowNanos);
 	}
 
 	/**
-	 * Writes down what became of a claimed call.
+	 * Records the outcome of a claimed call.
 	 */
 	public List<ClaimEffect> settle(ClaimKey key, String nonce, State state, KeptAnswer answer, long nowNanos) {
-		return wish(key, new ClaimWish.Settle(key, nonce, state, answer), nowNanos);
+		return enqueue(key, new ClaimOperation.Settle(key, nonce, state, answer), nowNanos);
 	}
 
 	/**
-	 * Takes back a claim whose call certainly did not run and will not.
+	 * Releases the claim of a call that certainly did not and will not run.
 	 */
 	public List<ClaimEffect> release(ClaimKey key, String nonce, long nowNanos) {
-		return wish(key, new ClaimWish.Release(key, nonce), nowNanos);
+		return enqueue(key, new ClaimOperation.Release(key, nonce), nowNanos);
 	}
 
 	/**
-	 * Takes an object's value as it is in the platform.
-	 * @param conflict whether a write found it instead of what it expected
+	 * Handles the current value of an object.
+	 * @param conflict whether the value was returned by a write with an outdated version
 	 */
 	public List<ClaimEffect> read(String object, Optional<byte[]> value, long version, boolean conflict,
 			long nowNanos) {
@@ -104,112 +103,111 @@
 			return List.of();
 		}
 		try {
-			shard.read(value.map(ClaimPage::decode).orElse(ClaimPage.NONE), version, nowNanos);
+			shard.onRead(value.map(ClaimPage::decode).orElse(ClaimPage.EMPTY), version, nowNanos);
 		}
 		catch (CodedException ex) {
-			// Whatever is there, it may hold keys: nothing is claimed over it.
+			// An unreadable page may hold keys, so that claiming over it could run a
+			// call twice.
 			return failed(object, false, nowNanos);
 		}
 		if (conflict) {
-			this.notBefore.put(object, nowNanos + this.random.nextLong(CONFLICT_NANOS));
+			this.notBeforeNanos.put(object, nowNanos + this.random.nextLong(MAX_CONFLICT_BACKOFF_NANOS));
 		}
-		return steps(nowNanos);
+		return advance(nowNanos);
 	}
 
 	/**
-	 * Takes the confirmation of a write.
+	 * Handles the confirmation of a write.
 	 */
 	public List<ClaimEffect> written(String object, long version, long nowNanos) {
 		List<ClaimEffect> effects = new ArrayList<>();
-		Optional.ofNullable(this.shards.get(object)).ifPresent((shard) -> shard.written(version, nowNanos, effects));
-		effects.addAll(steps(nowNanos));
+		Optional.ofNullable(this.shards.get(object)).ifPresent((shard) -> shard.onWritten(version, nowNanos, effects));
+		effects.addAll(advance(nowNanos));
 		return effects;
 	}
 
 	/**
-	 * Takes the failure of a read or write.
+	 * Handles the failure of a read or write.
 	 * @param unconfirmed whether a write may have taken effect
 	 */
 	public List<ClaimEffect> failed(String object, boolean unconfirmed, long nowNanos) {
 		List<ClaimEffect> effects = new ArrayList<>();
-		Optional.ofNullable(this.shards.get(object)).ifPresent((shard) -> shard.failed(unconfirmed, effects));
+		Optional.ofNullable(this.shards.get(object)).ifPresent((shard) -> shard.onFailure(unconfirmed, effects));
 		if (!unconfirmed) {
-			this.notBefore.put(object, nowNanos + OUTAGE_NANOS + this.random.nextLong(OUTAGE_NANOS));
+			this.notBeforeNanos.put(object,
+					nowNanos + MIN_OUTAGE_BACKOFF_NANOS + this.random.nextLong(MIN_OUTAGE_BACKOFF_NANOS));
 		}
-		effects.addAll(steps(nowNanos));
+		effects.addAll(advance(nowNanos));
 		return effects;
 	}
 
 	/**
-	 * Goes on with what had to wait.
+	 * Starts delayed reads and writes that have become due.
 	 */
 	public List<ClaimEffect> tick(long nowNanos) {
-		return steps(nowNanos);
+		return advance(nowNanos);
 	}
 
 	/**
-	 * Returns how many changes are not in the platform yet.
+	 * Returns the number of waiting operations plus the reads and writes in progress.
 	 */
 	public int unwritten() {
-		return this.shards.values().stream().mapToInt((shard) -> shard.waiting() + (shard.rests() ? 0 : 1)).sum();
+		return this.shards.values().stream().mapToInt((shard) -> shard.waiting() + (shard.isIdle() ? 0 : 1)).sum();
 	}
 
-	private List<ClaimEffect> wish(ClaimKey key, ClaimWish wish, long nowNanos) {
+	private List<ClaimEffect> enqueue(ClaimKey key, ClaimOperation operation, long nowNanos) {
 		ClaimShard shard = this.shards.computeIfAbsent(key.object(), ClaimShard::new);
-		shard.wish(wish, nowNanos);
-		if (wish instanceof ClaimWish.Claim claim && outage(key.object(), nowNanos)) {
-			// Known to be down a moment ago: this caller is told now, not after a
-			// timeout.
+		shard.enqueue(operation, nowNanos);
+		if (operation instanceof ClaimOperation.Claim claim && isInOutage(key.object(), nowNanos)) {
+			// The platform failed recently: the caller is refused at once instead of
+			// after a timeout.
 			List<ClaimEffect> effects = new ArrayList<>();
-			shard.failed(false, effects);
+			shard.onFailure(false, effects);
 			return effects;
 		}
-		return steps(nowNanos);
+		return advance(nowNanos);
 	}
 
-	private boolean outage(String object, long nowNanos) {
-		return this.notBefore.getOrDefault(object, nowNanos) - nowNanos > CONFLICT_NANOS
-				&& this.shards.get(object).rests();
+	private boolean isInOutage(String object, long nowNanos) {
+		return this.notBeforeNanos.getOrDefault(object, nowNanos) - nowNanos > MAX_CONFLICT_BACKOFF_NANOS
+				&& this.shards.get(object).isIdle();
 	}
 
-	private List<ClaimEffect> steps(long nowNanos) {
-		fill(nowNanos);
+	private List<ClaimEffect> advance(long nowNanos) {
+		refill(nowNanos);
 		List<ClaimEffect> effects = new ArrayList<>();
 		List<ClaimShard> ready = this.shards.values()
 			.stream()
-			.filter((shard) -> shard.rests() && shard.waiting() > 0)
-			.filter((shard) -> shard.urgent() || nowNanos - shard.waitingSinceNanos() >= SETTLE_NANOS)
-			.filter((shard) -> this.notBefore.getOrDefault(shard.object(), nowNanos) - nowNanos <= 0)
-			// What was read is written before anything else is read. After an outage each
-			// of
-			// some hundred pages has something to write; were they taken by urgency
-			// alone,
-			// a page would be stale again before its turn to be written came, and be read
-			// over and over as fast as the platform answers.
-			.sorted(Comparator.comparing((ClaimShard shard) -> shard.knownSince(nowNanos - FRESH_NANOS))
-				.thenComparing(ClaimShard::urgent)
+			.filter((shard) -> shard.isIdle() && shard.waiting() > 0)
+			.filter((shard) -> shard.hasWaitingClaim() || nowNanos - shard.waitingSinceNanos() >= SETTLE_DELAY_NANOS)
+			.filter((shard) -> this.notBeforeNanos.getOrDefault(shard.object(), nowNanos) - nowNanos <= 0)
+			// Pages that were just read are written before others are read. After an
+			// outage hundreds of pages have pending writes; ordered by urgency alone,
+			// each would be stale again before its write and be read over and over.
+			.sorted(Comparator.comparing((ClaimShard shard) -> shard.isCachedSince(nowNanos - MAX_PAGE_AGE_NANOS))
+				.thenComparing(ClaimShard::hasWaitingClaim)
 				.thenComparing(ClaimShard::waiting)
 				.reversed())
 			.toList();
-		// A page is read to be written, so a read waits for the pace as well: pages read
-		// while no write may follow would be stale when it may.
-		double free = this.tokens - this.shards.values().stream().filter(ClaimShard::reads).count();
+		// Reads count against the write limit as well, since a page read while no write
+		// is allowed would be stale by the time one is.
+		double available = this.tokens - this.shards.values().stream().filter(ClaimShard::isReading).count();
 		for (ClaimShard shard : ready) {
-			if (free < 1) {
+			if (available < 1) {
 				break;
 			}
-			free--;
-			shard.forgetBefore(nowNanos - FRESH_NANOS);
-			step(shard, effects);
+			available--;
+			shard.evictBefore(nowNanos - MAX_PAGE_AGE_NANOS);
+			startNext(shard, effects);
 		}
-		forgetResting();
+		evictIdle();
 		return effects;
 	}
 
-	private void step(ClaimShard shard, List<ClaimEffect> effects) {
-		this.notBefore.remove(shard.object());
+	private void startNext(ClaimShard shard, List<ClaimEffect> effects) {
+		this.notBeforeNanos.remove(shard.object());
 		int before = effects.size();
-		shard.step(effects);
+		shard.startNext(effects);
 		boolean wrote = effects.subList(before, effects.size())
 			.stream()
 			.anyMatch((effect) -> effect instanceof ClaimEffect.Write);
@@ -218,24 +216,24 @@
 		}
 	}
 
-	private void fill(long nowNanos) {
-		this.tokens = Math.min(BURST, this.tokens + (nowNanos - this.filledNanos) * this.writesPerNano);
-		this.filledNanos = nowNanos;
+	private void refill(long nowNanos) {
+		this.tokens = Math.min(MAX_TOKENS, this.tokens + (nowNanos - this.lastRefillNanos) * this.writesPerNano);
+		this.lastRefillNanos = nowNanos;
 	}
 
-	private void forgetResting() {
-		int surplus = this.shards.size() - MAX_RESTING;
+	private void evictIdle() {
+		int surplus = this.shards.size() - MAX_IDLE_SHARDS;
 		if (surplus <= 0) {
 			return;
 		}
-		List<String> resting = this.shards.values()
+		List<String> idle = this.shards.values()
 			.stream()
-			.filter((shard) -> shard.rests() && shard.waiting() == 0)
+			.filter((shard) -> shard.isIdle() && shard.waiting() == 0)
 			.map(ClaimShard::object)
 			.limit(surplus)
 			.toList();
-		resting.forEach(this.shards::remove);
-		resting.forEach(this.notBefore::remove);
+		idle.forEach(this.shards::remove);
+		idle.forEach(this.notBeforeNanos::remove);
 	}
 
 }
--- a/policy/src/main/java/org/wisteriapost/policy/claim/ClaimVerdict.java
+++ b/policy/src/main/java/org/wisteriapost/policy/claim/ClaimVerdict.java
@@ -1,15 +1,15 @@
 package org.wisteriapost.policy.claim;
 
 /**
- * What became of the wish to claim a key.
+ * Outcome of an attempt to claim a key.
  */
 public sealed interface ClaimVerdict {
 
-	/** Returns the call that asked. */
+	/** Returns the id of the call. */
 	long id();
 
 	/**
-	 * The key is this call's: it may run, once.
+	 * The key is claimed for this call, which may run once.
 	 *
 	 * @param id the call
 	 */
@@ -20,14 +20,14 @@
 	 * The key was claimed before; this call must not run.
 	 *
 	 * @param id the call
-	 * @param first what is kept of the first
-	 * @param same whether the first call was the same call
+	 * @param first the record of the first call
+	 * @param same whether the first call was the same as this one
 	 */
 	record Repeated(long id, ClaimRecord first, boolean same) implements ClaimVerdict {
 	}
 
 	/**
-	 * The key's slot of time is no longer kept.
+	 * The key was issued in a time slot whose records have expired.
 	 *
 	 * @param id the call
 	 */
@@ -35,10 +35,10 @@
 	}
 
 	/**
-	 * The key is not claimed for this call and will not be; this call did not run.
+	 * The key is not claimed, and this call did not run.
 	 *
 	 * @param id the call
-	 * @param full whether the page has no room; otherwise the platform does not answer
+	 * @param full whether the page is full; otherwise the platform is unavailable
 	 */
 	record Failed(long id, boolean full) implements ClaimVerdict {
 	}
--- a/policy/src/main/java/org/wisteriapost/policy/claim/package-info.java
+++ b/policy/src/main/java/org/wisteriapost/policy/claim/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Calls that may run at most once: their keys are claimed in the platform before they are
- * sent, in pages that many keys share.
+ * Idempotency keys of calls that may run at most once. A key is claimed in the platform
+ * before its call is sent; the claims of many keys share one object.
  */
 package org.wisteriapost.policy.claim;
--- a/policy/src/main/java/org/wisteriapost/policy/package-info.java
+++ b/policy/src/main/java/org/wisteriapost/policy/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Decisions only: pure functions of state, event and time. No input or output, no
- * threads, no clock; an architecture test holds this.
+ * Decisions as pure functions of state, event and time: no I/O, threads or clock, which
+ * an architecture test enforces.
  */
 package org.wisteriapost.policy;
--- a/policy/src/test/java/org/wisteriapost/policy/claim/ClaimSim.java
+++ b/policy/src/test/java/org/wisteriapost/policy/claim/ClaimSim.java
@@ -10,8 +10,9 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Some entries' claim tables on one store in memory, with simulated time: answers are
- * delayed, lost, and lost writes may take effect late.
+ * Claim tables of several entries on an in-memory store in simulated time. Confirmations
+ * are delayed or lost, and writes whose confirmation is lost may take effect late or
+ * never.
  */
 final class ClaimSim {
 
@@ -21,11 +22,11 @@
 
 	private final List<ClaimTable> tables = new ArrayList<>();
 
-	private final Map<String, Value> store = new HashMap<>();
+	private final Map<String, StoredValue> store = new HashMap<>();
 
-	private final List<Later> later = new ArrayList<>();
+	private final List<ScheduledTask> scheduled = new ArrayList<>();
 
-	private final List<Told> told = new ArrayList<>();
+	private final List<DeliveredResult> results = new ArrayList<>();
 
 	private double lossShare;
 
@@ -33,7 +34,7 @@
 
 	private long now;
 
-	private int calls;
+	private int storeCalls;
 
 	private int writes;
 
@@ -56,11 +57,11 @@
 		return this.now;
 	}
 
-	int calls() {
-		return this.calls;
+	int storeCalls() {
+		return this.storeCalls;
 	}
 
-	int stored() {
+	int storedObjects() {
 		return this.store.size();
 	}
 
@@ -68,40 +69,39 @@
 		return this.writes;
 	}
 
-	List<Told> told() {
-		return this.told;
+	List<DeliveredResult> results() {
+		return this.results;
 	}
 
-	void loses(double share) {
-		this.lossShare = share;
+	void setLossShare(double lossShare) {
+		this.lossShare = lossShare;
 	}
 
-	void down(boolean now) {
-		this.down = now;
+	void setDown(boolean down) {
+		this.down = down;
 	}
 
-	/** Returns the verdicts on one call. */
 	List<ClaimVerdict> verdicts(long id) {
-		return this.told.stream().map(Told::verdict).filter((verdict) -> verdict.id() == id).toList();
+		return this.results.stream().map(DeliveredResult::verdict).filter((verdict) -> verdict.id() == id).toList();
 	}
 
 	void carryOut(int entry, List<ClaimEffect> effects) {
 		for (ClaimEffect effect : effects) {
 			switch (effect) {
-				case ClaimEffect.Tell tell -> this.told.add(new Told(entry, tell.verdict()));
+				case ClaimEffect.Tell tell -> this.results.add(new DeliveredResult(entry, tell.verdict()));
 				case ClaimEffect.Read read -> read(entry, read.object());
 				case ClaimEffect.Write write -> write(entry, write);
 			}
 		}
 	}
 
-	/** Runs for some simulated milliseconds. */
+	/** Advances the simulated time. */
 	void run(int millis) {
 		for (int i = 0; i < millis; i++) {
 			this.now += MILLI;
-			List<Later> due = this.later.stream().filter((one) -> one.atNanos <= this.now).toList();
-			this.later.removeAll(due);
-			due.forEach((one) -> one.task.run());
+			List<ScheduledTask> due = this.scheduled.stream().filter((item) -> item.atNanos <= this.now).toList();
+			this.scheduled.removeAll(due);
+			due.forEach((item) -> item.task.run());
 			if (i % 20 == 0) {
 				for (int entry = 0; entry < this.tables.size(); entry++) {
 					carryOut(entry, this.tables.get(entry).tick(this.now));
@@ -111,74 +111,74 @@
 	}
 
 	private void read(int entry, String object) {
-		this.calls++;
-		after(() -> {
+		this.storeCalls++;
+		schedule(() -> {
 			if (this.down) {
 				carryOut(entry, table(entry).failed(object, false, this.now));
 				return;
 			}
-			found(entry, object, false);
+			deliverValue(entry, object, false);
 		});
 	}
 
 	private void write(int entry, ClaimEffect.Write write) {
-		this.calls++;
+		this.storeCalls++;
 		this.writes++;
-		after(() -> {
+		schedule(() -> {
 			if (this.down) {
 				carryOut(entry, table(entry).failed(write.object(), false, this.now));
 			}
 			else if (this.random.nextDouble() < this.lossShare) {
-				lose(entry, write);
+				loseConfirmation(entry, write);
 			}
 			else if (apply(write)) {
 				long version = this.store.get(write.object()).version;
-				after(() -> carryOut(entry, table(entry).written(write.object(), version, this.now)));
+				schedule(() -> carryOut(entry, table(entry).written(write.object(), version, this.now)));
 			}
 			else {
-				after(() -> found(entry, write.object(), true));
+				schedule(() -> deliverValue(entry, write.object(), true));
 			}
 		});
 	}
 
-	// Takes effect before its answer is lost, some time after, or never.
-	private void lose(int entry, ClaimEffect.Write write) {
+	// The write takes effect before its confirmation is lost, some time after, or never.
+	private void loseConfirmation(int entry, ClaimEffect.Write write) {
 		int when = this.random.nextInt(3);
 		if (when == 0) {
 			apply(write);
 		}
 		carryOut(entry, table(entry).failed(write.object(), true, this.now));
 		if (when == 1) {
-			after(() -> apply(write));
+			schedule(() -> apply(write));
 		}
 	}
 
 	private boolean apply(ClaimEffect.Write write) {
-		Value current = this.store.getOrDefault(write.object(), new Value(null, 0));
+		StoredValue current = this.store.getOrDefault(write.object(), new StoredValue(null, 0));
 		if (current.version != write.version()) {
 			return false;
 		}
-		this.store.put(write.object(), new Value(write.value(), current.version + 1));
+		this.store.put(write.object(), new StoredValue(write.value(), current.version + 1));
 		return true;
 	}
 
-	private void found(int entry, String object, boolean conflict) {
-		Optional<Value> value = Optional.ofNullable(this.store.get(object));
-		carryOut(entry, table(entry).read(object, value.map((one) -> one.bytes),
-				value.map((one) -> one.version).orElse(0L), conflict, this.now));
+	private void deliverValue(int entry, String object, boolean conflict) {
+		Optional<StoredValue> value = Optional.ofNullable(this.store.get(object));
+		carryOut(entry, table(entry).read(object, value.map((item) -> item.bytes),
+				value.map((item) -> item.version).orElse(0L), conflict, this.now));
 	}
 
-	private void after(Runnable task) {
-		this.later.add(new Later(this.now + MILLI * (1 + this.random.nextInt(5)), task));
+	private void schedule(Runnable task) {
+		this.scheduled.add(new ScheduledTask(this.now + MILLI * (1 + this.random.nextInt(5)), task));
 	}
 
-	record Told(int entry, ClaimVerdict verdict) {
+	record DeliveredResult(int entry, ClaimVerdict verdict) {
 	}
 
-	private record Value(byte[] bytes, long version) {
+	private record StoredValue(byte[] bytes, long version) {
 	}
 
-	private record Later(long atNanos, Runnable task) {
+	private record ScheduledTask(long atNanos, Runnable task) {
 	}
 
 }
--- a/policy/src/test/java/org/wisteriapost/policy/claim/ClaimReadsTests.java
+++ b/policy/src/test/java/org/wisteriapost/policy/claim/ClaimTableReadTests.java
@@ -14,7 +14,7 @@
 import static org.hamcrest.Matchers.is;
 import static org.hamcrest.Matchers.lessThanOrEqualTo;
 
-class ClaimReadsTests {
+class ClaimTableReadTests {
 
 	private static final long MILLI = 1_000_000;
 
@@ -24,26 +24,24 @@
 
 	private final ClaimTable table = ClaimTable.create(50, RandomSource.SPLIT_MIX_64.create(1), this.now);
 
-	private final Deque<Answer> answers = new ArrayDeque<>();
+	private final Deque<Reply> replies = new ArrayDeque<>();
 
 	private int reads;
 
 	private int writes;
 
-	// Callers see nothing of it, but the platform does: after an outage every page has
-	// something to be written. Each is to be read about once for its write, not as often
-	// as
-	// the platform can answer.
+	// Guards against a read storm after an outage, when every page has a pending write:
+	// each page should be read about once per write.
 	@Test
-	void backlogOfManyPagesIsReadAboutOnceForEachWrite() {
+	void pagesAreReadAtMostTwicePerWriteAfterAnOutage() {
 		for (int i = 0; i < PAGES; i++) {
 			ClaimKey key = ClaimKey.of("press", "key-" + i, 1_800_000_000_000L + i * 10_000L);
 			carryOut(this.table.claim(i, key, "call", "nonce-" + i, this.now));
 		}
 		for (int i = 0; i < 10_000 && this.table.unwritten() > 0; i++) {
 			this.now += MILLI;
-			while (!this.answers.isEmpty() && this.answers.peek().at <= this.now) {
-				answer(this.answers.poll());
+			while (!this.replies.isEmpty() && this.replies.peek().atNanos <= this.now) {
+				deliver(this.replies.poll());
 			}
 			if (i % 20 == 0) {
 				carryOut(this.table.tick(this.now));
@@ -59,11 +57,11 @@
 			switch (effect) {
 				case ClaimEffect.Read read -> {
 					this.reads++;
-					this.answers.add(new Answer(this.now + 4 * MILLI, read.object(), false));
+					this.replies.add(new Reply(this.now + 4 * MILLI, read.object(), false));
 				}
 				case ClaimEffect.Write write -> {
 					this.writes++;
-					this.answers.add(new Answer(this.now + 4 * MILLI, write.object(), true));
+					this.replies.add(new Reply(this.now + 4 * MILLI, write.object(), true));
 				}
 				case ClaimEffect.Tell tell -> {
 				}
@@ -71,12 +69,12 @@
 		}
 	}
 
-	private void answer(Answer answer) {
-		carryOut(answer.written ? this.table.written(answer.object, 1, this.now)
-				: this.table.read(answer.object, Optional.empty(), 0, false, this.now));
+	private void deliver(Reply reply) {
+		carryOut(reply.written ? this.table.written(reply.object, 1, this.now)
+				: this.table.read(reply.object, Optional.empty(), 0, false, this.now));
 	}
 
-	private record Answer(long at, String object, boolean written) {
+	private record Reply(long atNanos, String object, boolean written) {
 	}
 
 }
--- a/policy/src/test/java/org/wisteriapost/policy/claim/ClaimTableTests.java
+++ b/policy/src/test/java/org/wisteriapost/policy/claim/ClaimTableTests.java
@@ -20,10 +20,10 @@
 
 class ClaimTableTests {
 
-	private static final long TIME = 1_800_000_000_000L;
+	private static final long ISSUED_MILLIS = 1_800_000_000_000L;
 
-	// Settlements and releases wait a fifth of a second for others to share a write with.
-	private static final int SETTLED_MILLIS = 400;
+	// Longer than the delay of settlements and releases.
+	private static final int SETTLE_WAIT_MILLIS = 400;
 
 	private static final KeptAnswer ANSWER = new KeptAnswer(200, List.of("a", "b"),
 			"978-1".getBytes(StandardCharsets.UTF_8));
@@ -31,26 +31,26 @@
 	private final ClaimSim sim = new ClaimSim(2, 7);
 
 	@Test
-	void firstIsClaimedAndARepeatElsewhereGetsItsAnswer() {
+	void repeatAtAnotherEntryGetsTheStoredAnswer() {
 		claim(0, 1, "k", "n1");
 		this.sim.run(100);
-		assertThat(only(1), is(new ClaimVerdict.Claimed(1)));
+		assertThat(singleVerdict(1), is(new ClaimVerdict.Claimed(1)));
 		this.sim.carryOut(0, this.sim.table(0).settle(key("k"), "n1", State.ANSWERED, ANSWER, this.sim.now()));
-		this.sim.run(SETTLED_MILLIS);
+		this.sim.run(SETTLE_WAIT_MILLIS);
 		claim(1, 2, "k", "n2");
 		this.sim.run(100);
-		ClaimVerdict.Repeated repeated = (ClaimVerdict.Repeated) only(2);
+		ClaimVerdict.Repeated repeated = (ClaimVerdict.Repeated) singleVerdict(2);
 		assertThat(new String(repeated.first().answer().body(), StandardCharsets.UTF_8), is("978-1"));
 		assertThat(repeated.same(), is(true));
 	}
 
 	@Test
-	void keyOfAnotherCallIsSaidToBeOne() {
+	void keyReusedForAnotherCallIsDetected() {
 		claim(0, 1, "k", "n1");
 		this.sim.run(100);
 		this.sim.carryOut(0, this.sim.table(0).claim(2, key("k"), "other", "n2", this.sim.now()));
 		this.sim.run(100);
-		assertThat(((ClaimVerdict.Repeated) only(2)).same(), is(false));
+		assertThat(((ClaimVerdict.Repeated) singleVerdict(2)).same(), is(false));
 	}
 
 	@Test
@@ -58,81 +58,76 @@
 		claim(0, 1, "k", "n1");
 		this.sim.run(100);
 		this.sim.carryOut(0, this.sim.table(0).release(key("k"), "n1", this.sim.now()));
-		this.sim.run(SETTLED_MILLIS);
+		this.sim.run(SETTLE_WAIT_MILLIS);
 		claim(1, 2, "k", "n2");
 		this.sim.run(100);
-		assertThat(only(2), is(new ClaimVerdict.Claimed(2)));
+		assertThat(singleVerdict(2), is(new ClaimVerdict.Claimed(2)));
 	}
 
-	// An entry was paused, and what it believes of its claim is old. The claim is another
-	// writer's by now; neither release nor settlement with the old nonce may touch it.
+	// Guards against a paused entry changing a claim that another writer holds by now.
 	@Test
-	void othersClaimIsNeitherReleasedNorSettled() {
+	void claimOfAnotherWriterIsNeitherReleasedNorSettled() {
 		claim(0, 1, "k", "n1");
 		this.sim.run(100);
 		this.sim.carryOut(1, this.sim.table(1).release(key("k"), "old", this.sim.now()));
 		this.sim.carryOut(1, this.sim.table(1).settle(key("k"), "old", State.ANSWERED, ANSWER, this.sim.now()));
-		this.sim.run(SETTLED_MILLIS);
+		this.sim.run(SETTLE_WAIT_MILLIS);
 		claim(1, 2, "k", "n2");
 		this.sim.run(100);
-		assertThat(((ClaimVerdict.Repeated) only(2)).first().state(), is(State.CLAIMED));
+		assertThat(((ClaimVerdict.Repeated) singleVerdict(2)).first().state(), is(State.CLAIMED));
 	}
 
-	// The platform takes a claim, and the confirmation is lost. The entry reads back,
-	// finds
-	// its own nonce and goes on: the call runs once, and its caller is not turned away.
+	// Guards against refusing or repeating a call whose claim was written but not
+	// confirmed: the entry reads the page and finds its own nonce.
 	@Test
-	void claimWhoseConfirmationIsLostIsFoundAgain() {
-		this.sim.loses(1);
+	void claimWithLostConfirmationIsRecoveredByReadingBack() {
+		this.sim.setLossShare(1);
 		claim(0, 1, "k", "n1");
 		for (int i = 0; i < 200 && this.sim.verdicts(1).isEmpty(); i++) {
 			this.sim.run(10);
 		}
-		assertThat(only(1), is(new ClaimVerdict.Claimed(1)));
+		assertThat(singleVerdict(1), is(new ClaimVerdict.Claimed(1)));
 	}
 
-	// The confirmation is lost and the platform then goes away: the caller is refused,
-	// and
-	// its claim stands there for no one. It is taken back as soon as that can be done, so
-	// that the caller's repeat can run.
+	// Guards against a refused claim that stays in the store after a lost confirmation
+	// and an outage: it must be released so that the caller can retry.
 	@Test
-	void claimThatWasRefusedAfterALostConfirmationIsTakenBack() {
-		this.sim.loses(1);
+	void claimRefusedAfterALostConfirmationIsReleased() {
+		this.sim.setLossShare(1);
 		claim(0, 1, "k", "n1");
-		for (int i = 0; i < 5000 && this.sim.stored() == 0; i++) {
+		for (int i = 0; i < 5000 && this.sim.storedObjects() == 0; i++) {
 			this.sim.run(1);
 		}
-		this.sim.down(true);
+		this.sim.setDown(true);
 		this.sim.run(100);
-		assertThat(only(1), is(new ClaimVerdict.Failed(1, false)));
-		this.sim.loses(0);
-		this.sim.down(false);
+		assertThat(singleVerdict(1), is(new ClaimVerdict.Failed(1, false)));
+		this.sim.setLossShare(0);
+		this.sim.setDown(false);
 		this.sim.run(3000);
 		claim(1, 2, "k", "n2");
 		this.sim.run(100);
-		assertThat(only(2), is(new ClaimVerdict.Claimed(2)));
+		assertThat(singleVerdict(2), is(new ClaimVerdict.Claimed(2)));
 	}
 
 	@Test
-	void platformThatIsDownRefusesAndLaterTakes() {
-		this.sim.down(true);
+	void claimsAreRefusedDuringAnOutageAndAcceptedAfterwards() {
+		this.sim.setDown(true);
 		claim(0, 1, "k", "n1");
 		this.sim.run(100);
-		assertThat(only(1), is(new ClaimVerdict.Failed(1, false)));
+		assertThat(singleVerdict(1), is(new ClaimVerdict.Failed(1, false)));
 		claim(0, 2, "k", "n2");
-		assertThat(only(2), is(new ClaimVerdict.Failed(2, false)));
-		this.sim.down(false);
+		assertThat(singleVerdict(2), is(new ClaimVerdict.Failed(2, false)));
+		this.sim.setDown(false);
 		this.sim.run(2000);
 		claim(0, 3, "k", "n3");
 		this.sim.run(100);
-		assertThat(only(3), is(new ClaimVerdict.Claimed(3)));
+		assertThat(singleVerdict(3), is(new ClaimVerdict.Claimed(3)));
 	}
 
-	// An outage lasts while callers go on asking. Each is refused; none of them may leave
-	// anything behind in the heap.
+	// Guards against memory growth during an outage while callers keep sending requests.
 	@Test
-	void outageGathersNothing() {
-		this.sim.down(true);
+	void refusedClaimsAreNotRetainedDuringAnOutage() {
+		this.sim.setDown(true);
 		for (int i = 0; i < 1000; i++) {
 			claim(0, i, "k" + i, "n" + i);
 			this.sim.run(2);
@@ -141,85 +136,89 @@
 		assertThat(this.sim.table(0).unwritten(), is(0));
 	}
 
-	// The slot that a key was made in is taken over 25 hours later. A repeat that comes
-	// then finds no record, and must not be taken for new.
+	// Guards against taking an old key for new after its object was reused by a later
+	// slot.
 	@Test
-	void keyOfASlotThatWasTakenOverIsExpired() {
+	void keyOfAReusedSlotIsExpired() {
 		claim(0, 1, "k", "n1");
 		this.sim.run(100);
-		long ring = ClaimKey.KEPT.plusHours(1).toMillis();
-		ClaimKey taker = sameObject(key("k").object(), TIME + ring);
-		this.sim.carryOut(0, this.sim.table(0).claim(2, taker, "c", "n2", this.sim.now()));
+		long reuseMillis = ClaimKey.RETENTION.plusHours(1).toMillis();
+		ClaimKey newKey = sameObject(key("k").object(), ISSUED_MILLIS + reuseMillis);
+		this.sim.carryOut(0, this.sim.table(0).claim(2, newKey, "c", "n2", this.sim.now()));
 		this.sim.run(100);
-		assertThat(only(2), is(new ClaimVerdict.Claimed(2)));
+		assertThat(singleVerdict(2), is(new ClaimVerdict.Claimed(2)));
 		claim(1, 3, "k", "n3");
 		this.sim.run(100);
-		assertThat(only(3), instanceOf(ClaimVerdict.Expired.class));
+		assertThat(singleVerdict(3), instanceOf(ClaimVerdict.Expired.class));
 	}
 
 	@Test
-	void fullPageTakesNoMoreClaimsAndLosesNone() {
+	void fullPageRefusesClaimsAndKeepsExistingOnes() {
 		String object = key("k").object();
-		List<Long> asked = new ArrayList<>();
-		for (long id = 0; asked.size() < 5000; id++) {
+		List<Long> ids = new ArrayList<>();
+		for (long id = 0; ids.size() < 5000; id++) {
 			if (key("k" + id).object().equals(object)) {
 				claim(0, id, "k" + id, "n" + id);
-				asked.add(id);
+				ids.add(id);
 			}
 		}
 		this.sim.run(2000);
-		long claimed = this.sim.told()
+		long claimed = this.sim.results()
 			.stream()
-			.filter((told) -> told.verdict() instanceof ClaimVerdict.Claimed)
+			.filter((delivered) -> delivered.verdict() instanceof ClaimVerdict.Claimed)
 			.count();
-		long full = this.sim.told().stream().filter((told) -> told.verdict().equals(full(told.verdict().id()))).count();
-		assertThat(claimed + full, is((long) asked.size()));
+		long full = this.sim.results()
+			.stream()
+			.filter((delivered) -> delivered.verdict().equals(full(delivered.verdict().id())))
+			.count();
+		assertThat(claimed + full, is((long) ids.size()));
 		assertThat(full > 0, is(true));
 	}
 
-	// A burst of calls comes while the platform takes few writes: they share writes.
 	@Test
 	void burstSharesWrites() {
 		for (int i = 0; i < 500; i++) {
 			claim(0, i, "k" + i, "n" + i);
 		}
 		this.sim.run(2000);
-		assertThat(this.sim.told().size(), is(500));
+		assertThat(this.sim.results().size(), is(500));
 		assertThat(this.sim.writes(), lessThan(60));
 	}
 
-	// Six entries get the same calls at the same time, again and again. Writes are lost
-	// before, after and long after their effect, and the platform goes away in between.
-	// Whatever happens, no key is given twice, unless its holder has given it back.
+	// Six entries claim the same keys concurrently while writes are lost before, after
+	// and long after their effect, and the platform is down at times. No key may be
+	// claimed twice unless its holder released it.
 	@ParameterizedTest
 	@ValueSource(longs = { 1, 2, 3, 4, 5, 6, 7, 8 })
 	void noKeyIsClaimedTwice(long seed) {
 		ClaimSim run = new ClaimSim(6, seed);
-		run.loses(0.2);
-		Map<Long, Wish> wishes = new HashMap<>();
+		run.setLossShare(0.2);
+		Map<Long, ClaimAttempt> attempts = new HashMap<>();
 		Map<String, String> holders = new HashMap<>();
-		List<String> doubled = new ArrayList<>();
+		List<String> claimedTwice = new ArrayList<>();
 		int seen = 0;
 		for (int step = 0; step < 4000; step++) {
 			long id = step;
-			Wish wish = new Wish(run.random().nextInt(6), "k" + run.random().nextInt(300), "n" + id);
-			wishes.put(id, wish);
-			run.carryOut(wish.entry, run.table(wish.entry).claim(id, key(wish.key), "c", wish.nonce, run.now()));
-			run.down(step % 500 > 470);
+			ClaimAttempt attempt = new ClaimAttempt(run.random().nextInt(6), "k" + run.random().nextInt(300), "n" + id);
+			attempts.put(id, attempt);
+			run.carryOut(attempt.entry,
+					run.table(attempt.entry).claim(id, key(attempt.key), "c", attempt.nonce, run.now()));
+			run.setDown(step % 500 > 470);
 			run.run(1 + run.random().nextInt(4));
-			for (; seen < run.told().size(); seen++) {
-				Wish done = wishes.get(run.told().get(seen).verdict().id());
-				if (run.told().get(seen).verdict() instanceof ClaimVerdict.Claimed
-						&& holders.putIfAbsent(done.key, done.nonce) != null) {
-					doubled.add(done.key);
+			for (; seen < run.results().size(); seen++) {
+				ClaimAttempt attempted = attempts.get(run.results().get(seen).verdict().id());
+				if (run.results().get(seen).verdict() instanceof ClaimVerdict.Claimed
+						&& holders.putIfAbsent(attempted.key, attempted.nonce) != null) {
+					claimedTwice.add(attempted.key);
 				}
-				else if (done.nonce.equals(holders.get(done.key)) && run.random().nextInt(4) == 0) {
-					holders.remove(done.key);
-					run.carryOut(done.entry, run.table(done.entry).release(key(done.key), done.nonce, run.now()));
+				else if (attempted.nonce.equals(holders.get(attempted.key)) && run.random().nextInt(4) == 0) {
+					holders.remove(attempted.key);
+					run.carryOut(attempted.entry,
+							run.table(attempted.entry).release(key(attempted.key), attempted.nonce, run.now()));
 				}
 			}
 		}
-		assertThat(doubled, empty());
+		assertThat(claimedTwice, empty());
 		assertThat(holders.isEmpty(), is(false));
 	}
 
@@ -227,7 +226,7 @@
 		this.sim.carryOut(entry, this.sim.table(entry).claim(id, key(key), "c", nonce, this.sim.now()));
 	}
 
-	private ClaimVerdict only(long id) {
+	private ClaimVerdict singleVerdict(long id) {
 		List<ClaimVerdict> verdicts = this.sim.verdicts(id);
 		assertThat(verdicts.size(), is(1));
 		return verdicts.getFirst();
@@ -238,19 +237,19 @@
 	}
 
 	private static ClaimKey key(String text) {
-		return ClaimKey.of("baobab", text, TIME);
+		return ClaimKey.of("baobab", text, ISSUED_MILLIS);
 	}
 
-	private static ClaimKey sameObject(String object, long time) {
+	private static ClaimKey sameObject(String object, long issuedMillis) {
 		for (int i = 0;; i++) {
-			ClaimKey candidate = ClaimKey.of("baobab", "taker" + i, time);
+			ClaimKey candidate = ClaimKey.of("baobab", "new" + i, issuedMillis);
 			if (candidate.object().equals(object)) {
 				return candidate;
 			}
 		}
 	}
 
-	private record Wish(int entry, String key, String nonce) {
+	private record ClaimAttempt(int entry, String key, String nonce) {
 	}
 
 }
