--- a/policy/src/main/java/org/wisteriapost/policy/agent/AcceptedBundle.java
+++ b/policy/src/main/java/org/wisteriapost/policy/agent/AcceptedBundle.java
@@ -9,31 +9,34 @@
 import org.wisteriapost.policy.bundle.WeightFile;
 
 /**
- * A bundle whose content and approvals were checked, and what it asks of this agent.
+ * A bundle whose content digest and approvals were verified, with the parts that concern
+ * this agent.
  *
- * @param generation of the head that named it
- * @param digest of its content
- * @param content its canonical bytes, to pass on
- * @param signatures of its operators, to pass on
- * @param spec this agent's service, empty when the bundle does not run it on this VM
- * @param files what the service's runner needs; empty for a plain service
- * @param weightsDigest of the files together; empty for a plain service
+ * @param generation generation of the head that references it
+ * @param digest digest of its content
+ * @param content its canonical bytes, forwarded to peers
+ * @param signatures signatures by operator, forwarded to peers
+ * @param serviceSpec this agent's service, empty when the bundle does not assign it to
+ * this VM
+ * @param files the weight files that the service's runner needs; empty for a plain
+ * service
+ * @param weightsDigest combined digest of the files; empty for a plain service
  */
 record AcceptedBundle(long generation, String digest, byte[] content, Map<String, byte[]> signatures,
-		Optional<ServiceSpec> spec, List<WeightFile> files, String weightsDigest) {
+		Optional<ServiceSpec> serviceSpec, List<WeightFile> files, String weightsDigest) {
 
-	static AcceptedBundle of(AgentIdentity self, long generation, String digest, byte[] content,
+	static AcceptedBundle of(AgentIdentity identity, long generation, String digest, byte[] content,
 			Map<String, byte[]> signatures, Bundle bundle) {
-		Optional<ServiceSpec> spec = bundle.service(self.service())
-			.filter((found) -> found.runsOn(self.vm(), self.place()))
-			.filter((found) -> self.plain() == (found.kind() == ServiceSpec.Kind.PLAIN));
+		Optional<ServiceSpec> spec = bundle.service(identity.service())
+			.filter((found) -> found.runsOn(identity.vm(), identity.place()))
+			.filter((found) -> identity.plain() == (found.kind() == ServiceSpec.Kind.PLAIN));
 		return new AcceptedBundle(generation, digest, content, signatures, spec,
 				spec.map(bundle::filesOf).orElse(List.of()), spec.map(bundle::weightsDigest).orElse(""));
 	}
 
-	AcceptedBundle at(long higher) {
-		return new AcceptedBundle(higher, this.digest, this.content, this.signatures, this.spec, this.files,
-				this.weightsDigest);
+	AcceptedBundle withGeneration(long newGeneration) {
+		return new AcceptedBundle(newGeneration, this.digest, this.content, this.signatures, this.serviceSpec,
+				this.files, this.weightsDigest);
 	}
 
 }
--- a/policy/src/main/java/org/wisteriapost/policy/agent/AgentEffect.java
+++ b/policy/src/main/java/org/wisteriapost/policy/agent/AgentEffect.java
@@ -5,132 +5,132 @@
 import org.wisteriapost.policy.bundle.WeightFile;
 
 /**
- * Everything that an agent's decisions ask the I/O layer to do.
+ * An action that {@link AgentMachine} requests from the I/O layer.
  */
 public sealed interface AgentEffect {
 
 	/**
-	 * Come back with a {@link AgentEvent.Tick}.
+	 * Schedules a {@link AgentEvent.Tick}.
 	 *
-	 * @param delayNanos after this time
+	 * @param delayNanos delay until the tick
 	 */
 	record Wake(long delayNanos) implements AgentEffect {
 	}
 
 	/**
-	 * Read a platform object.
+	 * Reads a platform object.
 	 *
-	 * @param key its key
+	 * @param key key of the object
 	 */
 	record ReadObject(String key) implements AgentEffect {
 	}
 
 	/**
-	 * Write a platform object.
+	 * Writes a platform object by conditional update.
 	 *
-	 * @param key its key
-	 * @param value its new bytes
-	 * @param version the version it must have, {@link #ABSENT} or {@link #ANYTHING}
+	 * @param key key of the object
+	 * @param value new value
+	 * @param version expected current version, {@link #ABSENT} or {@link #ANYTHING}
 	 */
 	record WriteObject(String key, byte[] value, long version) implements AgentEffect {
 
-		/** As the version: the object does not exist. */
+		/** Expected version of an object that does not exist. */
 		public static final long ABSENT = 0;
 
-		/** As the version: whatever is there. */
+		/** Writes unconditionally. */
 		public static final long ANYTHING = -1;
 
 	}
 
 	/**
-	 * Get a bundle with its approvals from an entry, or else from the platform.
+	 * Fetches a bundle with its approvals from an entry, falling back to the platform.
 	 *
-	 * @param digest of its content
+	 * @param digest digest of its content
 	 */
 	record FetchBundle(String digest) implements AgentEffect {
 	}
 
 	/**
-	 * Bring files into the weight store; ends any other fetch.
+	 * Fetches files into the weight store and cancels any other fetch.
 	 *
-	 * @param weightsDigest of the files together
-	 * @param files what to fetch
+	 * @param weightsDigest combined digest of the files
+	 * @param files files to fetch
 	 */
 	record FetchWeights(String weightsDigest, List<WeightFile> files) implements AgentEffect {
 	}
 
 	/**
-	 * Drop files from the weight store that the bundle in force does not name.
+	 * Deletes files from the weight store that the active bundle does not reference.
 	 *
-	 * @param files digests
+	 * @param files digests of the files
 	 */
 	record DropWeights(List<String> files) implements AgentEffect {
 	}
 
-	/** Ask the engine what it serves. */
+	/** Reads the engine's status. */
 	record ReadEngine() implements AgentEffect {
 	}
 
 	/**
-	 * Order the engine to load weights, unless the clock has passed a time directly
-	 * before the order goes out.
+	 * Orders the engine to load weights. The I/O layer checks the clock directly before
+	 * sending and does not send the order after the lease has expired.
 	 *
-	 * @param weightsDigest of the files together
+	 * @param weightsDigest combined digest of the files
 	 * @param files digests of the files
-	 * @param generation of the head
-	 * @param epoch of this agent
-	 * @param notAfterNanos end of the lease
+	 * @param generation generation of the head
+	 * @param epoch epoch of this agent
+	 * @param notAfterNanos expiry of the lease
 	 */
 	record SendOrder(String weightsDigest, List<String> files, long generation, long epoch,
 			long notAfterNanos) implements AgentEffect {
 	}
 
 	/**
-	 * Send a call to the runner.
+	 * Sends a call to the runner.
 	 *
-	 * @param call the call
+	 * @param call identifier of the call
 	 */
 	record StartCall(long call) implements AgentEffect {
 	}
 
 	/**
-	 * Tell the entry that a call was not run.
+	 * Reports to the entry that a call was not run.
 	 *
-	 * @param call the call
-	 * @param code why
-	 * @param retryAfterMillis when to come back, 0 for no word
+	 * @param call identifier of the call
+	 * @param code reason
+	 * @param retryAfterMillis suggested delay before a retry, 0 for none
 	 */
 	record RefuseCall(long call, String code, long retryAfterMillis) implements AgentEffect {
 	}
 
 	/**
-	 * Cancel a call at the runner, or forget one that has not started.
+	 * Cancels a call at the runner, or discards one that has not started.
 	 *
-	 * @param call the call
+	 * @param call identifier of the call
 	 */
 	record CancelCall(long call) implements AgentEffect {
 	}
 
-	/** Send a report to every entry now. */
+	/** Sends a status report to every entry immediately. */
 	record ReportNow() implements AgentEffect {
 	}
 
-	/** Tell every entry that this VM takes no new calls. */
+	/** Announces to every entry that this VM accepts no new calls. */
 	record SayLeaving() implements AgentEffect {
 	}
 
 	/**
-	 * Tell the transfer of weights how late live traffic is.
+	 * Throttles the transfer of weights according to the latency of live traffic.
 	 *
-	 * @param share 0 when calm, 1 when every answer is late
+	 * @param share share of late responses, from 0 to 1
 	 */
 	record SlowTransfer(double share) implements AgentEffect {
 	}
 
 	/**
-	 * End the process.
+	 * Stops the process.
 	 *
-	 * @param code why, empty when it drained as asked
+	 * @param code reason, empty after a complete drain
 	 */
 	record Stop(String code) implements AgentEffect {
 	}
--- a/policy/src/main/java/org/wisteriapost/policy/agent/AgentEvent.java
+++ b/policy/src/main/java/org/wisteriapost/policy/agent/AgentEvent.java
@@ -7,83 +7,84 @@
 import org.wisteriapost.policy.request.Priority;
 
 /**
- * Everything that an agent's decisions learn.
+ * An input of {@link AgentMachine}.
  */
 public sealed interface AgentEvent {
 
-	/** Time has passed: once a second, and when a {@link AgentEffect.Wake} is due. */
+	/** Sent once a second and when a {@link AgentEffect.Wake} is due. */
 	record Tick() implements AgentEvent {
 	}
 
 	/**
-	 * Somebody said what the head is.
+	 * A peer or the platform reported a head.
 	 *
-	 * @param generation of the head
-	 * @param digest of its bundle
-	 * @param confirmed whether the speaker read it from the platform itself
-	 * @param ageMillis how long ago it did
+	 * @param generation generation of the head
+	 * @param digest digest of its bundle
+	 * @param confirmed whether the sender read it from the platform itself
+	 * @param ageMillis time since the sender read it
 	 */
 	record HeadHeard(long generation, String digest, boolean confirmed, long ageMillis) implements AgentEvent {
 	}
 
 	/**
-	 * How many entries are connected.
+	 * The number of connected entries has changed.
 	 *
-	 * @param count links with an entry at the other end
+	 * @param count number of links to entries
 	 */
 	record EntriesConnected(int count) implements AgentEvent {
 	}
 
 	/**
-	 * The bytes that someone says are a bundle.
+	 * A bundle was received and is not verified yet.
 	 *
-	 * @param digest the digest that was asked for
-	 * @param content unchecked
-	 * @param signatures of operators by name, unchecked
+	 * @param digest requested digest
+	 * @param content unverified content
+	 * @param signatures unverified signatures by operator
 	 */
 	record BundleArrived(String digest, byte[] content, Map<String, byte[]> signatures) implements AgentEvent {
 	}
 
 	/**
-	 * Nobody could give a bundle now.
+	 * No source could provide a bundle.
 	 *
-	 * @param digest the digest that was asked for
+	 * @param digest requested digest
 	 */
 	record BundleMissing(String digest) implements AgentEvent {
 	}
 
 	/**
-	 * All chunks are verified and in the weight store.
+	 * All chunks are verified and stored in the weight store.
 	 *
-	 * @param weightsDigest of the files together
+	 * @param weightsDigest combined digest of the files
 	 */
 	record WeightsFetched(String weightsDigest) implements AgentEvent {
 	}
 
 	/**
-	 * The weights cannot be had.
+	 * A fetch of weights failed.
 	 *
-	 * @param weightsDigest of the files together
-	 * @param code why
+	 * @param weightsDigest combined digest of the files
+	 * @param code reason
 	 */
 	record WeightsFailed(String weightsDigest, String code) implements AgentEvent {
 	}
 
 	/**
-	 * How far the fetch has come.
+	 * Progress of the current fetch.
 	 *
-	 * @param verified chunks
-	 * @param total chunks
+	 * @param verified number of chunks fetched and verified
+	 * @param total number of chunks needed
 	 */
 	record FetchProgress(long verified, long total) implements AgentEvent {
 	}
 
 	/**
-	 * A platform object as it stood at some time after the read was sent.
+	 * A platform object was read; its value was current at some time after the read was
+	 * sent.
 	 *
-	 * @param key its key
-	 * @param value empty when it does not exist
-	 * @param sentNanos when the read was sent
+	 * @param key key of the object
+	 * @param value empty when the object does not exist
+	 * @param sentNanos time at which the read was sent
 	 */
 	record ObjectRead(String key, Optional<StoredObject> value, long sentNanos) implements AgentEvent {
 	}
@@ -91,7 +92,7 @@
 	/**
 	 * A read failed.
 	 *
-	 * @param key what was read
+	 * @param key key of the object
 	 */
 	record ObjectUnread(String key) implements AgentEvent {
 	}
@@ -99,41 +100,41 @@
 	/**
 	 * A write took effect.
 	 *
-	 * @param key what was written
+	 * @param key key of the object
 	 * @param version its new version
 	 */
 	record ObjectWritten(String key, long version) implements AgentEvent {
 	}
 
 	/**
-	 * A write had no effect: the object was not as expected.
+	 * A write had no effect because the object did not have the expected version.
 	 *
-	 * @param key what was to be written
+	 * @param key key of the object
 	 */
 	record ObjectConflict(String key) implements AgentEvent {
 	}
 
 	/**
-	 * A write failed, and may have taken effect all the same.
+	 * A write was not confirmed and may or may not have taken effect.
 	 *
-	 * @param key what was to be written
+	 * @param key key of the object
 	 */
 	record ObjectUnconfirmed(String key) implements AgentEvent {
 	}
 
 	/**
-	 * What the engine says of itself.
+	 * The engine's status was read.
 	 *
-	 * @param view its state
+	 * @param view the status
 	 */
 	record EngineRead(EngineView view) implements AgentEvent {
 	}
 
-	/** The engine did not say what it serves. */
+	/** Reading the engine's status failed. */
 	record EngineUnread() implements AgentEvent {
 	}
 
-	/** The engine answered that it took the order. */
+	/** The engine accepted the order. */
 	record OrderTaken() implements AgentEvent {
 	}
 
@@ -141,69 +142,70 @@
 	record OrderFenced() implements AgentEvent {
 	}
 
-	/** The order's answer was lost; it may have been taken. */
+	/** The engine's response was lost; the order may have been accepted. */
 	record OrderUnconfirmed() implements AgentEvent {
 	}
 
-	/** The order was not sent: the lease had run out when it was its turn. */
+	/** The order was not sent because the lease had expired. */
 	record OrderLapsed() implements AgentEvent {
 	}
 
 	/**
-	 * The live agents of this service and place in the VM list, this one included.
+	 * The live agents of this service and failure domain according to the VM list,
+	 * including this one.
 	 *
-	 * @param vms their names
-	 * @param selfLeaving whether the list says that this VM is to go
+	 * @param vms names of their VMs
+	 * @param selfLeaving whether the list marks this VM for removal
 	 */
 	record PeersRead(List<String> vms, boolean selfLeaving) implements AgentEvent {
 	}
 
 	/**
-	 * A call from an entry.
+	 * An entry sent a call.
 	 *
-	 * @param call unique in this process
-	 * @param priority the caller's urgency
-	 * @param weightsDigest what it must be answered with; empty for a plain service
-	 * @param arrivedNanos when it came in
-	 * @param deadlineNanos when the caller stops waiting
+	 * @param call identifier, unique in this process
+	 * @param priority priority given by the caller
+	 * @param weightsDigest weights that must answer it; empty for a plain service
+	 * @param arrivedNanos arrival time
+	 * @param deadlineNanos time at which the caller stops waiting
 	 */
 	record CallArrived(long call, Priority priority, String weightsDigest, long arrivedNanos,
 			long deadlineNanos) implements AgentEvent {
 	}
 
 	/**
-	 * The runner's answer has begun.
+	 * The runner sent the first byte of its response.
 	 *
-	 * @param call the call
+	 * @param call identifier of the call
 	 */
 	record CallAnswered(long call) implements AgentEvent {
 	}
 
 	/**
-	 * A started call is over, whatever became of it.
+	 * A started call has ended, successfully or not.
 	 *
-	 * @param call the call
+	 * @param call identifier of the call
 	 */
 	record CallEnded(long call) implements AgentEvent {
 	}
 
 	/**
-	 * The entry does not want a call any more, or its link is gone.
+	 * The entry cancelled a call, or its link was disconnected.
 	 *
-	 * @param call the call
+	 * @param call identifier of the call
 	 */
 	record CallCancelled(long call) implements AgentEvent {
 	}
 
-	/** An answer came from other weights than the call asked for; it was withheld. */
+	/** A response came from other weights than requested and was withheld. */
 	record WrongWeightsAnswered() implements AgentEvent {
 	}
 
-	/** No connection to the runner could be made. */
+	/** A connection to the runner could not be established. */
 	record RunnerUnreachable() implements AgentEvent {
 	}
 
-	/** A signal or the platform's mark says that this VM is to go. */
+	/** A signal, or a mark in the platform, requests that this VM drain and stop. */
 	record LeaveAsked() implements AgentEvent {
 	}
 
--- a/policy/src/main/java/org/wisteriapost/policy/agent/AgentIdentity.java
+++ b/policy/src/main/java/org/wisteriapost/policy/agent/AgentIdentity.java
@@ -1,13 +1,13 @@
 package org.wisteriapost.policy.agent;
 
 /**
- * Which agent this is.
+ * Identity of an agent.
  *
  * @param vm its VM
  * @param place its failure domain
- * @param service what its runner serves
+ * @param service service that its runner provides
  * @param plain whether the runner is a plain service, without weights
- * @param nonce unique to this process, so that it knows its own writes
+ * @param nonce unique to this process; identifies its own writes
  */
 public record AgentIdentity(String vm, String place, String service, boolean plain, String nonce) {
 
--- a/policy/src/main/java/org/wisteriapost/policy/agent/AgentLimits.java
+++ b/policy/src/main/java/org/wisteriapost/policy/agent/AgentLimits.java
@@ -3,17 +3,19 @@
 import java.time.Duration;
 
 /**
- * An agent's figures, from the settings.
+ * Limits and timeouts of an agent, from the settings.
  *
- * @param capacity calls at once at a plain runner, and at an engine that states none
- * @param queue calls that may wait at the gate
- * @param lease how long a look at the own epoch in the platform allows an order
- * @param fresh how old the platform's word on the head may be when a starting agent first
- * relies on it
- * @param slotExpiry after how long without a sign a switching VM no longer counts as
- * switching but as lost
- * @param share largest share of a place's runners of one service that switch at once
- * @param drain longest wait for running calls when leaving
+ * @param capacity maximum concurrent calls at a plain runner, and at an engine that
+ * reports no capacity
+ * @param queue maximum number of calls queued at the gate
+ * @param lease how long orders may be sent after the agent's epoch was confirmed in the
+ * platform
+ * @param fresh maximum staleness of a head at which a starting agent first relies on it
+ * @param slotExpiry time without a heartbeat after which a switching VM counts as
+ * unresponsive
+ * @param share maximum share of a failure domain's runners of one service that switch
+ * weights concurrently
+ * @param drain maximum time to wait for running calls before the process stops
  */
 public record AgentLimits(int capacity, int queue, Duration lease, Duration fresh, Duration slotExpiry, double share,
 		Duration drain) {
--- a/policy/src/main/java/org/wisteriapost/policy/agent/AgentMachine.java
+++ b/policy/src/main/java/org/wisteriapost/policy/agent/AgentMachine.java
@@ -10,8 +10,9 @@
 import org.wisteriapost.policy.bundle.Head;
 
 /**
- * Returns for each event the effects that the I/O layer must carry out. Used by one
- * thread.
+ * State machine of an agent: follows the head, switches the engine's weights, admits
+ * calls and drains. It does no I/O itself; each event yields the effects that the I/O
+ * layer must carry out. Not thread-safe.
  */
 public final class AgentMachine {
 
@@ -20,34 +21,34 @@
 
 	private static final String HEAD_KEY = "head";
 
-	// While nobody has confirmed the head, and while no entry is connected, the agent
-	// asks
-	// the platform itself: seldom, since after an outage all agents do it at once.
-	private static final long HEAD_POLL_NANOS = 2_000_000_000L;
+	// Interval at which the agent reads the head from the platform itself, while no
+	// sender has confirmed the head or no entry is connected. It is long because after
+	// an outage all agents read at once.
+	private static final long HEAD_POLL_INTERVAL_NANOS = 2_000_000_000L;
 
-	private static final long RUNNER_REST_NANOS = 1_000_000_000L;
+	private static final long RUNNER_BACKOFF_NANOS = 1_000_000_000L;
 
-	// Entries hear of the leaving within milliseconds; a call that was already on its way
-	// must still meet a gate that says "not run" rather than a closed link.
-	private static final long LINGER_NANOS = 1_000_000_000L;
+	// Minimum time between announcing the drain and stopping, so that a call already in
+	// flight is refused as not run instead of failing on a closed link.
+	private static final long MIN_DRAIN_NANOS = 1_000_000_000L;
 
-	private final AgentIdentity self;
+	private final AgentIdentity identity;
 
 	private final AgentLimits limits;
 
 	private final HeadTracker head;
 
-	private final BundleIntake intake;
+	private final BundleAcceptor bundles;
 
 	private final EpochLease lease;
 
-	private final SlotHolder slots;
+	private final SwitchSlotClient slots;
 
-	private final WeightSwitch weights;
+	private final WeightSwitch weightSwitch;
 
 	private final CallGate gate;
 
-	private final StatusWriter status;
+	private final StatusWriter statusWriter;
 
 	private AgentView view = AgentView.STARTING;
 
@@ -57,300 +58,305 @@
 
 	private boolean stopped;
 
-	private long leaveSince;
+	private long leavingSinceNanos;
 
-	private int entries;
+	private int connectedEntries;
 
-	private boolean headReading;
+	private boolean headReadInFlight;
 
-	private long headAt;
+	private long nextHeadReadNanos;
 
-	private long runnerRestUntil;
+	private long runnerBackoffUntilNanos;
 
-	private long verified;
+	private long verifiedChunks;
 
-	private long total;
+	private long totalChunks;
 
-	private double lateSaid;
+	private double signalledLateShare;
 
-	private long wakeAt = Long.MAX_VALUE;
+	private long scheduledWakeNanos = Long.MAX_VALUE;
 
-	private AgentMachine(AgentIdentity self, AgentLimits limits, OperatorKeys operators, Invariants invariants,
+	private AgentMachine(AgentIdentity identity, AgentLimits limits, OperatorKeys approvalPolicy, Invariants invariants,
 			UniformRandomProvider random) {
-		this.self = self;
+		this.identity = identity;
 		this.limits = limits;
 		this.head = new HeadTracker(limits, invariants);
-		this.intake = new BundleIntake(self, operators, invariants);
-		this.lease = new EpochLease(self, limits);
-		this.slots = new SlotHolder(self, limits, random);
-		this.weights = new WeightSwitch(self, this.head, this.intake, this.lease, this.slots, invariants);
+		this.bundles = new BundleAcceptor(identity, approvalPolicy, invariants);
+		this.lease = new EpochLease(identity, limits);
+		this.slots = new SwitchSlotClient(identity, limits, random);
+		this.weightSwitch = new WeightSwitch(identity, this.head, this.bundles, this.lease, this.slots, invariants);
 		this.gate = new CallGate(limits);
-		this.status = new StatusWriter(self);
+		this.statusWriter = new StatusWriter(identity);
 	}
 
 	/**
-	 * Returns a machine that knows nothing yet.
-	 * @param random seeded; spreads retries
+	 * Returns a machine in its initial state.
+	 * @param random source of retry jitter
 	 */
-	public static AgentMachine create(AgentIdentity self, AgentLimits limits, OperatorKeys operators,
+	public static AgentMachine create(AgentIdentity identity, AgentLimits limits, OperatorKeys approvalPolicy,
 			Invariants invariants, UniformRandomProvider random) {
-		return new AgentMachine(self, limits, operators, invariants, random);
+		return new AgentMachine(identity, limits, approvalPolicy, invariants, random);
 	}
 
 	/**
-	 * Returns what the agent says of itself after the last event.
+	 * Returns the status after the last event.
 	 */
 	public AgentView view() {
 		return this.view;
 	}
 
 	/**
-	 * Applies one event.
-	 * @param nowNanos the monotonic clock
+	 * Applies an event and returns the effects to carry out.
+	 * @param nowNanos current time of the monotonic clock
 	 */
 	public List<AgentEffect> apply(AgentEvent event, long nowNanos) {
-		Turn turn = new Turn(nowNanos);
+		EventContext context = new EventContext(nowNanos);
 		if (this.stopped) {
-			return turn.effects();
+			return context.effects();
 		}
 		if (!this.started) {
 			this.started = true;
-			this.headAt = nowNanos;
-			this.lease.start(turn);
-			this.weights.tick(turn);
+			this.nextHeadReadNanos = nowNanos;
+			this.lease.start(context);
+			this.weightSwitch.tick(context);
 		}
-		handle(event, turn);
-		advance(turn);
-		return turn.effects();
+		handle(event, context);
+		advance(context);
+		return context.effects();
 	}
 
-	private void handle(AgentEvent event, Turn turn) {
+	private void handle(AgentEvent event, EventContext context) {
 		switch (event) {
-			case AgentEvent.Tick tick -> tick(turn);
-			case AgentEvent.HeadHeard heard -> this.head.hear(heard);
-			case AgentEvent.EntriesConnected connected -> this.entries = connected.count();
-			case AgentEvent.BundleArrived arrived -> this.intake.arrived(arrived, this.head, turn);
-			case AgentEvent.BundleMissing missing -> this.intake.missing(missing.digest(), turn);
-			case AgentEvent.WeightsFetched fetched -> this.weights.fetched(fetched.weightsDigest());
+			case AgentEvent.Tick tick -> tick(context);
+			case AgentEvent.HeadHeard received -> this.head.receive(received);
+			case AgentEvent.EntriesConnected connected -> this.connectedEntries = connected.count();
+			case AgentEvent.BundleArrived bundle -> this.bundles.received(bundle, this.head, context);
+			case AgentEvent.BundleMissing unavailable -> this.bundles.unavailable(unavailable.digest(), context);
+			case AgentEvent.WeightsFetched fetched -> this.weightSwitch.fetched(fetched.weightsDigest());
 			case AgentEvent.WeightsFailed failed ->
-				this.weights.fetchFailed(failed.weightsDigest(), failed.code(), turn);
-			case AgentEvent.FetchProgress progress -> progress(progress);
-			case AgentEvent.ObjectRead read -> read(read, turn);
-			case AgentEvent.ObjectUnread unread -> unread(unread.key(), turn);
-			case AgentEvent.ObjectWritten written -> written(written.key(), turn);
-			case AgentEvent.ObjectConflict conflict -> unwritten(conflict.key(), true, turn);
-			case AgentEvent.ObjectUnconfirmed lost -> unwritten(lost.key(), false, turn);
-			case AgentEvent.EngineRead engine -> this.weights.engineRead(engine.view(), turn);
-			case AgentEvent.EngineUnread unread -> this.weights.engineUnread(turn);
-			case AgentEvent.OrderTaken taken -> this.weights.orderEnded(taken, turn);
-			case AgentEvent.OrderFenced fenced -> this.weights.orderEnded(fenced, turn);
-			case AgentEvent.OrderUnconfirmed lost -> this.weights.orderEnded(lost, turn);
-			case AgentEvent.OrderLapsed lapsed -> this.weights.orderEnded(lapsed, turn);
-			case AgentEvent.PeersRead peers -> peers(peers, turn);
-			case AgentEvent.CallArrived call -> this.gate.arrive(call, turn);
-			case AgentEvent.CallAnswered answered -> this.gate.answered(answered.call(), turn);
-			case AgentEvent.CallEnded ended -> this.gate.ended(ended.call(), turn);
-			case AgentEvent.CallCancelled cancelled -> this.gate.cancelled(cancelled.call(), turn);
-			case AgentEvent.WrongWeightsAnswered wrong -> this.weights.doubt(turn);
-			case AgentEvent.RunnerUnreachable down -> this.runnerRestUntil = turn.now() + RUNNER_REST_NANOS;
-			case AgentEvent.LeaveAsked leave -> leave(turn);
+				this.weightSwitch.fetchFailed(failed.weightsDigest(), failed.code(), context);
+			case AgentEvent.FetchProgress progress -> updateProgress(progress);
+			case AgentEvent.ObjectRead read -> objectRead(read, context);
+			case AgentEvent.ObjectUnread failed -> objectReadFailed(failed.key(), context);
+			case AgentEvent.ObjectWritten written -> objectWritten(written.key(), context);
+			case AgentEvent.ObjectConflict conflict -> objectWriteFailed(conflict.key(), true, context);
+			case AgentEvent.ObjectUnconfirmed unconfirmed -> objectWriteFailed(unconfirmed.key(), false, context);
+			case AgentEvent.EngineRead engine -> this.weightSwitch.engineRead(engine.view(), context);
+			case AgentEvent.EngineUnread failed -> this.weightSwitch.engineReadFailed(context);
+			case AgentEvent.OrderTaken accepted -> this.weightSwitch.orderCompleted(accepted, context);
+			case AgentEvent.OrderFenced fenced -> this.weightSwitch.orderCompleted(fenced, context);
+			case AgentEvent.OrderUnconfirmed unconfirmed -> this.weightSwitch.orderCompleted(unconfirmed, context);
+			case AgentEvent.OrderLapsed expired -> this.weightSwitch.orderCompleted(expired, context);
+			case AgentEvent.PeersRead peers -> updatePeers(peers, context);
+			case AgentEvent.CallArrived call -> this.gate.arrived(call, context);
+			case AgentEvent.CallAnswered response -> this.gate.responseStarted(response.call(), context);
+			case AgentEvent.CallEnded ended -> this.gate.ended(ended.call(), context);
+			case AgentEvent.CallCancelled cancelled -> this.gate.cancelled(cancelled.call(), context);
+			case AgentEvent.WrongWeightsAnswered wrong -> this.weightSwitch.wrongWeightsDetected(context);
+			case AgentEvent.RunnerUnreachable unreachable ->
+				this.runnerBackoffUntilNanos = context.now() + RUNNER_BACKOFF_NANOS;
+			case AgentEvent.LeaveAsked leave -> startLeaving(context);
 		}
 	}
 
-	private void tick(Turn turn) {
-		if (turn.now() >= this.wakeAt) {
-			this.wakeAt = Long.MAX_VALUE;
+	private void tick(EventContext context) {
+		if (context.now() >= this.scheduledWakeNanos) {
+			this.scheduledWakeNanos = Long.MAX_VALUE;
 		}
-		this.lease.tick(turn);
-		this.weights.tick(turn);
-		this.gate.tick(turn);
+		this.lease.tick(context);
+		this.weightSwitch.tick(context);
+		this.gate.refuseExpired(context);
 	}
 
-	private void progress(AgentEvent.FetchProgress progress) {
-		this.verified = progress.verified();
-		this.total = progress.total();
+	private void updateProgress(AgentEvent.FetchProgress progress) {
+		this.verifiedChunks = progress.verified();
+		this.totalChunks = progress.total();
 	}
 
-	private void peers(AgentEvent.PeersRead peers, Turn turn) {
-		this.slots.peers(peers.vms());
+	private void updatePeers(AgentEvent.PeersRead peers, EventContext context) {
+		this.slots.updatePeers(peers.vms());
 		if (peers.selfLeaving()) {
-			leave(turn);
+			startLeaving(context);
 		}
 	}
 
-	private void read(AgentEvent.ObjectRead read, Turn turn) {
+	private void objectRead(AgentEvent.ObjectRead read, EventContext context) {
 		if (read.key().equals(HEAD_KEY)) {
-			this.headReading = false;
+			this.headReadInFlight = false;
 			Head stored = read.value().map((object) -> BundleCodec.head(object.value())).orElse(Head.NONE);
-			long ageMillis = (turn.now() - read.sentNanos()) / 1_000_000;
-			this.head.hear(new AgentEvent.HeadHeard(stored.generation(), stored.digest(), true, ageMillis));
+			long stalenessMillis = (context.now() - read.sentNanos()) / 1_000_000;
+			this.head.receive(new AgentEvent.HeadHeard(stored.generation(), stored.digest(), true, stalenessMillis));
 		}
-		else if (read.key().equals(this.self.leaseKey())) {
-			this.lease.read(read, turn);
+		else if (read.key().equals(this.identity.leaseKey())) {
+			this.lease.read(read, context);
 		}
-		else if (read.key().equals(this.self.slotsKey())) {
-			this.slots.read(read.value(), turn);
+		else if (read.key().equals(this.identity.slotsKey())) {
+			this.slots.read(read.value(), context);
 		}
 	}
 
-	private void unread(String key, Turn turn) {
+	private void objectReadFailed(String key, EventContext context) {
 		if (key.equals(HEAD_KEY)) {
-			this.headReading = false;
+			this.headReadInFlight = false;
 		}
-		else if (key.equals(this.self.leaseKey())) {
-			this.lease.unread(turn);
+		else if (key.equals(this.identity.leaseKey())) {
+			this.lease.readFailed(context);
 		}
-		else if (key.equals(this.self.slotsKey())) {
-			this.slots.unread(turn);
+		else if (key.equals(this.identity.slotsKey())) {
+			this.slots.readFailed(context);
 		}
 	}
 
-	private void written(String key, Turn turn) {
-		if (key.equals(this.self.leaseKey())) {
-			this.lease.written(turn);
+	private void objectWritten(String key, EventContext context) {
+		if (key.equals(this.identity.leaseKey())) {
+			this.lease.written(context);
 		}
-		else if (key.equals(this.self.slotsKey())) {
-			this.slots.written(turn);
+		else if (key.equals(this.identity.slotsKey())) {
+			this.slots.written(context);
 		}
-		else if (key.equals(this.self.statusKey())) {
-			this.status.ended(true);
+		else if (key.equals(this.identity.statusKey())) {
+			this.statusWriter.writeCompleted(true);
 		}
 	}
 
-	private void unwritten(String key, boolean conflict, Turn turn) {
-		if (key.equals(this.self.leaseKey())) {
-			this.lease.unwritten(conflict, turn);
+	private void objectWriteFailed(String key, boolean conflict, EventContext context) {
+		if (key.equals(this.identity.leaseKey())) {
+			this.lease.writeFailed(conflict, context);
 		}
-		else if (key.equals(this.self.slotsKey())) {
-			this.slots.unwritten(conflict, turn);
+		else if (key.equals(this.identity.slotsKey())) {
+			this.slots.writeFailed(conflict, context);
 		}
-		else if (key.equals(this.self.statusKey())) {
-			this.status.ended(false);
+		else if (key.equals(this.identity.statusKey())) {
+			this.statusWriter.writeCompleted(false);
 		}
 	}
 
-	private void leave(Turn turn) {
+	private void startLeaving(EventContext context) {
 		if (!this.leaving) {
 			this.leaving = true;
-			this.leaveSince = turn.now();
-			turn.add(new AgentEffect.SayLeaving());
+			this.leavingSinceNanos = context.now();
+			context.add(new AgentEffect.SayLeaving());
 		}
 	}
 
-	private void advance(Turn turn) {
-		followHead(turn);
-		this.intake.advance(this.head, turn);
-		this.gate.admission(admission(turn), turn);
+	private void advance(EventContext context) {
+		pollHead(context);
+		this.bundles.advance(this.head, context);
+		this.gate.updateAdmission(admissionRules(context), context);
 		if (!this.leaving) {
-			this.weights.advance(this.gate.running(), turn);
-			this.gate.admission(admission(turn), turn);
+			this.weightSwitch.advance(this.gate.running(), context);
+			this.gate.updateAdmission(admissionRules(context), context);
 		}
-		this.slots.advance(turn);
-		show(turn);
-		if (this.lease.lost() || this.weights.replaced()) {
-			stop(EpochLease.REPLACED.name(), turn);
+		this.slots.advance(context);
+		updateStatus(context);
+		if (this.lease.replaced() || this.weightSwitch.replaced()) {
+			stop(EpochLease.REPLACED.name(), context);
 		}
-		drain(turn);
-		wake(turn);
+		drain(context);
+		scheduleWake(context);
 	}
 
-	private void followHead(Turn turn) {
-		boolean needed = !this.head.established() || this.entries == 0;
-		if (!needed || this.headReading) {
+	private void pollHead(EventContext context) {
+		boolean needed = !this.head.established() || this.connectedEntries == 0;
+		if (!needed || this.headReadInFlight) {
 			return;
 		}
-		if (turn.now() < this.headAt) {
-			turn.wakeAt(this.headAt);
+		if (context.now() < this.nextHeadReadNanos) {
+			context.wakeAt(this.nextHeadReadNanos);
 			return;
 		}
-		this.headReading = true;
-		this.headAt = turn.now() + HEAD_POLL_NANOS;
-		turn.add(new AgentEffect.ReadObject(HEAD_KEY));
+		this.headReadInFlight = true;
+		this.nextHeadReadNanos = context.now() + HEAD_POLL_INTERVAL_NANOS;
+		context.add(new AgentEffect.ReadObject(HEAD_KEY));
 	}
 
-	private Admission admission(Turn turn) {
-		boolean rested = turn.now() >= this.runnerRestUntil;
-		if (!rested) {
-			turn.wakeAt(this.runnerRestUntil);
+	private AdmissionRules admissionRules(EventContext context) {
+		boolean backoffElapsed = context.now() >= this.runnerBackoffUntilNanos;
+		if (!backoffElapsed) {
+			context.wakeAt(this.runnerBackoffUntilNanos);
 		}
-		boolean open = this.self.plain() ? plainAdmitting() : this.weights.admitting();
-		return new Admission(open && rested && !this.leaving, this.leaving, this.weights.serving(), capacity());
+		boolean ready = this.identity.plain() ? plainAdmitting() : this.weightSwitch.admitting();
+		return new AdmissionRules(ready && backoffElapsed && !this.leaving, this.leaving,
+				this.weightSwitch.servedWeights(), capacity());
 	}
 
 	/**
-	 * A plain service has no weights that an old head could turn back, so any bundle that
-	 * runs it here is reason enough.
+	 * Returns whether an accepted bundle assigns the plain service to this VM. The head
+	 * need not be confirmed, since a plain service has no weights that a stale head could
+	 * revert.
 	 */
 	private boolean plainAdmitting() {
-		return this.intake.accepted().filter((bundle) -> bundle.spec().isPresent()).isPresent();
+		return this.bundles.accepted().filter((bundle) -> bundle.serviceSpec().isPresent()).isPresent();
 	}
 
 	private int capacity() {
-		return this.weights.engine()
+		return this.weightSwitch.engineStatus()
 			.map(EngineView::capacity)
-			.filter((stated) -> stated > 0)
+			.filter((reported) -> reported > 0)
 			.orElse(this.limits.capacity());
 	}
 
-	private void show(Turn turn) {
-		AgentView before = this.view;
-		Admission admission = admission(turn);
-		Optional<AcceptedBundle> bundle = this.intake.accepted();
-		int engineRunning = this.weights.engine().map(EngineView::running).orElse(0);
-		int engineQueued = this.weights.engine().map(EngineView::queued).orElse(0);
+	private void updateStatus(EventContext context) {
+		AgentView previous = this.view;
+		AdmissionRules admission = admissionRules(context);
+		Optional<AcceptedBundle> bundle = this.bundles.accepted();
+		int engineRunning = this.weightSwitch.engineStatus().map(EngineView::running).orElse(0);
+		int engineQueued = this.weightSwitch.engineStatus().map(EngineView::queued).orElse(0);
 		this.view = new AgentView(admission.admitting(), this.leaving, admission.weightsDigest(),
 				bundle.map(AcceptedBundle::generation).orElse(0L), bundle.map(AcceptedBundle::digest).orElse(""),
 				Math.max(this.gate.running(), engineRunning), admission.capacity(), this.gate.queued() + engineQueued,
-				this.verified, this.total, failing(), this.lease.epoch().orElse(0), this.head.generation(),
-				this.head.digest(), bundle.map((one) -> new AgentView.BundleCopy(one.content(), one.signatures())));
-		if (this.view.differs(before)) {
-			turn.add(new AgentEffect.ReportNow());
+				this.verifiedChunks, this.totalChunks, failureCode(), this.lease.epoch().orElse(0),
+				this.head.generation(), this.head.digest(),
+				bundle.map((one) -> new AgentView.BundleCopy(one.content(), one.signatures())));
+		if (this.view.requiresImmediateReport(previous)) {
+			context.add(new AgentEffect.ReportNow());
 		}
-		this.status.advance(this.view, turn);
-		if (Math.abs(this.gate.late() - this.lateSaid) >= 0.05) {
-			this.lateSaid = this.gate.late();
-			turn.add(new AgentEffect.SlowTransfer(this.lateSaid));
+		this.statusWriter.advance(this.view, context);
+		if (Math.abs(this.gate.lateShare() - this.signalledLateShare) >= 0.05) {
+			this.signalledLateShare = this.gate.lateShare();
+			context.add(new AgentEffect.SlowTransfer(this.signalledLateShare));
 		}
 	}
 
-	private String failing() {
-		return this.intake.failing().isEmpty() ? this.weights.failing() : this.intake.failing();
+	private String failureCode() {
+		return this.bundles.failureCode().isEmpty() ? this.weightSwitch.failureCode() : this.bundles.failureCode();
 	}
 
-	private void drain(Turn turn) {
+	private void drain(EventContext context) {
 		if (!this.leaving || this.stopped) {
 			return;
 		}
-		this.slots.release(turn);
-		long since = turn.now() - this.leaveSince;
-		if (since >= this.limits.drain().toNanos()) {
-			this.gate.cancelAll(turn);
-			stop(DRAIN_TIMEOUT.name(), turn);
+		this.slots.release(context);
+		long elapsedNanos = context.now() - this.leavingSinceNanos;
+		if (elapsedNanos >= this.limits.drain().toNanos()) {
+			this.gate.cancelAll(context);
+			stop(DRAIN_TIMEOUT.name(), context);
 			return;
 		}
-		if (this.gate.running() == 0 && since >= LINGER_NANOS && (this.slots.free() || since >= 3 * LINGER_NANOS)) {
-			stop("", turn);
+		if (this.gate.running() == 0 && elapsedNanos >= MIN_DRAIN_NANOS
+				&& (this.slots.idle() || elapsedNanos >= 3 * MIN_DRAIN_NANOS)) {
+			stop("", context);
 			return;
 		}
-		if (since < LINGER_NANOS) {
-			turn.wakeAt(this.leaveSince + LINGER_NANOS);
+		if (elapsedNanos < MIN_DRAIN_NANOS) {
+			context.wakeAt(this.leavingSinceNanos + MIN_DRAIN_NANOS);
 		}
 	}
 
-	private void stop(String code, Turn turn) {
+	private void stop(String code, EventContext context) {
 		if (!this.stopped) {
 			this.stopped = true;
-			turn.add(new AgentEffect.Stop(code));
+			context.add(new AgentEffect.Stop(code));
 		}
 	}
 
 	/**
-	 * Asks for at most one earlier tick than the one already asked for.
+	 * Schedules a tick if one is needed earlier than the tick already scheduled.
 	 */
-	private void wake(Turn turn) {
-		if (turn.wakeAt() < this.wakeAt) {
-			this.wakeAt = turn.wakeAt();
-			turn.add(new AgentEffect.Wake(Math.max(0, this.wakeAt - turn.now())));
+	private void scheduleWake(EventContext context) {
+		if (context.wakeAt() < this.scheduledWakeNanos) {
+			this.scheduledWakeNanos = context.wakeAt();
+			context.add(new AgentEffect.Wake(Math.max(0, this.scheduledWakeNanos - context.now())));
 		}
 	}
 
--- a/policy/src/main/java/org/wisteriapost/policy/agent/AgentView.java
+++ b/policy/src/main/java/org/wisteriapost/policy/agent/AgentView.java
@@ -4,46 +4,46 @@
 import java.util.Optional;
 
 /**
- * What an agent says of itself, to entries, operators and metrics.
+ * Status of an agent as reported to entries, operators and metrics.
  *
- * @param admitting whether new calls are taken
- * @param leaving whether the VM is to go
- * @param weightsDigest what the runner serves, read back from it
- * @param generation of the accepted bundle
- * @param digest of the accepted bundle
- * @param running calls at the runner
- * @param capacity calls at once
- * @param queued calls waiting here or at the runner
- * @param verified chunks
- * @param total chunks
- * @param failing code of what stops it, empty when nothing does
- * @param epoch of this agent, 0 before it is known
- * @param headGeneration the highest head heard of
- * @param headDigest its digest
- * @param bundle the accepted bundle, to pass on
+ * @param admitting whether new calls are accepted
+ * @param leaving whether the VM is draining before it shuts down
+ * @param weightsDigest weights that the runner serves, read back from it
+ * @param generation generation of the accepted bundle
+ * @param digest digest of the accepted bundle
+ * @param running number of calls at the runner
+ * @param capacity maximum number of concurrent calls
+ * @param queued number of calls queued at the gate or the runner
+ * @param verified number of chunks fetched and verified
+ * @param total number of chunks needed
+ * @param failing code of the current failure, empty when there is none
+ * @param epoch epoch of this agent, 0 before it is acquired
+ * @param headGeneration generation of the highest head received
+ * @param headDigest digest of that head's bundle
+ * @param bundle the accepted bundle, forwarded to peers
  */
 public record AgentView(boolean admitting, boolean leaving, String weightsDigest, long generation, String digest,
 		int running, int capacity, int queued, long verified, long total, String failing, long epoch,
 		long headGeneration, String headDigest, Optional<BundleCopy> bundle) {
 
-	/** Before the first event. */
+	/** Status before the first event. */
 	public static final AgentView STARTING = new AgentView(false, false, "", 0, "", 0, 0, 0, 0, 0, "", 0, 0, "",
 			Optional.empty());
 
 	/**
-	 * Returns whether others must hear of the change at once.
+	 * Returns whether the change must be reported to entries immediately.
 	 */
-	boolean differs(AgentView before) {
-		return this.admitting != before.admitting || this.leaving != before.leaving
-				|| this.generation != before.generation || !this.weightsDigest.equals(before.weightsDigest)
-				|| !this.failing.equals(before.failing) || this.epoch != before.epoch;
+	boolean requiresImmediateReport(AgentView previous) {
+		return this.admitting != previous.admitting || this.leaving != previous.leaving
+				|| this.generation != previous.generation || !this.weightsDigest.equals(previous.weightsDigest)
+				|| !this.failing.equals(previous.failing) || this.epoch != previous.epoch;
 	}
 
 	/**
-	 * A checked bundle as it is passed on.
+	 * A verified bundle as it is forwarded to peers.
 	 *
 	 * @param content canonical bytes
-	 * @param signatures by operator
+	 * @param signatures signatures by operator
 	 */
 	public record BundleCopy(byte[] content, Map<String, byte[]> signatures) {
 	}
--- a/policy/src/main/java/org/wisteriapost/policy/agent/CallGate.java
+++ b/policy/src/main/java/org/wisteriapost/policy/agent/CallGate.java
@@ -14,42 +14,42 @@
 import org.wisteriapost.policy.request.Priority;
 
 /**
- * Lets a call through to the runner, keeps it for a moment, or refuses it before a byte
- * of it has gone on.
+ * Admission control in front of the runner: starts a call, queues it, or refuses it
+ * before any of it has been forwarded.
  *
- * Made for many entries that each believe this runner to be the least loaded, on reports
- * a second old: their calls arrive together and over capacity. A short queue takes such a
- * burst without a round trip; a long one would hold calls that another runner could
- * answer, until their callers give up. So it is bounded, urgent calls go first and push
- * out the least urgent, and a call whose deadline the queue ahead will pass is refused at
- * once.
+ * Entries choose runners by status reports that are up to a second old, so many of them
+ * may pick this runner at once and exceed its capacity. A short queue absorbs such a
+ * burst without another round trip. A long queue would hold calls that another runner
+ * could answer until their callers time out. The queue is therefore bounded, higher
+ * priorities are started first and evict lower ones, and a call whose deadline would pass
+ * in the queue is refused immediately.
  */
 final class CallGate {
 
-	private static final long FIRST_GUESS_NANOS = 100_000_000L;
+	private static final long INITIAL_DURATION_NANOS = 100_000_000L;
 
-	private static final double LEARN = 0.1;
+	private static final double SMOOTHING_FACTOR = 0.1;
 
-	private static final long SWITCH_RETRY_MILLIS = 500;
+	private static final long NOT_ADMITTING_RETRY_MILLIS = 500;
 
 	private static final long NANOS_PER_MILLI = 1_000_000L;
 
-	private final int queueLimit;
+	private final int maxQueuedCalls;
 
-	private final Map<Long, Started> running = new HashMap<>();
+	private final Map<Long, RunningCall> running = new HashMap<>();
 
-	private final Map<Priority, Deque<AgentEvent.CallArrived>> waiting = new EnumMap<>(Priority.class);
+	private final Map<Priority, Deque<AgentEvent.CallArrived>> queues = new EnumMap<>(Priority.class);
 
-	private final Lateness lateness = new Lateness();
+	private final LateResponseTracker lateResponses = new LateResponseTracker();
 
-	private Admission admission = Admission.CLOSED;
+	private AdmissionRules admission = AdmissionRules.CLOSED;
 
-	private double durationNanos = FIRST_GUESS_NANOS;
+	private double meanDurationNanos = INITIAL_DURATION_NANOS;
 
 	CallGate(AgentLimits limits) {
-		this.queueLimit = limits.queue();
+		this.maxQueuedCalls = limits.queue();
 		for (Priority priority : Priority.values()) {
-			this.waiting.put(priority, new ArrayDeque<>());
+			this.queues.put(priority, new ArrayDeque<>());
 		}
 	}
 
@@ -58,89 +58,90 @@
 	}
 
 	int queued() {
-		return this.waiting.values().stream().mapToInt(Deque::size).sum();
+		return this.queues.values().stream().mapToInt(Deque::size).sum();
 	}
 
-	double late() {
-		return this.lateness.share();
+	double lateShare() {
+		return this.lateResponses.lateShare();
 	}
 
 	/**
-	 * Takes the new rules, and applies them to the calls that wait.
+	 * Replaces the admission rules and applies them to the queued calls.
 	 */
-	void admission(Admission next, Turn turn) {
-		boolean same = next.equals(this.admission);
+	void updateAdmission(AdmissionRules next, EventContext context) {
+		boolean unchanged = next.equals(this.admission);
 		this.admission = next;
-		if (same) {
+		if (unchanged) {
 			return;
 		}
-		for (AgentEvent.CallArrived call : allWaiting()) {
-			refusal(call, turn.now()).ifPresent((code) -> {
-				drop(call.call());
-				refuse(call, code, turn);
+		for (AgentEvent.CallArrived call : allQueued()) {
+			refusalCode(call, context.now()).ifPresent((code) -> {
+				removeFromQueue(call.call());
+				refuse(call, code, context);
 			});
 		}
-		startWaiting(turn);
+		startQueued(context);
 	}
 
-	void arrive(AgentEvent.CallArrived call, Turn turn) {
-		Optional<Code> refusal = refusal(call, turn.now());
+	void arrived(AgentEvent.CallArrived call, EventContext context) {
+		Optional<Code> refusal = refusalCode(call, context.now());
 		if (refusal.isPresent()) {
-			refuse(call, refusal.get(), turn);
+			refuse(call, refusal.get(), context);
 			return;
 		}
 		if (this.running.size() < this.admission.capacity() && queued() == 0) {
-			start(call, turn);
+			start(call, context);
 			return;
 		}
-		if (turn.now() + waitNanos(call.priority()) > call.deadlineNanos()) {
-			refuse(call, GateCodes.TOO_LATE, turn);
+		if (context.now() + estimatedWaitNanos(call.priority()) > call.deadlineNanos()) {
+			refuse(call, GateCodes.TOO_LATE, context);
 			return;
 		}
-		if (queued() >= this.queueLimit && !pushOut(call, turn)) {
-			refuse(call, GateCodes.FULL, turn);
+		if (queued() >= this.maxQueuedCalls && !evictLowerPriority(call, context)) {
+			refuse(call, GateCodes.FULL, context);
 			return;
 		}
-		this.waiting.get(call.priority()).addLast(call);
+		this.queues.get(call.priority()).addLast(call);
 	}
 
-	void answered(long call, Turn turn) {
-		Started started = this.running.get(call);
+	void responseStarted(long call, EventContext context) {
+		RunningCall started = this.running.get(call);
 		if (started != null) {
-			this.lateness.answered(turn.now() - started.arrivedAt());
+			this.lateResponses.recordLatency(context.now() - started.arrivedNanos());
 		}
 	}
 
-	void ended(long call, Turn turn) {
-		Started started = this.running.remove(call);
+	void ended(long call, EventContext context) {
+		RunningCall started = this.running.remove(call);
 		if (started != null) {
-			this.durationNanos += LEARN * (turn.now() - started.startedAt() - this.durationNanos);
-			startWaiting(turn);
+			this.meanDurationNanos += SMOOTHING_FACTOR
+					* (context.now() - started.startedNanos() - this.meanDurationNanos);
+			startQueued(context);
 		}
 	}
 
-	void cancelled(long call, Turn turn) {
-		drop(call);
-		turn.add(new AgentEffect.CancelCall(call));
+	void cancelled(long call, EventContext context) {
+		removeFromQueue(call);
+		context.add(new AgentEffect.CancelCall(call));
 	}
 
-	void cancelAll(Turn turn) {
-		this.running.keySet().forEach((call) -> turn.add(new AgentEffect.CancelCall(call)));
+	void cancelAll(EventContext context) {
+		this.running.keySet().forEach((call) -> context.add(new AgentEffect.CancelCall(call)));
 	}
 
 	/**
-	 * Refuses waiting calls whose deadline has passed.
+	 * Refuses queued calls whose deadline has passed.
 	 */
-	void tick(Turn turn) {
-		for (AgentEvent.CallArrived call : allWaiting()) {
-			if (call.deadlineNanos() <= turn.now()) {
-				drop(call.call());
-				refuse(call, GateCodes.TOO_LATE, turn);
+	void refuseExpired(EventContext context) {
+		for (AgentEvent.CallArrived call : allQueued()) {
+			if (call.deadlineNanos() <= context.now()) {
+				removeFromQueue(call.call());
+				refuse(call, GateCodes.TOO_LATE, context);
 			}
 		}
 	}
 
-	private Optional<Code> refusal(AgentEvent.CallArrived call, long now) {
+	private Optional<Code> refusalCode(AgentEvent.CallArrived call, long now) {
 		if (this.admission.leaving()) {
 			return Optional.of(GateCodes.LEAVING);
 		}
@@ -153,71 +154,72 @@
 		return (call.deadlineNanos() <= now) ? Optional.of(GateCodes.TOO_LATE) : Optional.empty();
 	}
 
-	private void refuse(AgentEvent.CallArrived call, Code code, Turn turn) {
+	private void refuse(AgentEvent.CallArrived call, Code code, EventContext context) {
 		long retryMillis = 0;
 		if (code.equals(GateCodes.NOT_ADMITTING)) {
-			retryMillis = SWITCH_RETRY_MILLIS;
+			retryMillis = NOT_ADMITTING_RETRY_MILLIS;
 		}
 		else if (code.equals(GateCodes.FULL) || code.equals(GateCodes.TOO_LATE)) {
-			retryMillis = 1 + waitNanos(call.priority()) / NANOS_PER_MILLI;
+			retryMillis = 1 + estimatedWaitNanos(call.priority()) / NANOS_PER_MILLI;
 		}
-		turn.add(new AgentEffect.RefuseCall(call.call(), code.name(), retryMillis));
+		context.add(new AgentEffect.RefuseCall(call.call(), code.name(), retryMillis));
 	}
 
-	private long waitNanos(Priority priority) {
-		int ahead = this.waiting.entrySet()
+	private long estimatedWaitNanos(Priority priority) {
+		int ahead = this.queues.entrySet()
 			.stream()
 			.filter((entry) -> entry.getKey().compareTo(priority) <= 0)
 			.mapToInt((entry) -> entry.getValue().size())
 			.sum();
-		return (long) (this.durationNanos * (ahead + 1) / Math.max(1, this.admission.capacity()));
+		return (long) (this.meanDurationNanos * (ahead + 1) / Math.max(1, this.admission.capacity()));
 	}
 
 	/**
-	 * Makes room by refusing the newest of the least urgent calls, if any is less urgent.
+	 * Frees a queue position by refusing the newest call of the lowest priority below
+	 * that of the given call. Returns whether there was such a call.
 	 */
-	private boolean pushOut(AgentEvent.CallArrived call, Turn turn) {
+	private boolean evictLowerPriority(AgentEvent.CallArrived call, EventContext context) {
 		for (Priority priority : List.of(Priority.BULK, Priority.NORMAL)) {
-			Deque<AgentEvent.CallArrived> candidates = this.waiting.get(priority);
+			Deque<AgentEvent.CallArrived> candidates = this.queues.get(priority);
 			if (priority.compareTo(call.priority()) > 0 && !candidates.isEmpty()) {
-				refuse(candidates.removeLast(), GateCodes.FULL, turn);
+				refuse(candidates.removeLast(), GateCodes.FULL, context);
 				return true;
 			}
 		}
 		return false;
 	}
 
-	private void startWaiting(Turn turn) {
-		for (AgentEvent.CallArrived call : allWaiting()) {
+	private void startQueued(EventContext context) {
+		for (AgentEvent.CallArrived call : allQueued()) {
 			if (this.running.size() >= this.admission.capacity()) {
 				return;
 			}
-			drop(call.call());
-			Optional<Code> refusal = refusal(call, turn.now());
+			removeFromQueue(call.call());
+			Optional<Code> refusal = refusalCode(call, context.now());
 			if (refusal.isPresent()) {
-				refuse(call, refusal.get(), turn);
+				refuse(call, refusal.get(), context);
 				continue;
 			}
-			start(call, turn);
+			start(call, context);
 		}
 	}
 
-	private void start(AgentEvent.CallArrived call, Turn turn) {
-		this.running.put(call.call(), new Started(call.arrivedNanos(), turn.now()));
-		turn.add(new AgentEffect.StartCall(call.call()));
+	private void start(AgentEvent.CallArrived call, EventContext context) {
+		this.running.put(call.call(), new RunningCall(call.arrivedNanos(), context.now()));
+		context.add(new AgentEffect.StartCall(call.call()));
 	}
 
-	private List<AgentEvent.CallArrived> allWaiting() {
+	private List<AgentEvent.CallArrived> allQueued() {
 		List<AgentEvent.CallArrived> all = new ArrayList<>();
-		this.waiting.values().forEach(all::addAll);
+		this.queues.values().forEach(all::addAll);
 		return all;
 	}
 
-	private void drop(long call) {
-		this.waiting.values().forEach((queue) -> queue.removeIf((one) -> one.call() == call));
+	private void removeFromQueue(long call) {
+		this.queues.values().forEach((queue) -> queue.removeIf((one) -> one.call() == call));
 	}
 
-	private record Started(long arrivedAt, long startedAt) {
+	private record RunningCall(long arrivedNanos, long startedNanos) {
 	}
 
 }
--- a/policy/src/main/java/org/wisteriapost/policy/agent/EngineView.java
+++ b/policy/src/main/java/org/wisteriapost/policy/agent/EngineView.java
@@ -1,15 +1,15 @@
 package org.wisteriapost.policy.agent;
 
 /**
- * What an engine says of itself; its load lags.
+ * Status reported by an engine; its load figures may be stale.
  *
- * @param weightsDigest what it serves; empty when nothing
+ * @param weightsDigest weights that it serves; empty when none are loaded
  * @param loading whether it is carrying out an order
- * @param running calls in progress
- * @param queued calls waiting
- * @param capacity calls at once
- * @param generation of the last order taken
- * @param epoch of the last order taken
+ * @param running number of calls in progress
+ * @param queued number of calls queued
+ * @param capacity maximum number of concurrent calls, 0 when not reported
+ * @param generation generation of the last accepted order
+ * @param epoch epoch of the last accepted order
  */
 public record EngineView(String weightsDigest, boolean loading, int running, int queued, int capacity, long generation,
 		long epoch) {
--- a/policy/src/main/java/org/wisteriapost/policy/agent/EpochLease.java
+++ b/policy/src/main/java/org/wisteriapost/policy/agent/EpochLease.java
@@ -7,180 +7,184 @@
 import org.wisteriapost.policy.bundle.BundleCodec;
 
 /**
- * The agent's authority over its engine: an epoch taken once at the start by conditional
- * update of the VM's own object, and a lease that is renewed by looking at the object
- * again.
+ * The agent's authority to send orders to its engine: an epoch, acquired once at startup
+ * by conditional update of the VM's object in the platform, and a lease, renewed by
+ * reading that object again.
  *
- * A renewal is one read, made only when an order is about to be sent: 6,400 agents that
- * wrote every few seconds would alone pass the platform's several hundred writes a
- * second. A read proves that no newer agent had taken the VM when it was sent; a newer
- * one that takes it later waits a whole lease before its first order. So at no moment may
- * both send one, without comparing clocks of two processes.
+ * A renewal is a single read, made only when an order is about to be sent: periodic
+ * writes by 6,400 agents would exceed the several hundred writes a second that the
+ * platform accepts. The read proves that no newer agent had acquired the epoch when it
+ * was sent, and a newer agent waits for longer than a lease before its first order. So
+ * two agents of a VM are never allowed to send orders at the same time, without comparing
+ * clocks between processes.
  */
 final class EpochLease {
 
 	static final Code REPLACED = Code.error("agent-replaced",
 			"A newer agent has taken this VM's epoch; this one stops for good.");
 
-	private static final long RETRY_NANOS = 1_000_000_000L;
+	private static final long RETRY_DELAY_NANOS = 1_000_000_000L;
 
-	private final AgentIdentity self;
+	private final AgentIdentity identity;
 
-	private final long leaseNanos;
+	private final long leaseDurationNanos;
 
-	private Step step = Step.READING;
+	private State state = State.READING;
 
 	private long epoch;
 
-	private long ordersFrom;
+	private long ordersAllowedFromNanos;
 
-	private long renewedAt;
+	private long renewedNanos;
 
 	private boolean renewed;
 
-	private boolean reading;
+	private boolean readInFlight;
 
-	private long retryAt = Long.MAX_VALUE;
+	private long nextReadNanos = Long.MAX_VALUE;
 
-	EpochLease(AgentIdentity self, AgentLimits limits) {
-		this.self = self;
-		this.leaseNanos = limits.lease().toNanos();
+	EpochLease(AgentIdentity identity, AgentLimits limits) {
+		this.identity = identity;
+		this.leaseDurationNanos = limits.lease().toNanos();
 	}
 
-	void start(Turn turn) {
-		look(turn);
+	void start(EventContext context) {
+		readLease(context);
 	}
 
 	OptionalLong epoch() {
-		return (this.step == Step.HELD) ? OptionalLong.of(this.epoch) : OptionalLong.empty();
+		return (this.state == State.HELD) ? OptionalLong.of(this.epoch) : OptionalLong.empty();
 	}
 
-	boolean lost() {
-		return this.step == Step.LOST;
+	boolean replaced() {
+		return this.state == State.REPLACED;
 	}
 
 	/**
-	 * Returns until when an order may be sent; asks for a renewal when it may not now.
+	 * Returns the time until which an order may be sent. When none may be sent now,
+	 * requests a renewal or a later tick and returns empty.
 	 */
-	OptionalLong orderUntil(Turn turn) {
-		if (this.step != Step.HELD) {
+	OptionalLong orderDeadline(EventContext context) {
+		if (this.state != State.HELD) {
 			return OptionalLong.empty();
 		}
-		if (turn.now() < this.ordersFrom) {
-			turn.wakeAt(this.ordersFrom);
+		if (context.now() < this.ordersAllowedFromNanos) {
+			context.wakeAt(this.ordersAllowedFromNanos);
 			return OptionalLong.empty();
 		}
-		// A holder that was paused (stop signal, VM migration) wakes with a lease that
-		// looks
-		// held. The age is counted from before the read was sent, so a pause anywhere in
-		// between makes it older, never younger.
-		if (this.renewed && turn.now() - this.renewedAt < this.leaseNanos / 2) {
-			return OptionalLong.of(this.renewedAt + this.leaseNanos);
+		// After a pause of the process (stop signal, VM migration) the lease may have
+		// expired unnoticed. Its age counts from before the read was sent, so a pause
+		// at any point can only make the lease expire earlier.
+		if (this.renewed && context.now() - this.renewedNanos < this.leaseDurationNanos / 2) {
+			return OptionalLong.of(this.renewedNanos + this.leaseDurationNanos);
 		}
-		look(turn);
+		readLease(context);
 		return OptionalLong.empty();
 	}
 
-	void lapse() {
+	void invalidate() {
 		this.renewed = false;
 	}
 
-	void read(AgentEvent.ObjectRead event, Turn turn) {
-		this.reading = false;
+	void read(AgentEvent.ObjectRead event, EventContext context) {
+		this.readInFlight = false;
 		Optional<VmLease> found = event.value().map((stored) -> BundleCodec.decode(stored.value(), VmLease.class));
-		boolean own = found.filter((lease) -> lease.nonce().equals(this.self.nonce())).isPresent();
-		if (this.step == Step.HELD) {
-			confirm(own, event.sentNanos());
+		boolean own = found.filter((lease) -> lease.nonce().equals(this.identity.nonce())).isPresent();
+		if (this.state == State.HELD) {
+			renew(own, event.sentNanos());
 			return;
 		}
-		if (this.step == Step.LOST) {
+		if (this.state == State.REPLACED) {
 			return;
 		}
 		if (own) {
-			hold(found.get().epoch(), turn);
+			acquired(found.get().epoch(), context);
 			return;
 		}
 		long last = found.map(VmLease::epoch).orElse(0L);
 		long version = event.value().map(StoredObject::version).orElse(AgentEffect.WriteObject.ABSENT);
-		this.step = Step.WRITING;
+		this.state = State.WRITING;
 		this.epoch = last + 1;
-		turn.add(new AgentEffect.WriteObject(this.self.leaseKey(),
-				BundleCodec.encode(new VmLease(this.epoch, this.self.nonce())), version));
+		context.add(new AgentEffect.WriteObject(this.identity.leaseKey(),
+				BundleCodec.encode(new VmLease(this.epoch, this.identity.nonce())), version));
 	}
 
-	void unread(Turn turn) {
-		this.reading = false;
-		retry(turn);
+	void readFailed(EventContext context) {
+		this.readInFlight = false;
+		scheduleRetry(context);
 	}
 
-	void written(Turn turn) {
-		if (this.step == Step.WRITING) {
-			hold(this.epoch, turn);
+	void written(EventContext context) {
+		if (this.state == State.WRITING) {
+			acquired(this.epoch, context);
 		}
 	}
 
 	/**
-	 * Reads back after a write that did not certainly take effect: the nonce says whose
-	 * write is there. Guessing would give two agents one epoch, or none.
+	 * Reads the object again after a write that was not confirmed. Its nonce shows whose
+	 * write took effect; assuming either outcome could give two agents the same epoch, or
+	 * leave the VM without an agent that holds its epoch.
 	 */
-	void unwritten(boolean conflict, Turn turn) {
-		if (this.step != Step.WRITING) {
+	void writeFailed(boolean conflict, EventContext context) {
+		if (this.state != State.WRITING) {
 			return;
 		}
-		this.step = Step.READING;
+		this.state = State.READING;
 		if (conflict) {
-			look(turn);
+			readLease(context);
 			return;
 		}
-		retry(turn);
+		scheduleRetry(context);
 	}
 
-	void tick(Turn turn) {
-		if (turn.now() >= this.retryAt) {
-			this.retryAt = Long.MAX_VALUE;
-			look(turn);
+	void tick(EventContext context) {
+		if (context.now() >= this.nextReadNanos) {
+			this.nextReadNanos = Long.MAX_VALUE;
+			readLease(context);
 		}
 	}
 
-	private void confirm(boolean own, long sentNanos) {
+	private void renew(boolean own, long sentNanos) {
 		if (!own) {
-			this.step = Step.LOST;
+			this.state = State.REPLACED;
 			return;
 		}
 		this.renewed = true;
-		this.renewedAt = sentNanos;
+		this.renewedNanos = sentNanos;
 	}
 
-	private void hold(long taken, Turn turn) {
-		this.step = Step.HELD;
-		this.epoch = taken;
-		// The agent before this one may have renewed a moment before its epoch was taken.
-		// Its orders are over after a whole lease; a quarter more covers one on its way.
-		this.ordersFrom = (taken == 1) ? turn.now() : turn.now() + this.leaseNanos + this.leaseNanos / 4;
+	private void acquired(long acquiredEpoch, EventContext context) {
+		this.state = State.HELD;
+		this.epoch = acquiredEpoch;
+		// The previous agent may have renewed its lease just before this epoch was
+		// acquired. It may send orders for up to a whole lease after that; the
+		// additional quarter covers an order that is still in flight.
+		this.ordersAllowedFromNanos = (acquiredEpoch == 1) ? context.now()
+				: context.now() + this.leaseDurationNanos + this.leaseDurationNanos / 4;
 	}
 
-	private void look(Turn turn) {
-		if (!this.reading) {
-			this.reading = true;
-			turn.add(new AgentEffect.ReadObject(this.self.leaseKey()));
+	private void readLease(EventContext context) {
+		if (!this.readInFlight) {
+			this.readInFlight = true;
+			context.add(new AgentEffect.ReadObject(this.identity.leaseKey()));
 		}
 	}
 
-	private void retry(Turn turn) {
-		this.retryAt = turn.now() + RETRY_NANOS;
+	private void scheduleRetry(EventContext context) {
+		this.nextReadNanos = context.now() + RETRY_DELAY_NANOS;
 	}
 
-	private enum Step {
+	private enum State {
 
-		READING, WRITING, HELD, LOST
+		READING, WRITING, HELD, REPLACED
 
 	}
 
 	/**
 	 * The value of {@code vms/VM}.
 	 *
-	 * @param epoch how many agents have started on the VM
-	 * @param nonce of the latest
+	 * @param epoch number of agents that have started on the VM
+	 * @param nonce nonce of the most recent one
 	 */
 	record VmLease(long epoch, String nonce) {
 	}
--- a/policy/src/main/java/org/wisteriapost/policy/agent/Turn.java
+++ b/policy/src/main/java/org/wisteriapost/policy/agent/EventContext.java
@@ -4,9 +4,9 @@
 import java.util.List;
 
 /**
- * One event's time and the effects it has so far.
+ * Time at which an event is applied, and the effects collected while applying it.
  */
-final class Turn {
+final class EventContext {
 
 	private final long now;
 
@@ -14,7 +14,7 @@
 
 	private long wakeAt = Long.MAX_VALUE;
 
-	Turn(long now) {
+	EventContext(long now) {
 		this.now = now;
 	}
 
@@ -27,10 +27,10 @@
 	}
 
 	/**
-	 * Asks for a tick at some time; the earliest of a turn counts.
+	 * Requests a tick; the earliest requested time is used.
 	 */
-	void wakeAt(long atNanos) {
-		this.wakeAt = Math.min(this.wakeAt, atNanos);
+	void wakeAt(long timeNanos) {
+		this.wakeAt = Math.min(this.wakeAt, timeNanos);
 	}
 
 	long wakeAt() {
--- a/policy/src/main/java/org/wisteriapost/policy/agent/HeadTracker.java
+++ b/policy/src/main/java/org/wisteriapost/policy/agent/HeadTracker.java
@@ -3,20 +3,19 @@
 import org.wisteriapost.kernel.Invariants;
 
 /**
- * The highest head this agent has heard of, and whether its knowledge is good enough to
- * act on.
+ * Tracks the highest head received, and whether it may be acted on.
  *
- * Every head that anyone passes on was once in force, so a higher one may always be
- * followed. The danger is the start: an agent that knows nothing and hears only a
- * neighbour that has been cut off would take an old head for the newest, and turn its VM
- * back. So until the platform's word, not older than a few seconds, has been heard once,
- * the agent is not established and orders nothing.
+ * Every head that a peer forwards was active at some time, so a higher one may always be
+ * followed. At startup, however, an agent whose only peer is partitioned from the
+ * platform would take a stale head for the newest and revert its VM to older weights. So
+ * the tracker is not established, and the agent sends no orders, until one head has been
+ * received that was confirmed by the platform within the staleness limit.
  */
 final class HeadTracker {
 
 	private final Invariants invariants;
 
-	private final long freshMillis;
+	private final long maxStalenessMillis;
 
 	private long generation;
 
@@ -25,7 +24,7 @@
 	private boolean established;
 
 	HeadTracker(AgentLimits limits, Invariants invariants) {
-		this.freshMillis = limits.fresh().toMillis();
+		this.maxStalenessMillis = limits.fresh().toMillis();
 		this.invariants = invariants;
 	}
 
@@ -41,8 +40,8 @@
 		return this.established;
 	}
 
-	void hear(AgentEvent.HeadHeard head) {
-		if (head.confirmed() && head.ageMillis() <= this.freshMillis) {
+	void receive(AgentEvent.HeadHeard head) {
+		if (head.confirmed() && head.ageMillis() <= this.maxStalenessMillis) {
 			this.established = true;
 		}
 		if (head.generation() < this.generation || head.generation() == 0) {
--- a/policy/src/main/java/org/wisteriapost/policy/agent/OperatorKeys.java
+++ b/policy/src/main/java/org/wisteriapost/policy/agent/OperatorKeys.java
@@ -5,10 +5,10 @@
 import org.wisteriapost.policy.bundle.Approvals;
 
 /**
- * Whose approvals count, and how many are needed.
+ * The operators whose approvals are valid, and the number of approvals required.
  *
- * @param publicKeys by operator, base64 of the X.509 form
- * @param needed how many different operators
+ * @param publicKeys public keys by operator, base64 of the X.509 encoding
+ * @param needed number of distinct operators that must approve
  */
 public record OperatorKeys(Map<String, String> publicKeys, int needed) {
 
@@ -16,7 +16,7 @@
 		publicKeys = Map.copyOf(publicKeys);
 	}
 
-	boolean approve(String digest, Map<String, byte[]> signatures) {
+	boolean isApproved(String digest, Map<String, byte[]> signatures) {
 		return Approvals.counted(digest, signatures, this.publicKeys).size() >= this.needed;
 	}
 
--- a/policy/src/main/java/org/wisteriapost/policy/agent/StatusWriter.java
+++ b/policy/src/main/java/org/wisteriapost/policy/agent/StatusWriter.java
@@ -4,66 +4,67 @@
 import org.wisteriapost.policy.bundle.VmStatus;
 
 /**
- * Writes what operators read of this VM into the platform, on change.
+ * Writes this VM's status for operators to the platform when it changes.
  *
- * Made for a roll to every VM at once: each writes a few changes of state, at most one a
- * second, and its progress every ten seconds, so that 810 VMs in the middle of a fetch
- * stay at about 80 writes a second of the several hundred that the platform takes.
+ * Changes of state are written at most once a second and fetch progress at most every ten
+ * seconds. When a bundle is rolled out to 810 VMs at once, this limits them during the
+ * fetch to about 80 writes a second of the several hundred that the platform accepts.
  */
 final class StatusWriter {
 
-	private static final long CHANGE_NANOS = 1_000_000_000L;
+	private static final long CHANGE_INTERVAL_NANOS = 1_000_000_000L;
 
-	private static final long PROGRESS_NANOS = 10_000_000_000L;
+	private static final long PROGRESS_INTERVAL_NANOS = 10_000_000_000L;
 
-	private final AgentIdentity self;
+	private final AgentIdentity identity;
 
-	private VmStatus written;
+	private VmStatus lastWritten;
 
-	private VmStatus sending;
+	private VmStatus pendingWrite;
 
-	private boolean busy;
+	private boolean writeInFlight;
 
 	private boolean sentBefore;
 
-	private long sentAt;
+	private long lastSentNanos;
 
-	StatusWriter(AgentIdentity self) {
-		this.self = self;
+	StatusWriter(AgentIdentity identity) {
+		this.identity = identity;
 	}
 
-	void advance(AgentView view, Turn turn) {
-		VmStatus status = new VmStatus(this.self.vm(), this.self.place(), this.self.service(), view.generation(),
-				view.digest(), view.weightsDigest(), view.admitting(), (int) view.verified(), (int) view.total(),
-				view.failing());
-		if (this.busy || status.equals(this.written)) {
+	void advance(AgentView agentStatus, EventContext context) {
+		VmStatus vmStatus = new VmStatus(this.identity.vm(), this.identity.place(), this.identity.service(),
+				agentStatus.generation(), agentStatus.digest(), agentStatus.weightsDigest(), agentStatus.admitting(),
+				(int) agentStatus.verified(), (int) agentStatus.total(), agentStatus.failing());
+		if (this.writeInFlight || vmStatus.equals(this.lastWritten)) {
 			return;
 		}
-		long due = this.sentAt + (onlyProgress(status) ? PROGRESS_NANOS : CHANGE_NANOS);
-		if (this.sentBefore && turn.now() < due) {
-			turn.wakeAt(due);
+		long dueNanos = this.lastSentNanos
+				+ (onlyProgressChanged(vmStatus) ? PROGRESS_INTERVAL_NANOS : CHANGE_INTERVAL_NANOS);
+		if (this.sentBefore && context.now() < dueNanos) {
+			context.wakeAt(dueNanos);
 			return;
 		}
-		this.busy = true;
-		this.sending = status;
+		this.writeInFlight = true;
+		this.pendingWrite = vmStatus;
 		this.sentBefore = true;
-		this.sentAt = turn.now();
-		turn.add(new AgentEffect.WriteObject(this.self.statusKey(), BundleCodec.encode(status),
+		this.lastSentNanos = context.now();
+		context.add(new AgentEffect.WriteObject(this.identity.statusKey(), BundleCodec.encode(vmStatus),
 				AgentEffect.WriteObject.ANYTHING));
 	}
 
-	void ended(boolean written) {
-		this.busy = false;
-		this.written = written ? this.sending : this.written;
+	void writeCompleted(boolean succeeded) {
+		this.writeInFlight = false;
+		this.lastWritten = succeeded ? this.pendingWrite : this.lastWritten;
 	}
 
-	private boolean onlyProgress(VmStatus status) {
-		if (this.written == null || status.verified() == status.total()) {
+	private boolean onlyProgressChanged(VmStatus vmStatus) {
+		if (this.lastWritten == null || vmStatus.verified() == vmStatus.total()) {
 			return false;
 		}
-		VmStatus last = this.written;
-		return status.equals(new VmStatus(last.vm(), last.place(), last.service(), last.generation(), last.digest(),
-				last.serving(), last.admitting(), status.verified(), status.total(), last.failing()));
+		VmStatus last = this.lastWritten;
+		return vmStatus.equals(new VmStatus(last.vm(), last.place(), last.service(), last.generation(), last.digest(),
+				last.serving(), last.admitting(), vmStatus.verified(), vmStatus.total(), last.failing()));
 	}
 
 }
--- a/policy/src/main/java/org/wisteriapost/policy/agent/SwitchSlots.java
+++ b/policy/src/main/java/org/wisteriapost/policy/agent/SwitchSlots.java
@@ -7,10 +7,10 @@
 import org.wisteriapost.policy.bundle.BundleCodec;
 
 /**
- * The value of {@code switching/SERVICE/PLACE}: the VMs that have stopped admitting, or
- * are about to, because they switch weights.
+ * The value of {@code switching/SERVICE/PLACE}: the VMs that have stopped admitting
+ * calls, or are about to, in order to switch weights.
  *
- * @param holders one entry a VM
+ * @param holders the slot holders, at most one for each VM
  */
 record SwitchSlots(List<Holder> holders) {
 
@@ -41,11 +41,11 @@
 	}
 
 	/**
-	 * One VM that switches.
+	 * A VM that holds a slot.
 	 *
-	 * @param vm its name
-	 * @param nonce of its agent
-	 * @param beat counted up while it still switches
+	 * @param vm name of the VM
+	 * @param nonce nonce of its agent
+	 * @param beat heartbeat counter, incremented while the VM is switching
 	 */
 	record Holder(String vm, String nonce, long beat) {
 	}
--- a/policy/src/main/java/org/wisteriapost/policy/agent/WeightSwitch.java
+++ b/policy/src/main/java/org/wisteriapost/policy/agent/WeightSwitch.java
@@ -9,401 +9,414 @@
 import org.wisteriapost.policy.bundle.WeightFile;
 
 /**
- * Brings the engine from the weights it serves to those of the accepted bundle, in
- * stages: fetch while the old ones serve, take a slot, stop admitting, let running calls
- * end, renew the lease, order, read back, admit.
+ * Switches the engine to the weights of the accepted bundle in stages: fetch the new
+ * weights while the old ones still serve, acquire a slot, stop admitting calls, wait for
+ * running calls to end, renew the lease, order the engine to load, read its status back,
+ * and admit calls again.
  */
 final class WeightSwitch {
 
 	private static final Code HEAD_BEHIND = Code.error("head-behind-engine",
 			"The engine has taken an order of a higher generation than the head that this agent knows.");
 
-	private static final Code ORDER_IGNORED = Code.warning("order-not-followed",
+	private static final Code ORDER_NOT_FOLLOWED = Code.warning("order-not-followed",
 			"The engine does not serve what it was ordered to; it is ordered again.");
 
-	private static final Code RUNNER_DOWN = Code.error("runner-unreachable", "The runner does not answer its agent.");
+	private static final Code RUNNER_UNREACHABLE = Code.error("runner-unreachable",
+			"The runner does not answer its agent.");
 
-	// The read-back is what a roll waits for on every VM, one wave after another, so it
-	// is
-	// made often; a load that takes minutes costs ten small reads a second, on the same
-	// VM.
-	private static final long FIRST_POLL_NANOS = 20_000_000L;
+	// Polling intervals of the engine's status after an order. A rollout waits for this
+	// status on each VM in turn, so polling is frequent; during a load of minutes it
+	// costs ten small local reads a second.
+	private static final long MIN_POLL_INTERVAL_NANOS = 20_000_000L;
 
-	private static final long LAST_POLL_NANOS = 100_000_000L;
+	private static final long MAX_POLL_INTERVAL_NANOS = 100_000_000L;
 
-	private static final long LOAD_NANOS = 900_000_000L;
+	private static final long STATUS_INTERVAL_NANOS = 900_000_000L;
 
-	// A version that is gone from the origin may still come from a peer, or come back.
-	private static final long REFETCH_NANOS = 10_000_000_000L;
+	// Weights that are missing at the origin may still be available from a peer, or
+	// become available again.
+	private static final long FETCH_RETRY_DELAY_NANOS = 10_000_000_000L;
 
-	private static final long PATIENCE_NANOS = 3_000_000_000L;
+	private static final long ORDER_TIMEOUT_NANOS = 3_000_000_000L;
 
-	// One lost answer is no reason to turn calls away; three seconds of silence are.
-	private static final int DOWN_AFTER = 3;
+	// Number of failed status reads in a row after which the engine counts as
+	// unreachable and calls are refused. A single lost response must not refuse calls.
+	private static final int MAX_FAILED_READS = 3;
 
-	private final AgentIdentity self;
+	private final AgentIdentity identity;
 
 	private final HeadTracker head;
 
-	private final BundleIntake intake;
+	private final BundleAcceptor bundles;
 
 	private final EpochLease lease;
 
-	private final SlotHolder slots;
+	private final SwitchSlotClient slots;
 
 	private final Invariants invariants;
 
-	private Phase phase = Phase.SETTLED;
+	private Phase phase = Phase.STEADY;
 
-	private Optional<EngineView> engine = Optional.empty();
+	private Optional<EngineView> engineStatus = Optional.empty();
 
-	private int unread;
+	private int failedReads;
 
-	private boolean reading;
+	private boolean readInFlight;
 
-	private long readAt;
+	private long nextReadNanos;
 
-	private long lookedAt = -LOAD_NANOS;
+	private long lastReadNanos = -STATUS_INTERVAL_NANOS;
 
-	private long pollNanos = FIRST_POLL_NANOS;
+	private long pollIntervalNanos = MIN_POLL_INTERVAL_NANOS;
 
-	private boolean suspect;
+	private boolean statusSuspect;
 
-	private boolean proven;
+	private boolean servedKnownHead;
 
-	private boolean fenced;
+	private boolean orderFenced;
 
 	private boolean replaced;
 
-	private String fetching = "";
+	private String fetchTarget = "";
 
-	private String fetched = "";
+	private String fetchedWeights = "";
 
-	private String fetchFailing = "";
+	private String fetchFailureCode = "";
 
-	private long refetchAt;
+	private long nextFetchNanos;
 
-	private String orderFailing = "";
+	private String orderFailureCode = "";
 
-	private List<String> stored = List.of();
+	private List<String> storedFiles = List.of();
 
-	private String ordered = "";
+	private String orderedWeights = "";
 
 	private long orderedGeneration;
 
-	private long idleSince;
+	private long idleSinceNanos;
 
-	WeightSwitch(AgentIdentity self, HeadTracker head, BundleIntake intake, EpochLease lease, SlotHolder slots,
-			Invariants invariants) {
-		this.self = self;
+	WeightSwitch(AgentIdentity identity, HeadTracker head, BundleAcceptor bundles, EpochLease lease,
+			SwitchSlotClient slots, Invariants invariants) {
+		this.identity = identity;
 		this.head = head;
-		this.intake = intake;
+		this.bundles = bundles;
 		this.lease = lease;
 		this.slots = slots;
 		this.invariants = invariants;
 	}
 
 	/**
-	 * Returns what the engine said that it serves, empty while it loads or is in doubt.
+	 * Returns the weights that the engine reports to serve, empty while it is loading or
+	 * its status is suspect.
 	 */
-	String serving() {
-		return this.engine.filter((view) -> !view.loading() && !this.suspect).map(EngineView::weightsDigest).orElse("");
+	String servedWeights() {
+		return this.engineStatus.filter((status) -> !status.loading() && !this.statusSuspect)
+			.map(EngineView::weightsDigest)
+			.orElse("");
 	}
 
-	Optional<EngineView> engine() {
-		return this.engine;
+	Optional<EngineView> engineStatus() {
+		return this.engineStatus;
 	}
 
 	boolean replaced() {
 		return this.replaced;
 	}
 
-	String failing() {
-		if (this.unread >= DOWN_AFTER) {
-			return RUNNER_DOWN.name();
+	String failureCode() {
+		if (this.failedReads >= MAX_FAILED_READS) {
+			return RUNNER_UNREACHABLE.name();
 		}
-		return this.orderFailing.isEmpty() ? this.fetchFailing : this.orderFailing;
+		return this.orderFailureCode.isEmpty() ? this.fetchFailureCode : this.orderFailureCode;
 	}
 
 	/**
-	 * Returns whether calls may go to the engine now, for the weights that it serves.
+	 * Returns whether calls for the weights that the engine serves may be sent to it.
 	 */
 	boolean admitting() {
-		boolean steady = this.phase == Phase.SETTLED || this.phase == Phase.FETCHING || this.phase == Phase.SLOT;
-		boolean assigned = this.intake.accepted().map((bundle) -> bundle.spec().isPresent()).orElse(true);
-		return steady && assigned && !serving().isEmpty() && this.unread < DOWN_AFTER
-				&& (this.head.established() || this.proven);
+		boolean notSwitching = this.phase == Phase.STEADY || this.phase == Phase.FETCHING
+				|| this.phase == Phase.WAITING_FOR_SLOT;
+		boolean assigned = this.bundles.accepted().map((bundle) -> bundle.serviceSpec().isPresent()).orElse(true);
+		return notSwitching && assigned && !servedWeights().isEmpty() && this.failedReads < MAX_FAILED_READS
+				&& (this.head.established() || this.servedKnownHead);
 	}
 
-	void engineRead(EngineView view, Turn turn) {
-		this.reading = false;
-		this.unread = 0;
-		this.suspect = false;
-		this.engine = Optional.of(view);
-		this.readAt = turn.now() + this.pollNanos;
-		this.pollNanos = Math.min(2 * this.pollNanos, LAST_POLL_NANOS);
+	void engineRead(EngineView status, EventContext context) {
+		this.readInFlight = false;
+		this.failedReads = 0;
+		this.statusSuspect = false;
+		this.engineStatus = Optional.of(status);
+		this.nextReadNanos = context.now() + this.pollIntervalNanos;
+		this.pollIntervalNanos = Math.min(2 * this.pollIntervalNanos, MAX_POLL_INTERVAL_NANOS);
 		OptionalLong epoch = this.lease.epoch();
-		if (epoch.isPresent() && view.epoch() > epoch.getAsLong()) {
+		if (epoch.isPresent() && status.epoch() > epoch.getAsLong()) {
 			this.replaced = true;
 		}
-		if (this.fenced) {
-			fenced(view);
+		if (this.orderFenced) {
+			handleFencedOrder(status);
 		}
-		if (!this.proven) {
-			this.proven = proof(view);
+		if (!this.servedKnownHead) {
+			this.servedKnownHead = servesKnownHead(status);
 		}
 	}
 
-	void engineUnread(Turn turn) {
-		this.reading = false;
-		this.unread = Math.min(this.unread + 1, DOWN_AFTER);
-		this.readAt = turn.now() + LAST_POLL_NANOS;
+	void engineReadFailed(EventContext context) {
+		this.readInFlight = false;
+		this.failedReads = Math.min(this.failedReads + 1, MAX_FAILED_READS);
+		this.nextReadNanos = context.now() + MAX_POLL_INTERVAL_NANOS;
 	}
 
 	/**
-	 * Stops trusting the last look: an answer came from other weights.
+	 * Marks the last status as suspect after a response from other weights, and reads it
+	 * again.
 	 */
-	void doubt(Turn turn) {
-		this.suspect = true;
-		look(turn);
+	void wrongWeightsDetected(EventContext context) {
+		this.statusSuspect = true;
+		readEngine(context);
 	}
 
 	void fetched(String weightsDigest) {
-		if (weightsDigest.equals(this.fetching)) {
-			this.fetched = weightsDigest;
-			this.fetchFailing = "";
+		if (weightsDigest.equals(this.fetchTarget)) {
+			this.fetchedWeights = weightsDigest;
+			this.fetchFailureCode = "";
 		}
 	}
 
-	void fetchFailed(String weightsDigest, String code, Turn turn) {
-		if (weightsDigest.equals(this.fetching)) {
-			this.fetchFailing = code;
-			this.refetchAt = turn.now() + REFETCH_NANOS;
+	void fetchFailed(String weightsDigest, String code, EventContext context) {
+		if (weightsDigest.equals(this.fetchTarget)) {
+			this.fetchFailureCode = code;
+			this.nextFetchNanos = context.now() + FETCH_RETRY_DELAY_NANOS;
 		}
 	}
 
-	void orderEnded(AgentEvent event, Turn turn) {
-		if (this.phase != Phase.ORDERED) {
+	void orderCompleted(AgentEvent event, EventContext context) {
+		if (this.phase != Phase.AWAITING_LOAD) {
 			return;
 		}
-		this.idleSince = turn.now();
-		this.pollNanos = FIRST_POLL_NANOS;
-		this.readAt = turn.now();
+		this.idleSinceNanos = context.now();
+		this.pollIntervalNanos = MIN_POLL_INTERVAL_NANOS;
+		this.nextReadNanos = context.now();
 		switch (event) {
-			case AgentEvent.OrderLapsed lapsed -> {
-				this.lease.lapse();
+			case AgentEvent.OrderLapsed expired -> {
+				this.lease.invalidate();
 				this.phase = Phase.DRAINING;
 			}
-			case AgentEvent.OrderFenced refused -> this.fenced = true;
+			case AgentEvent.OrderFenced fenced -> this.orderFenced = true;
 			default -> {
 			}
 		}
 	}
 
 	/**
-	 * Asks for the engine's state once a second, for its load and in case it changed
-	 * behind the agent's back.
+	 * Reads the engine's status once a second, for its load and to detect changes that
+	 * this agent did not order.
 	 */
-	void tick(Turn turn) {
-		if (!this.self.plain() && turn.now() >= this.lookedAt + LOAD_NANOS) {
-			look(turn);
+	void tick(EventContext context) {
+		if (!this.identity.plain() && context.now() >= this.lastReadNanos + STATUS_INTERVAL_NANOS) {
+			readEngine(context);
 		}
 	}
 
-	void advance(int running, Turn turn) {
-		if (this.self.plain() || this.replaced) {
+	void advance(int running, EventContext context) {
+		if (this.identity.plain() || this.replaced) {
 			return;
 		}
-		Optional<AcceptedBundle> accepted = this.intake.accepted();
-		if (!this.proven && this.engine.isPresent()) {
-			this.proven = proof(this.engine.get());
+		Optional<AcceptedBundle> accepted = this.bundles.accepted();
+		if (!this.servedKnownHead && this.engineStatus.isPresent()) {
+			this.servedKnownHead = servesKnownHead(this.engineStatus.get());
 		}
-		if (this.engine.isEmpty() || this.suspect) {
-			lookWhenDue(turn);
+		if (this.engineStatus.isEmpty() || this.statusSuspect) {
+			readEngineWhenDue(context);
 			return;
 		}
-		if (this.phase == Phase.ORDERED) {
-			readBack(turn);
+		if (this.phase == Phase.AWAITING_LOAD) {
+			awaitOrderedWeights(context);
 			return;
 		}
-		accepted.ifPresent((bundle) -> towards(bundle, this.engine.get(), running, turn));
+		accepted.ifPresent((bundle) -> advanceTowards(bundle, this.engineStatus.get(), running, context));
 	}
 
-	private void towards(AcceptedBundle target, EngineView view, int running, Turn turn) {
-		if (target.spec().isEmpty()) {
-			settle(turn);
+	private void advanceTowards(AcceptedBundle target, EngineView status, int running, EventContext context) {
+		if (target.serviceSpec().isEmpty()) {
+			settle(context);
 			return;
 		}
-		if (serving().equals(target.weightsDigest())) {
-			dropOthers(target, turn);
-			settle(turn);
+		if (servedWeights().equals(target.weightsDigest())) {
+			deleteUnusedFiles(target, context);
+			settle(context);
 			return;
 		}
-		if (view.loading()) {
-			lookWhenDue(turn);
+		if (status.loading()) {
+			readEngineWhenDue(context);
 			return;
 		}
-		// The engine's own memory is the one witness that outlives agents and a lagging
-		// neighbour: ordering it below what it has taken would turn this VM back.
-		if (view.generation() > target.generation()) {
-			this.orderFailing = HEAD_BEHIND.name();
-			this.phase = Phase.SETTLED;
-			this.slots.release(turn);
+		// Only the engine's own record of orders survives agent restarts and is
+		// independent of stale peers. An order of a lower generation would revert this
+		// VM to older weights.
+		if (status.generation() > target.generation()) {
+			this.orderFailureCode = HEAD_BEHIND.name();
+			this.phase = Phase.STEADY;
+			this.slots.release(context);
 			return;
 		}
-		if (!hasFetched(target, turn)) {
+		if (!ensureFetched(target, context)) {
 			this.phase = Phase.FETCHING;
-			// An engine that could not load keeps its slot, so that weights which break
-			// engines stop at the first few of a place.
-			if (this.orderFailing.isEmpty()) {
-				this.slots.release(turn);
+			// An agent whose engine failed to load keeps its slot, so that weights
+			// which no engine can load take only a few runners of a failure domain out
+			// of service.
+			if (this.orderFailureCode.isEmpty()) {
+				this.slots.release(context);
 			}
 			return;
 		}
 		if (!this.head.established() || this.lease.epoch().isEmpty()) {
 			return;
 		}
-		if (!this.slots.taken()) {
-			this.phase = Phase.SLOT;
-			this.slots.want(target.spec().get().minReady(), !admitting(), turn);
+		if (!this.slots.held()) {
+			this.phase = Phase.WAITING_FOR_SLOT;
+			this.slots.acquire(target.serviceSpec().get().minReady(), !admitting(), context);
 			return;
 		}
 		this.phase = Phase.DRAINING;
 		if (running == 0) {
-			order(target, turn);
+			sendOrder(target, context);
 		}
 	}
 
-	private void settle(Turn turn) {
-		this.phase = Phase.SETTLED;
-		this.orderFailing = "";
-		this.fetchFailing = "";
-		this.slots.release(turn);
+	private void settle(EventContext context) {
+		this.phase = Phase.STEADY;
+		this.orderFailureCode = "";
+		this.fetchFailureCode = "";
+		this.slots.release(context);
 	}
 
 	/**
-	 * Drops the files that served before. Only here: until the new weights are read back
-	 * from the engine, the old ones are all that callers can be answered from.
+	 * Deletes the files that were used before. Called only after the engine has reported
+	 * to serve the new weights, since until then calls can be answered only from the old
+	 * ones.
 	 */
-	private void dropOthers(AcceptedBundle target, Turn turn) {
+	private void deleteUnusedFiles(AcceptedBundle target, EventContext context) {
 		List<String> needed = target.files().stream().map(WeightFile::digest).toList();
-		List<String> unneeded = this.stored.stream().filter((file) -> !needed.contains(file)).toList();
-		this.stored = needed;
+		List<String> unneeded = this.storedFiles.stream().filter((file) -> !needed.contains(file)).toList();
+		this.storedFiles = needed;
 		if (!unneeded.isEmpty()) {
-			turn.add(new AgentEffect.DropWeights(unneeded));
+			context.add(new AgentEffect.DropWeights(unneeded));
 		}
 	}
 
-	private boolean hasFetched(AcceptedBundle target, Turn turn) {
-		boolean again = !this.fetchFailing.isEmpty() && turn.now() >= this.refetchAt;
-		if (again || !target.weightsDigest().equals(this.fetching)) {
-			this.fetching = target.weightsDigest();
-			this.fetched = "";
-			this.fetchFailing = "";
-			turn.add(new AgentEffect.FetchWeights(target.weightsDigest(), target.files()));
+	private boolean ensureFetched(AcceptedBundle target, EventContext context) {
+		boolean retry = !this.fetchFailureCode.isEmpty() && context.now() >= this.nextFetchNanos;
+		if (retry || !target.weightsDigest().equals(this.fetchTarget)) {
+			this.fetchTarget = target.weightsDigest();
+			this.fetchedWeights = "";
+			this.fetchFailureCode = "";
+			context.add(new AgentEffect.FetchWeights(target.weightsDigest(), target.files()));
 		}
-		return this.fetched.equals(target.weightsDigest());
+		return this.fetchedWeights.equals(target.weightsDigest());
 	}
 
-	private void order(AcceptedBundle target, Turn turn) {
-		OptionalLong until = this.lease.orderUntil(turn);
-		if (until.isEmpty()) {
+	private void sendOrder(AcceptedBundle target, EventContext context) {
+		OptionalLong deadline = this.lease.orderDeadline(context);
+		if (deadline.isEmpty()) {
 			return;
 		}
 		if (!this.invariants.holds(target.generation() >= this.orderedGeneration, "no-revert",
 				"order of generation " + target.generation() + " after " + this.orderedGeneration)) {
 			return;
 		}
-		this.phase = Phase.ORDERED;
-		this.ordered = target.weightsDigest();
+		this.phase = Phase.AWAITING_LOAD;
+		this.orderedWeights = target.weightsDigest();
 		this.orderedGeneration = target.generation();
-		this.idleSince = turn.now();
-		this.readAt = Long.MAX_VALUE;
-		turn.add(new AgentEffect.SendOrder(target.weightsDigest(),
+		this.idleSinceNanos = context.now();
+		this.nextReadNanos = Long.MAX_VALUE;
+		context.add(new AgentEffect.SendOrder(target.weightsDigest(),
 				target.files().stream().map(WeightFile::digest).toList(), target.generation(),
-				this.lease.epoch().getAsLong(), until.getAsLong()));
+				this.lease.epoch().getAsLong(), deadline.getAsLong()));
 	}
 
 	/**
-	 * Waits until the engine itself says that it serves what was ordered. An engine that
-	 * ignores fencing may have taken another agent's order in between, and a lost answer
-	 * may hide an order that was taken: only its state tells.
+	 * Waits until the engine reports that it serves the ordered weights. Only its status
+	 * is conclusive: an engine that ignores fencing may have accepted another agent's
+	 * order, and a lost response may hide an order that was accepted.
 	 */
-	private void readBack(Turn turn) {
-		EngineView view = this.engine.get();
-		if (this.readAt == Long.MAX_VALUE) {
+	private void awaitOrderedWeights(EventContext context) {
+		EngineView status = this.engineStatus.get();
+		if (this.nextReadNanos == Long.MAX_VALUE) {
 			return;
 		}
-		if (!view.loading() && view.weightsDigest().equals(this.ordered)) {
-			this.phase = Phase.SETTLED;
-			this.orderFailing = "";
+		if (!status.loading() && status.weightsDigest().equals(this.orderedWeights)) {
+			this.phase = Phase.STEADY;
+			this.orderFailureCode = "";
 			return;
 		}
-		if (view.loading()) {
-			this.idleSince = turn.now();
+		if (status.loading()) {
+			this.idleSinceNanos = context.now();
 		}
-		if (turn.now() - this.idleSince > PATIENCE_NANOS) {
-			this.orderFailing = ORDER_IGNORED.name();
+		if (context.now() - this.idleSinceNanos > ORDER_TIMEOUT_NANOS) {
+			this.orderFailureCode = ORDER_NOT_FOLLOWED.name();
 			this.phase = Phase.DRAINING;
-			// The store may have lost what was fetched: the next fetch looks again.
-			this.fetching = "";
+			// The weight store may have lost the files, so they are fetched again.
+			this.fetchTarget = "";
 			return;
 		}
-		lookWhenDue(turn);
+		readEngineWhenDue(context);
 	}
 
 	/**
-	 * Decides what a refused order means: the state shows who went further. A higher
-	 * generation under no higher epoch was ordered by this VM's earlier agent, so it is
-	 * the head known here that is old; anything else is a newer agent.
+	 * Determines from the engine's status why an order was fenced. A higher generation
+	 * under an epoch that is not higher was ordered by this agent or an earlier one on
+	 * this VM, so the head known here is stale. In all other cases a newer agent has
+	 * replaced this one.
 	 */
-	private void fenced(EngineView view) {
-		this.fenced = false;
-		boolean epochBelow = this.lease.epoch().isPresent() && view.epoch() <= this.lease.epoch().getAsLong();
-		if (epochBelow && view.generation() > this.orderedGeneration) {
-			this.orderFailing = HEAD_BEHIND.name();
-			this.phase = Phase.SETTLED;
+	private void handleFencedOrder(EngineView status) {
+		this.orderFenced = false;
+		boolean epochNotHigher = this.lease.epoch().isPresent() && status.epoch() <= this.lease.epoch().getAsLong();
+		if (epochNotHigher && status.generation() > this.orderedGeneration) {
+			this.orderFailureCode = HEAD_BEHIND.name();
+			this.phase = Phase.STEADY;
 			return;
 		}
 		this.replaced = true;
 	}
 
 	/**
-	 * Returns whether the engine already serves a generation at least as high as all that
-	 * was heard: then to go on serving it reverts nothing, whoever was heard.
+	 * Returns whether the engine already serves a generation at least as high as every
+	 * head received. Then it may go on serving before the head is confirmed, since that
+	 * reverts nothing even if the head is stale.
 	 */
-	private boolean proof(EngineView view) {
-		if (view.loading() || view.weightsDigest().isEmpty() || this.head.generation() == 0) {
+	private boolean servesKnownHead(EngineView status) {
+		if (status.loading() || status.weightsDigest().isEmpty() || this.head.generation() == 0) {
 			return false;
 		}
-		if (view.generation() > this.head.generation()) {
+		if (status.generation() > this.head.generation()) {
 			return true;
 		}
-		return this.intake.accepted()
+		return this.bundles.accepted()
 			.filter((bundle) -> bundle.generation() == this.head.generation())
-			.filter((bundle) -> bundle.weightsDigest().equals(view.weightsDigest()))
+			.filter((bundle) -> bundle.weightsDigest().equals(status.weightsDigest()))
 			.isPresent();
 	}
 
-	private void lookWhenDue(Turn turn) {
-		if (turn.now() >= this.readAt) {
-			look(turn);
+	private void readEngineWhenDue(EventContext context) {
+		if (context.now() >= this.nextReadNanos) {
+			readEngine(context);
 			return;
 		}
-		turn.wakeAt(this.readAt);
+		context.wakeAt(this.nextReadNanos);
 	}
 
-	private void look(Turn turn) {
-		if (!this.reading) {
-			this.reading = true;
-			this.lookedAt = turn.now();
-			turn.add(new AgentEffect.ReadEngine());
+	private void readEngine(EventContext context) {
+		if (!this.readInFlight) {
+			this.readInFlight = true;
+			this.lastReadNanos = context.now();
+			context.add(new AgentEffect.ReadEngine());
 		}
 	}
 
 	private enum Phase {
 
-		SETTLED, FETCHING, SLOT, DRAINING, ORDERED
+		STEADY, FETCHING, WAITING_FOR_SLOT, DRAINING, AWAITING_LOAD
 
 	}
 
--- a/policy/src/main/java/org/wisteriapost/policy/agent/package-info.java
+++ b/policy/src/main/java/org/wisteriapost/policy/agent/package-info.java
@@ -1,6 +1,7 @@
 /**
- * What an agent does with each thing it learns: take its epoch, follow the head, accept a
- * bundle, switch its engine in stages, gate calls, drain. One pure state machine,
- * {@link org.wisteriapost.policy.agent.AgentMachine}, made of one decision a file.
+ * Decision logic of an agent: acquiring its epoch, following the head, verifying bundles,
+ * switching the engine's weights in stages, admission control and draining. All of it is
+ * deterministic and does no I/O; {@link org.wisteriapost.policy.agent.AgentMachine}
+ * combines the parts.
  */
 package org.wisteriapost.policy.agent;
--- a/policy/src/test/java/org/wisteriapost/policy/agent/AgentWorld.java
+++ b/policy/src/test/java/org/wisteriapost/policy/agent/AgentSimulation.java
@@ -28,17 +28,17 @@
 import org.wisteriapost.policy.bundle.WeightFile;
 
 /**
- * Agents, engines and a platform in simulated time; a seed replays exactly.
+ * Simulates agents, engines and a platform in virtual time, reproducibly for a seed.
  */
-final class AgentWorld {
+final class AgentSimulation {
 
 	static final long SECOND = 1_000_000_000L;
 
-	static final String PLACE = "hall-a";
+	static final String FAILURE_DOMAIN = "hall-a";
 
 	private static final String OPERATOR = "aminata";
 
-	private static final KeyPair KEYS = keys();
+	private static final KeyPair OPERATOR_KEYS = keys();
 
 	private final UniformRandomProvider random;
 
@@ -51,9 +51,9 @@
 
 	private final Map<Long, Bundle> bundles = new HashMap<>();
 
-	private final Map<String, AgentEvent.BundleArrived> contents = new HashMap<>();
+	private final Map<String, AgentEvent.BundleArrived> bundleEvents = new HashMap<>();
 
-	private final Set<String> losing = new HashSet<>();
+	private final Set<String> keysLosingConfirmation = new HashSet<>();
 
 	private final List<AgentEffect.RefuseCall> refusals = new ArrayList<>();
 
@@ -65,15 +65,15 @@
 
 	private int agents;
 
-	private double lossShare;
+	private double confirmationLossRate;
 
-	private AgentWorld(long seed, int minReady) {
+	private AgentSimulation(long seed, int minReady) {
 		this.random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
 		this.minReady = minReady;
 	}
 
-	static AgentWorld of(long seed, int minReady) {
-		return new AgentWorld(seed, minReady);
+	static AgentSimulation of(long seed, int minReady) {
+		return new AgentSimulation(seed, minReady);
 	}
 
 	long now() {
@@ -96,20 +96,20 @@
 		return this.refusals;
 	}
 
-	void refused(AgentEffect.RefuseCall refusal) {
+	void recordRefusal(AgentEffect.RefuseCall refusal) {
 		this.refusals.add(refusal);
 	}
 
 	void loseNextConfirmation(String key) {
-		this.losing.add(key);
+		this.keysLosingConfirmation.add(key);
 	}
 
-	void loseConfirmations(double share) {
-		this.lossShare = share;
+	void loseConfirmations(double rate) {
+		this.confirmationLossRate = rate;
 	}
 
 	boolean losesConfirmation(String key) {
-		return this.losing.remove(key) || this.random.nextDouble() < this.lossShare;
+		return this.keysLosingConfirmation.remove(key) || this.random.nextDouble() < this.confirmationLossRate;
 	}
 
 	long fetchNanos() {
@@ -120,7 +120,7 @@
 		return SECOND / 10 + this.random.nextLong(SECOND / 2);
 	}
 
-	void soon(Runnable task) {
+	void afterNetworkDelay(Runnable task) {
 		after(100_000 + this.random.nextLong(2_000_000), task);
 	}
 
@@ -129,15 +129,16 @@
 	}
 
 	/**
-	 * Starts an agent on a VM beside an engine, with a tick a second.
+	 * Starts an agent on a VM with the given engine, and a tick once a second.
 	 */
 	SimAgent start(String vm, SimEngine engine) {
 		this.agents++;
-		AgentIdentity self = new AgentIdentity(vm, PLACE, "lm", false, "nonce-" + this.agents);
+		AgentIdentity identity = new AgentIdentity(vm, FAILURE_DOMAIN, "lm", false, "nonce-" + this.agents);
 		AgentLimits limits = new AgentLimits(4, 4, Duration.ofSeconds(5), Duration.ofSeconds(10), Duration.ofSeconds(4),
 				0.25, Duration.ofSeconds(60));
-		OperatorKeys operators = new OperatorKeys(Map.of(OPERATOR, base64(KEYS.getPublic().getEncoded())), 1);
-		AgentMachine machine = AgentMachine.create(self, limits, operators, this.invariants,
+		OperatorKeys approvalPolicy = new OperatorKeys(Map.of(OPERATOR, base64(OPERATOR_KEYS.getPublic().getEncoded())),
+				1);
+		AgentMachine machine = AgentMachine.create(identity, limits, approvalPolicy, this.invariants,
 				RandomSource.XO_RO_SHI_RO_128_PP.create(this.random.nextLong()));
 		SimAgent agent = new SimAgent(this, machine, engine);
 		tick(agent);
@@ -145,35 +146,35 @@
 	}
 
 	/**
-	 * Puts a bundle in force whose only content is a model.
+	 * Moves the head to a bundle whose only content is a model.
 	 */
-	Head roll(long generation, String model) {
-		Head head = propose(generation, model, true);
+	Head rollOut(long generation, String model) {
+		Head head = createBundle(generation, model, true);
 		this.platform.set("head", BundleCodec.encode(head));
 		return head;
 	}
 
-	Head propose(long generation, String model, boolean approved) {
+	Head createBundle(long generation, String model, boolean approved) {
 		WeightFile file = new WeightFile(model, "1", model, "1", 5, 5, List.of(Digests.sha256(model)));
 		Bundle bundle = new Bundle("b" + generation, "1", List.of(new ServiceSpec("lm", ServiceSpec.Kind.MODEL, model,
-				List.of(), List.of(PLACE), List.of(), this.minReady)), List.of(file));
+				List.of(), List.of(FAILURE_DOMAIN), List.of(), this.minReady)), List.of(file));
 		byte[] content = BundleCodec.encode(bundle);
 		String digest = Digests.sha256(content);
-		byte[] signature = approved ? Approvals.sign(digest, base64(KEYS.getPrivate().getEncoded()))
+		byte[] signature = approved ? Approvals.sign(digest, base64(OPERATOR_KEYS.getPrivate().getEncoded()))
 				: "none".getBytes(StandardCharsets.US_ASCII);
 		this.bundles.put(generation, bundle);
-		this.contents.put(digest, new AgentEvent.BundleArrived(digest, content, Map.of(OPERATOR, signature)));
+		this.bundleEvents.put(digest, new AgentEvent.BundleArrived(digest, content, Map.of(OPERATOR, signature)));
 		return new Head(generation, digest, OPERATOR, 0, "n" + generation);
 	}
 
-	AgentEvent bundle(String digest) {
-		AgentEvent.BundleArrived found = this.contents.get(digest);
+	AgentEvent fetchBundle(String digest) {
+		AgentEvent.BundleArrived found = this.bundleEvents.get(digest);
 		return (found != null) ? found : new AgentEvent.BundleMissing(digest);
 	}
 
-	void giveInstead(String digest, byte[] content) {
-		this.contents.put(digest,
-				new AgentEvent.BundleArrived(digest, content, this.contents.get(digest).signatures()));
+	void replaceContent(String digest, byte[] content) {
+		this.bundleEvents.put(digest,
+				new AgentEvent.BundleArrived(digest, content, this.bundleEvents.get(digest).signatures()));
 	}
 
 	String weights(long generation) {
@@ -181,7 +182,7 @@
 		return bundle.weightsDigest(bundle.services().getFirst());
 	}
 
-	static AgentEvent fresh(Head head) {
+	static AgentEvent confirmed(Head head) {
 		return new AgentEvent.HeadHeard(head.generation(), head.digest(), true, 0);
 	}
 
@@ -190,11 +191,11 @@
 	}
 
 	/**
-	 * Runs until something holds; false when it does not within the time.
+	 * Runs until a condition holds. Returns false on timeout.
 	 */
-	boolean runUntil(BooleanSupplier holds, long nanos) {
-		long end = this.now + nanos;
-		while (!holds.getAsBoolean()) {
+	boolean runUntil(BooleanSupplier condition, long timeoutNanos) {
+		long end = this.now + timeoutNanos;
+		while (!condition.getAsBoolean()) {
 			Task next = this.tasks.peek();
 			if (next == null || next.at() > end) {
 				this.now = end;
@@ -216,7 +217,7 @@
 	}
 
 	private void tick(SimAgent agent) {
-		agent.hear(new AgentEvent.Tick());
+		agent.receive(new AgentEvent.Tick());
 		after(SECOND, () -> tick(agent));
 	}
 
--- a/policy/src/test/java/org/wisteriapost/policy/agent/CallGateTests.java
+++ b/policy/src/test/java/org/wisteriapost/policy/agent/CallGateTests.java
@@ -21,7 +21,7 @@
 	private final CallGate gate = new CallGate(new AgentLimits(2, 2, Duration.ofSeconds(5), Duration.ofSeconds(10),
 			Duration.ofSeconds(30), 0.25, Duration.ofSeconds(60)));
 
-	private final List<String> happened = new ArrayList<>();
+	private final List<String> outcomes = new ArrayList<>();
 
 	private long now;
 
@@ -29,110 +29,112 @@
 	@CsvSource({ "true, false, w, 1000, start 1", "false, false, w, 1000, gate-not-admitting 1",
 			"false, true, w, 1000, gate-leaving 1", "true, false, other, 1000, gate-other-weights 1",
 			"true, false, w, 0, gate-deadline 1" })
-	void callIsStartedOrRefusedBeforeAByteOfIt(boolean admitting, boolean leaving, String weights, long millis,
+	void callIsStartedOrRefusedByAdmissionRules(boolean admitting, boolean leaving, String weights, long millis,
 			String expected) {
-		admit(new Admission(admitting, leaving, "w", 2));
+		setAdmission(new AdmissionRules(admitting, leaving, "w", 2));
 		arrive(1, Priority.NORMAL, weights, millis);
-		assertThat(this.happened, contains(expected));
+		assertThat(this.outcomes, contains(expected));
 	}
 
 	@Test
-	void burstOverCapacityWaitsShortlyAndTheRestIsRefused() {
-		admit(new Admission(true, false, "w", 2));
+	void burstOverCapacityIsQueuedAndRestIsRefused() {
+		setAdmission(new AdmissionRules(true, false, "w", 2));
 		for (int id = 1; id <= 5; id++) {
 			arrive(id, Priority.NORMAL, "w", 10_000);
 		}
-		assertThat(this.happened, contains("start 1", "start 2", "gate-full 5"));
+		assertThat(this.outcomes, contains("start 1", "start 2", "gate-full 5"));
 		end(1);
-		assertThat(this.happened.getLast(), is("start 3"));
+		assertThat(this.outcomes.getLast(), is("start 3"));
 	}
 
 	@Test
-	void urgentCallPushesOutTheLeastUrgentAndGoesFirst() {
-		admit(new Admission(true, false, "w", 1));
+	void urgentCallEvictsLowestPriorityAndStartsFirst() {
+		setAdmission(new AdmissionRules(true, false, "w", 1));
 		arrive(1, Priority.NORMAL, "w", 10_000);
 		arrive(2, Priority.NORMAL, "w", 10_000);
 		arrive(3, Priority.BULK, "w", 10_000);
 		arrive(4, Priority.URGENT, "w", 10_000);
 		end(1);
-		assertThat(this.happened, contains("start 1", "gate-full 3", "start 4"));
+		assertThat(this.outcomes, contains("start 1", "gate-full 3", "start 4"));
 	}
 
 	@Test
-	void bulkCallPushesOutNobody() {
-		admit(new Admission(true, false, "w", 1));
+	void bulkCallEvictsNoQueuedCall() {
+		setAdmission(new AdmissionRules(true, false, "w", 1));
 		arrive(1, Priority.NORMAL, "w", 10_000);
 		arrive(2, Priority.BULK, "w", 10_000);
 		arrive(3, Priority.BULK, "w", 10_000);
 		arrive(4, Priority.BULK, "w", 10_000);
-		assertThat(this.happened, contains("start 1", "gate-full 4"));
+		assertThat(this.outcomes, contains("start 1", "gate-full 4"));
 	}
 
-	// The runner is full of calls that take a second each. A call that can wait for less
-	// would be answered after its caller has gone; it is told at once.
+	// Calls take a second each and the runner is at capacity. A call with a shorter
+	// deadline would be answered only after its caller has timed out, so it is refused
+	// immediately.
 	@Test
-	void callThatTheQueueWouldMakeLateIsRefusedAtOnce() {
-		admit(new Admission(true, false, "w", 1));
+	void callWhoseDeadlineWouldPassInQueueIsRefusedImmediately() {
+		setAdmission(new AdmissionRules(true, false, "w", 1));
 		for (int id = 1; id <= 40; id++) {
 			arrive(id, Priority.NORMAL, "w", 60_000);
 			this.now += 1000 * MILLI;
 			end(id);
 		}
-		this.happened.clear();
+		this.outcomes.clear();
 		arrive(100, Priority.NORMAL, "w", 60_000);
 		arrive(101, Priority.NORMAL, "w", 300);
 		arrive(102, Priority.NORMAL, "w", 5000);
-		assertThat(this.happened, contains("start 100", "gate-deadline 101"));
+		assertThat(this.outcomes, contains("start 100", "gate-deadline 101"));
 	}
 
 	@Test
-	void waitingCallsAreRefusedWhenTheGateClosesAndRunningOnesAreNot() {
-		admit(new Admission(true, false, "w", 1));
+	void closingGateRefusesQueuedButNotRunningCalls() {
+		setAdmission(new AdmissionRules(true, false, "w", 1));
 		arrive(1, Priority.NORMAL, "w", 10_000);
 		arrive(2, Priority.NORMAL, "w", 10_000);
-		this.happened.clear();
-		admit(new Admission(false, false, "w", 1));
-		assertThat(this.happened, contains("gate-not-admitting 2"));
+		this.outcomes.clear();
+		setAdmission(new AdmissionRules(false, false, "w", 1));
+		assertThat(this.outcomes, contains("gate-not-admitting 2"));
 		assertThat(this.gate.running(), is(1));
 	}
 
 	@Test
-	void cancelledWaitingCallNeverStarts() {
-		admit(new Admission(true, false, "w", 1));
+	void cancelledQueuedCallNeverStarts() {
+		setAdmission(new AdmissionRules(true, false, "w", 1));
 		arrive(1, Priority.NORMAL, "w", 10_000);
 		arrive(2, Priority.NORMAL, "w", 10_000);
-		Turn turn = new Turn(this.now);
-		this.gate.cancelled(2, turn);
-		this.happened.clear();
+		EventContext context = new EventContext(this.now);
+		this.gate.cancelled(2, context);
+		this.outcomes.clear();
 		end(1);
-		assertThat(this.happened, is(empty()));
+		assertThat(this.outcomes, is(empty()));
 		assertThat(this.gate.queued(), is(0));
 	}
 
-	private void admit(Admission admission) {
-		Turn turn = new Turn(this.now);
-		this.gate.admission(admission, turn);
-		note(turn);
+	private void setAdmission(AdmissionRules admission) {
+		EventContext context = new EventContext(this.now);
+		this.gate.updateAdmission(admission, context);
+		recordOutcomes(context);
 	}
 
 	private void arrive(long id, Priority priority, String weights, long millis) {
-		Turn turn = new Turn(this.now);
-		this.gate.arrive(new AgentEvent.CallArrived(id, priority, weights, this.now, this.now + millis * MILLI), turn);
-		note(turn);
+		EventContext context = new EventContext(this.now);
+		this.gate.arrived(new AgentEvent.CallArrived(id, priority, weights, this.now, this.now + millis * MILLI),
+				context);
+		recordOutcomes(context);
 	}
 
 	private void end(long id) {
-		Turn turn = new Turn(this.now);
-		this.gate.ended(id, turn);
-		note(turn);
+		EventContext context = new EventContext(this.now);
+		this.gate.ended(id, context);
+		recordOutcomes(context);
 	}
 
-	private void note(Turn turn) {
-		for (AgentEffect effect : turn.effects()) {
+	private void recordOutcomes(EventContext context) {
+		for (AgentEffect effect : context.effects()) {
 			switch (effect) {
-				case AgentEffect.StartCall start -> this.happened.add("start " + start.call());
-				case AgentEffect.RefuseCall refuse -> this.happened.add(refuse.code() + " " + refuse.call());
-				default -> this.happened.add(effect.toString());
+				case AgentEffect.StartCall start -> this.outcomes.add("start " + start.call());
+				case AgentEffect.RefuseCall refuse -> this.outcomes.add(refuse.code() + " " + refuse.call());
+				default -> this.outcomes.add(effect.toString());
 			}
 		}
 	}
--- a/policy/src/test/java/org/wisteriapost/policy/agent/SimAgent.java
+++ b/policy/src/test/java/org/wisteriapost/policy/agent/SimAgent.java
@@ -7,37 +7,37 @@
 import java.util.Set;
 
 /**
- * One agent's process in a world: it can be paused and killed.
+ * A simulated agent process, which can be paused and killed.
  */
 final class SimAgent {
 
-	private final AgentWorld world;
+	private final AgentSimulation simulation;
 
 	private final AgentMachine machine;
 
 	private final SimEngine engine;
 
-	private final Deque<AgentEvent> held = new ArrayDeque<>();
+	private final Deque<AgentEvent> pendingEvents = new ArrayDeque<>();
 
 	private final Set<Long> calls = new LinkedHashSet<>();
 
-	private final Set<String> fetched = new LinkedHashSet<>();
+	private final Set<String> fetchedWeights = new LinkedHashSet<>();
 
-	private final Set<String> dropped = new LinkedHashSet<>();
+	private final Set<String> deletedFiles = new LinkedHashSet<>();
 
 	private boolean paused;
 
-	private boolean dead;
+	private boolean killed;
 
-	private Optional<String> stopped = Optional.empty();
+	private Optional<String> stopCode = Optional.empty();
 
-	SimAgent(AgentWorld world, AgentMachine machine, SimEngine engine) {
-		this.world = world;
+	SimAgent(AgentSimulation simulation, AgentMachine machine, SimEngine engine) {
+		this.simulation = simulation;
 		this.machine = machine;
 		this.engine = engine;
 	}
 
-	AgentView view() {
+	AgentView status() {
 		return this.machine.view();
 	}
 
@@ -49,24 +49,24 @@
 		return this.calls;
 	}
 
-	Set<String> fetched() {
-		return this.fetched;
+	Set<String> fetchedWeights() {
+		return this.fetchedWeights;
 	}
 
-	Set<String> dropped() {
-		return this.dropped;
+	Set<String> deletedFiles() {
+		return this.deletedFiles;
 	}
 
-	Optional<String> stopped() {
-		return this.stopped;
+	Optional<String> stopCode() {
+		return this.stopCode;
 	}
 
 	boolean running() {
-		return !this.dead && !this.paused && this.stopped.isEmpty();
+		return !this.killed && !this.paused && this.stopCode.isEmpty();
 	}
 
 	void kill() {
-		this.dead = true;
+		this.killed = true;
 	}
 
 	void pause() {
@@ -75,42 +75,44 @@
 
 	void resume() {
 		this.paused = false;
-		while (!this.held.isEmpty()) {
-			hear(this.held.poll());
+		while (!this.pendingEvents.isEmpty()) {
+			receive(this.pendingEvents.poll());
 		}
 	}
 
-	void hear(AgentEvent event) {
-		if (this.dead || this.stopped.isPresent()) {
+	void receive(AgentEvent event) {
+		if (this.killed || this.stopCode.isPresent()) {
 			return;
 		}
 		if (this.paused) {
-			this.held.add(event);
+			this.pendingEvents.add(event);
 			return;
 		}
-		this.machine.apply(event, this.world.now()).forEach(this::carryOut);
+		this.machine.apply(event, this.simulation.now()).forEach(this::carryOut);
 	}
 
 	private void carryOut(AgentEffect effect) {
 		switch (effect) {
-			case AgentEffect.Wake wake -> this.world.after(wake.delayNanos(), () -> hear(new AgentEvent.Tick()));
+			case AgentEffect.Wake wake ->
+				this.simulation.after(wake.delayNanos(), () -> receive(new AgentEvent.Tick()));
 			case AgentEffect.ReadObject read -> read(read.key());
 			case AgentEffect.WriteObject write -> write(write);
-			case AgentEffect.FetchBundle bundle -> this.world.soon(() -> hear(this.world.bundle(bundle.digest())));
+			case AgentEffect.FetchBundle bundle ->
+				this.simulation.afterNetworkDelay(() -> receive(this.simulation.fetchBundle(bundle.digest())));
 			case AgentEffect.FetchWeights weights -> {
-				this.fetched.add(weights.weightsDigest());
-				this.world.after(this.world.fetchNanos(),
-						() -> hear(new AgentEvent.WeightsFetched(weights.weightsDigest())));
+				this.fetchedWeights.add(weights.weightsDigest());
+				this.simulation.after(this.simulation.fetchNanos(),
+						() -> receive(new AgentEvent.WeightsFetched(weights.weightsDigest())));
 			}
-			case AgentEffect.DropWeights drop -> this.dropped.addAll(drop.files());
-			case AgentEffect.ReadEngine read -> this.world.soon(() -> {
-				EngineView view = this.engine.view();
-				this.world.soon(() -> hear(new AgentEvent.EngineRead(view)));
+			case AgentEffect.DropWeights drop -> this.deletedFiles.addAll(drop.files());
+			case AgentEffect.ReadEngine read -> this.simulation.afterNetworkDelay(() -> {
+				EngineView status = this.engine.status();
+				this.simulation.afterNetworkDelay(() -> receive(new AgentEvent.EngineRead(status)));
 			});
 			case AgentEffect.SendOrder order -> order(order);
 			case AgentEffect.StartCall call -> this.calls.add(call.call());
-			case AgentEffect.Stop stop -> this.stopped = Optional.of(stop.code());
-			case AgentEffect.RefuseCall refuse -> this.world.refused(refuse);
+			case AgentEffect.Stop stop -> this.stopCode = Optional.of(stop.code());
+			case AgentEffect.RefuseCall refuse -> this.simulation.recordRefusal(refuse);
 			case AgentEffect.CancelCall cancel -> this.calls.remove(cancel.call());
 			case AgentEffect.ReportNow report -> {
 			}
@@ -123,48 +125,49 @@
 
 	void endCall(long call) {
 		if (this.calls.remove(call)) {
-			hear(new AgentEvent.CallEnded(call));
+			receive(new AgentEvent.CallEnded(call));
 		}
 	}
 
 	private void read(String key) {
-		long sent = this.world.now();
-		this.world.soon(() -> {
-			if (this.world.platform().down(key)) {
-				hear(new AgentEvent.ObjectUnread(key));
+		long sent = this.simulation.now();
+		this.simulation.afterNetworkDelay(() -> {
+			if (this.simulation.platform().unavailable(key)) {
+				receive(new AgentEvent.ObjectUnread(key));
 				return;
 			}
-			Optional<StoredObject> value = this.world.platform().get(key);
-			this.world.soon(() -> hear(new AgentEvent.ObjectRead(key, value, sent)));
+			Optional<StoredObject> value = this.simulation.platform().get(key);
+			this.simulation.afterNetworkDelay(() -> receive(new AgentEvent.ObjectRead(key, value, sent)));
 		});
 	}
 
 	private void write(AgentEffect.WriteObject write) {
-		this.world.soon(() -> {
-			if (this.world.platform().down(write.key())) {
-				hear(new AgentEvent.ObjectUnconfirmed(write.key()));
+		this.simulation.afterNetworkDelay(() -> {
+			if (this.simulation.platform().unavailable(write.key())) {
+				receive(new AgentEvent.ObjectUnconfirmed(write.key()));
 				return;
 			}
-			boolean written = this.world.platform().write(write);
-			boolean lost = this.world.losesConfirmation(write.key());
-			long version = this.world.platform().version(write.key());
-			this.world.soon(() -> hear(lost ? new AgentEvent.ObjectUnconfirmed(write.key()) : written
-					? new AgentEvent.ObjectWritten(write.key(), version) : new AgentEvent.ObjectConflict(write.key())));
+			boolean written = this.simulation.platform().write(write);
+			boolean lost = this.simulation.losesConfirmation(write.key());
+			long version = this.simulation.platform().version(write.key());
+			this.simulation.afterNetworkDelay(() -> receive(lost ? new AgentEvent.ObjectUnconfirmed(write.key())
+					: written ? new AgentEvent.ObjectWritten(write.key(), version)
+							: new AgentEvent.ObjectConflict(write.key())));
 		});
 	}
 
 	private void order(AgentEffect.SendOrder order) {
-		if (this.world.now() > order.notAfterNanos()) {
-			hear(new AgentEvent.OrderLapsed());
+		if (this.simulation.now() > order.notAfterNanos()) {
+			receive(new AgentEvent.OrderLapsed());
 			return;
 		}
-		this.world.soon(() -> {
+		this.simulation.afterNetworkDelay(() -> {
 			if (!this.engine.order(order)) {
-				hear(new AgentEvent.OrderFenced());
+				receive(new AgentEvent.OrderFenced());
 				return;
 			}
-			this.world.after(this.world.loadNanos(), () -> this.engine.loaded(order));
-			hear(new AgentEvent.OrderTaken());
+			this.simulation.after(this.simulation.loadNanos(), () -> this.engine.loaded(order));
+			receive(new AgentEvent.OrderTaken());
 		});
 	}
 
--- a/policy/src/test/java/org/wisteriapost/policy/agent/SimEngine.java
+++ b/policy/src/test/java/org/wisteriapost/policy/agent/SimEngine.java
@@ -4,13 +4,14 @@
 import java.util.List;
 
 /**
- * An engine that outlives its agents; it may honour fencing or not.
+ * A simulated engine, which keeps its state when agents restart. It honours fencing if so
+ * configured.
  */
 final class SimEngine {
 
 	private final boolean fencing;
 
-	private final List<AgentEffect.SendOrder> taken = new ArrayList<>();
+	private final List<AgentEffect.SendOrder> acceptedOrders = new ArrayList<>();
 
 	private String serving = "";
 
@@ -21,27 +22,27 @@
 	}
 
 	/**
-	 * Returns false when the order is refused.
+	 * Returns whether the order is accepted.
 	 */
 	boolean order(AgentEffect.SendOrder order) {
-		if (this.fencing && !this.taken.isEmpty() && lower(order, last())) {
+		if (this.fencing && !this.acceptedOrders.isEmpty() && isLower(order, lastOrder())) {
 			return false;
 		}
-		this.taken.add(order);
+		this.acceptedOrders.add(order);
 		this.loading = true;
 		return true;
 	}
 
 	void loaded(AgentEffect.SendOrder order) {
-		if (order == last()) {
+		if (order == lastOrder()) {
 			this.loading = false;
 			this.serving = order.weightsDigest();
 		}
 	}
 
-	EngineView view() {
-		long generation = this.taken.isEmpty() ? 0 : last().generation();
-		long epoch = this.taken.isEmpty() ? 0 : last().epoch();
+	EngineView status() {
+		long generation = this.acceptedOrders.isEmpty() ? 0 : lastOrder().generation();
+		long epoch = this.acceptedOrders.isEmpty() ? 0 : lastOrder().epoch();
 		return new EngineView(this.serving, this.loading, 0, 0, 4, generation, epoch);
 	}
 
@@ -49,15 +50,15 @@
 		return this.serving;
 	}
 
-	List<AgentEffect.SendOrder> taken() {
-		return this.taken;
+	List<AgentEffect.SendOrder> acceptedOrders() {
+		return this.acceptedOrders;
 	}
 
-	private AgentEffect.SendOrder last() {
-		return this.taken.getLast();
+	private AgentEffect.SendOrder lastOrder() {
+		return this.acceptedOrders.getLast();
 	}
 
-	private static boolean lower(AgentEffect.SendOrder one, AgentEffect.SendOrder other) {
+	private static boolean isLower(AgentEffect.SendOrder one, AgentEffect.SendOrder other) {
 		if (one.generation() != other.generation()) {
 			return one.generation() < other.generation();
 		}
--- a/policy/src/test/java/org/wisteriapost/policy/agent/SimPlatform.java
+++ b/policy/src/test/java/org/wisteriapost/policy/agent/SimPlatform.java
@@ -5,29 +5,29 @@
 import java.util.TreeMap;
 
 /**
- * The platform's objects, without time.
+ * The objects of a simulated platform. Delays are simulated by {@link SimAgent}.
  */
 final class SimPlatform {
 
 	private final Map<String, StoredObject> objects = new TreeMap<>();
 
-	private boolean down;
+	private boolean unavailable;
 
-	private String unreadable = "";
+	private String failRequestsFor = "";
 
-	boolean down(String key) {
-		return this.down || key.equals(this.unreadable);
+	boolean unavailable(String key) {
+		return this.unavailable || key.equals(this.failRequestsFor);
 	}
 
 	/**
-	 * Fails all calls for one key.
+	 * Fails all requests for a key.
 	 */
-	void unreadable(String key) {
-		this.unreadable = key;
+	void failRequestsFor(String key) {
+		this.failRequestsFor = key;
 	}
 
-	void down(boolean now) {
-		this.down = now;
+	void unavailable(boolean value) {
+		this.unavailable = value;
 	}
 
 	Optional<StoredObject> get(String key) {
--- a/policy/src/test/java/org/wisteriapost/policy/agent/StagedSwitchTests.java
+++ b/policy/src/test/java/org/wisteriapost/policy/agent/StagedSwitchTests.java
@@ -16,7 +16,7 @@
 import static org.hamcrest.Matchers.is;
 
 /**
- * Twelve machines of one place together, in seeded random runs.
+ * Rolls bundles out to twelve VMs of a failure domain in seeded random simulations.
  */
 class StagedSwitchTests {
 
@@ -24,73 +24,74 @@
 
 	private static final int MIN_READY = 8;
 
-	// A quarter of twelve.
-	private static final int MOST_SWITCHING = 3;
+	// A quarter of the VMs.
+	private static final int MAX_SWITCHING = 3;
 
 	private static final int ROLLS = 4;
 
-	private final List<String> names = IntStream.range(0, VMS).mapToObj((i) -> "vm-" + i).toList();
+	private final List<String> vms = IntStream.range(0, VMS).mapToObj((i) -> "vm-" + i).toList();
 
 	private final Map<String, SimAgent> agents = new HashMap<>();
 
-	private final List<String> lost = new ArrayList<>();
+	private final List<String> faultyVms = new ArrayList<>();
 
-	private final Map<String, Long> highest = new HashMap<>();
+	private final Map<String, Long> highestGenerations = new HashMap<>();
 
-	private AgentWorld world;
+	private AgentSimulation simulation;
 
 	private Head head;
 
-	private int fewestReady;
+	private int minObservedReady;
 
-	// Callers see a place with too few runners as refusals and late answers. Rolls come
-	// one
-	// after another while confirmations are lost, neighbours lag, agents are paused and
-	// killed (one VM at a time) and engines differ in fencing. At no moment may switching
-	// alone bring the place below minReady, and no engine may ever go back.
+	// Too few ready runners in a failure domain cause refusals and late responses.
+	// Rollouts follow one another while write confirmations are lost, peers report
+	// stale heads, agents are paused or killed (one VM at a time) and some engines
+	// ignore fencing. Switching alone must never bring the failure domain below
+	// minReady, and no engine may return to an older generation.
 	@ParameterizedTest
 	@ValueSource(longs = { 1, 2, 3, 4, 5, 6, 7, 8 })
-	void placeKeepsMinReadyAndNothingReverts(long seed) {
-		this.world = AgentWorld.of(seed, MIN_READY);
-		this.head = this.world.roll(1, "model-1");
-		this.names.forEach((vm) -> startOn(vm, new SimEngine(vm.hashCode() % 2 == 0)));
-		assertThat("first bundle everywhere", everywhere(1), is(true));
-		this.world.loseConfirmations(0.05);
-		this.fewestReady = VMS;
+	void failureDomainKeepsMinReadyAndNoEngineReverts(long seed) {
+		this.simulation = AgentSimulation.of(seed, MIN_READY);
+		this.head = this.simulation.rollOut(1, "model-1");
+		this.vms.forEach((vm) -> startOn(vm, new SimEngine(vm.hashCode() % 2 == 0)));
+		assertThat("first bundle everywhere", runUntilServedByAll(1), is(true));
+		this.simulation.loseConfirmations(0.05);
+		this.minObservedReady = VMS;
 		for (long generation = 2; generation <= ROLLS; generation++) {
 			Head before = this.head;
-			this.head = this.world.roll(generation, "model-" + generation);
-			this.agents.values().forEach((agent) -> tellSometime(agent, before));
-			fault();
-			assertThat("generation " + generation, everywhere(generation), is(true));
+			this.head = this.simulation.rollOut(generation, "model-" + generation);
+			this.agents.values().forEach((agent) -> scheduleHeads(agent, before));
+			injectFault();
+			assertThat("generation " + generation, runUntilServedByAll(generation), is(true));
 		}
-		assertThat(this.fewestReady, greaterThanOrEqualTo(Math.max(MIN_READY, VMS - MOST_SWITCHING)));
-		assertThat(this.world.invariants().violations(), is(anEmptyMap()));
+		assertThat(this.minObservedReady, greaterThanOrEqualTo(Math.max(MIN_READY, VMS - MAX_SWITCHING)));
+		assertThat(this.simulation.invariants().violations(), is(anEmptyMap()));
 	}
 
 	private void startOn(String vm, SimEngine engine) {
-		SimAgent agent = this.world.start(vm, engine);
-		agent.hear(new AgentEvent.PeersRead(this.names, false));
-		agent.hear(new AgentEvent.EntriesConnected(1));
-		agent.hear(AgentWorld.fresh(this.head));
+		SimAgent agent = this.simulation.start(vm, engine);
+		agent.receive(new AgentEvent.PeersRead(this.vms, false));
+		agent.receive(new AgentEvent.EntriesConnected(1));
+		agent.receive(AgentSimulation.confirmed(this.head));
 		this.agents.put(vm, agent);
 	}
 
-	private void tellSometime(SimAgent agent, Head before) {
+	private void scheduleHeads(SimAgent agent, Head before) {
 		Head now = this.head;
-		this.world.after(this.world.random().nextLong(AgentWorld.SECOND), () -> agent.hear(AgentWorld.fresh(now)));
-		this.world.after(this.world.random().nextLong(5 * AgentWorld.SECOND),
-				() -> agent.hear(AgentWorld.unconfirmed(before)));
+		this.simulation.after(this.simulation.random().nextLong(AgentSimulation.SECOND),
+				() -> agent.receive(AgentSimulation.confirmed(now)));
+		this.simulation.after(this.simulation.random().nextLong(5 * AgentSimulation.SECOND),
+				() -> agent.receive(AgentSimulation.unconfirmed(before)));
 	}
 
 	/**
-	 * Pauses or kills one agent in the middle of the roll; it comes back later.
+	 * Pauses or kills an agent during the rollout, and resumes or restarts it later.
 	 */
-	private void fault() {
-		String vm = this.names.get(this.world.random().nextInt(VMS));
-		boolean kill = this.world.random().nextBoolean();
-		this.world.after(this.world.random().nextLong(4 * AgentWorld.SECOND), () -> {
-			this.lost.add(vm);
+	private void injectFault() {
+		String vm = this.vms.get(this.simulation.random().nextInt(VMS));
+		boolean kill = this.simulation.random().nextBoolean();
+		this.simulation.after(this.simulation.random().nextLong(4 * AgentSimulation.SECOND), () -> {
+			this.faultyVms.add(vm);
 			SimAgent agent = this.agents.get(vm);
 			if (kill) {
 				agent.kill();
@@ -98,40 +99,41 @@
 			else {
 				agent.pause();
 			}
-			this.world.after(AgentWorld.SECOND + this.world.random().nextLong(12 * AgentWorld.SECOND), () -> {
-				if (kill) {
-					startOn(vm, agent.engine());
-				}
-				else {
-					agent.resume();
-				}
-				this.world.after(8 * AgentWorld.SECOND, () -> this.lost.remove(vm));
-			});
+			this.simulation
+				.after(AgentSimulation.SECOND + this.simulation.random().nextLong(12 * AgentSimulation.SECOND), () -> {
+					if (kill) {
+						startOn(vm, agent.engine());
+					}
+					else {
+						agent.resume();
+					}
+					this.simulation.after(8 * AgentSimulation.SECOND, () -> this.faultyVms.remove(vm));
+				});
 		});
 	}
 
-	private boolean everywhere(long generation) {
-		return this.world.runUntil(() -> {
-			look();
-			return this.lost.isEmpty() && this.agents.values()
+	private boolean runUntilServedByAll(long generation) {
+		return this.simulation.runUntil(() -> {
+			observe();
+			return this.faultyVms.isEmpty() && this.agents.values()
 				.stream()
-				.allMatch((agent) -> agent.running() && agent.view().admitting()
-						&& agent.engine().serving().equals(this.world.weights(generation)));
-		}, 300 * AgentWorld.SECOND);
+				.allMatch((agent) -> agent.running() && agent.status().admitting()
+						&& agent.engine().serving().equals(this.simulation.weights(generation)));
+		}, 300 * AgentSimulation.SECOND);
 	}
 
-	private void look() {
+	private void observe() {
 		int ready = 0;
-		for (String vm : this.names) {
+		for (String vm : this.vms) {
 			SimAgent agent = this.agents.get(vm);
-			boolean admits = agent.running() && agent.view().admitting();
-			ready += (admits || this.lost.contains(vm)) ? 1 : 0;
-			long generation = agent.engine().view().generation();
-			long before = this.highest.getOrDefault(vm, 0L);
-			this.world.invariants().holds(generation >= before, "no-revert", vm + ": " + generation);
-			this.highest.put(vm, Math.max(before, generation));
+			boolean admits = agent.running() && agent.status().admitting();
+			ready += (admits || this.faultyVms.contains(vm)) ? 1 : 0;
+			long generation = agent.engine().status().generation();
+			long before = this.highestGenerations.getOrDefault(vm, 0L);
+			this.simulation.invariants().holds(generation >= before, "no-revert", vm + ": " + generation);
+			this.highestGenerations.put(vm, Math.max(before, generation));
 		}
-		this.fewestReady = Math.min(this.fewestReady, ready);
+		this.minObservedReady = Math.min(this.minObservedReady, ready);
 	}
 
 }
--- a/policy/src/test/java/org/wisteriapost/policy/agent/StartWithoutPlatformTests.java
+++ b/policy/src/test/java/org/wisteriapost/policy/agent/StartWithoutPlatformTests.java
@@ -12,11 +12,12 @@
 import static org.hamcrest.Matchers.is;
 
 /**
- * An agent starts while the platform is down and hears only neighbours, which may lag.
+ * An agent starts while the platform is down and receives heads only from peers, which
+ * may be stale.
  */
 class StartWithoutPlatformTests {
 
-	private final AgentWorld world = AgentWorld.of(2, 0);
+	private final AgentSimulation simulation = AgentSimulation.of(2, 0);
 
 	private final SimEngine engine = new SimEngine(true);
 
@@ -25,99 +26,97 @@
 	private Head second;
 
 	@BeforeEach
-	void platformIsDown() {
-		this.first = this.world.propose(1, "a", true);
-		this.second = this.world.propose(2, "b", true);
-		this.world.platform().down(true);
+	void makePlatformUnavailable() {
+		this.first = this.simulation.createBundle(1, "a", true);
+		this.second = this.simulation.createBundle(2, "b", true);
+		this.simulation.platform().unavailable(true);
 	}
 
-	// A fresh VM hears of generation 1; it may be long gone. To serve it could answer
-	// callers from weights that the fleet has left. It may get ready, no more.
+	// A new VM receives generation 1, which may have been superseded long ago. It may
+	// fetch the weights but must not serve them.
 	@Test
-	void emptyEngineAndUnconfirmedHeadFetchesButServesNothing() {
-		SimAgent agent = startHearing(AgentWorld.unconfirmed(this.first));
-		assertThat(agent.view().admitting(), is(false));
-		assertThat(agent.fetched(), contains(this.world.weights(1)));
-		assertThat(this.engine.taken(), is(empty()));
+	void emptyEngineWithUnconfirmedHeadFetchesButServesNothing() {
+		SimAgent agent = startWithHead(AgentSimulation.unconfirmed(this.first));
+		assertThat(agent.status().admitting(), is(false));
+		assertThat(agent.fetchedWeights(), contains(this.simulation.weights(1)));
+		assertThat(this.engine.acceptedOrders(), is(empty()));
 	}
 
 	@Test
 	void staleConfirmationIsNotEnoughToOrder() {
-		SimAgent agent = startHearing(new AgentEvent.HeadHeard(1, this.first.digest(), true, 60_000));
-		assertThat(agent.view().admitting(), is(false));
-		assertThat(this.engine.taken(), is(empty()));
+		SimAgent agent = startWithHead(new AgentEvent.HeadHeard(1, this.first.digest(), true, 60_000));
+		assertThat(agent.status().admitting(), is(false));
+		assertThat(this.engine.acceptedOrders(), is(empty()));
 	}
 
-	// The platform takes the epoch and renews the lease, but the head cannot be read. The
-	// agent has all authority and still no evidence: an order could turn the VM to
-	// weights
-	// that the fleet has left.
+	// The agent holds the epoch and the lease, but the head cannot be read. An order
+	// could switch the VM to superseded weights.
 	@Test
-	void authorityWithoutEvidenceOrdersNothing() {
-		this.world.platform().down(false);
-		this.world.platform().unreadable("head");
-		SimAgent agent = startHearing(AgentWorld.unconfirmed(this.first));
-		assertThat(agent.view().epoch(), is(1L));
-		assertThat(agent.view().admitting(), is(false));
-		assertThat(this.engine.taken(), is(empty()));
+	void leaseWithoutConfirmedHeadSendsNoOrder() {
+		this.simulation.platform().unavailable(false);
+		this.simulation.platform().failRequestsFor("head");
+		SimAgent agent = startWithHead(AgentSimulation.unconfirmed(this.first));
+		assertThat(agent.status().epoch(), is(1L));
+		assertThat(agent.status().admitting(), is(false));
+		assertThat(this.engine.acceptedOrders(), is(empty()));
 	}
 
 	@Test
-	void engineThatServesTheHeardHeadGoesOnServing() {
-		served(1);
-		SimAgent agent = startHearing(AgentWorld.unconfirmed(this.first));
-		assertThat(agent.view().admitting(), is(true));
-		assertThat(agent.view().weightsDigest(), equalTo(this.world.weights(1)));
-		assertThat(this.engine.taken(), hasSize(1));
+	void engineServingReceivedHeadContinuesServing() {
+		orderGeneration(1);
+		SimAgent agent = startWithHead(AgentSimulation.unconfirmed(this.first));
+		assertThat(agent.status().admitting(), is(true));
+		assertThat(agent.status().weightsDigest(), equalTo(this.simulation.weights(1)));
+		assertThat(this.engine.acceptedOrders(), hasSize(1));
 	}
 
 	@Test
-	void engineAheadOfALaggingNeighbourGoesOnServingAndIsNotTurnedBack() {
-		served(2);
-		SimAgent agent = startHearing(AgentWorld.unconfirmed(this.first));
-		assertThat(agent.view().admitting(), is(true));
-		assertThat(agent.view().weightsDigest(), equalTo(this.world.weights(2)));
-		assertThat(this.engine.taken(), hasSize(1));
+	void engineAheadOfStalePeerContinuesServingAndIsNotReverted() {
+		orderGeneration(2);
+		SimAgent agent = startWithHead(AgentSimulation.unconfirmed(this.first));
+		assertThat(agent.status().admitting(), is(true));
+		assertThat(agent.status().weightsDigest(), equalTo(this.simulation.weights(2)));
+		assertThat(this.engine.acceptedOrders(), hasSize(1));
 	}
 
 	@Test
-	void engineBehindTheHeardHeadServesNothing() {
-		served(1);
-		SimAgent agent = startHearing(AgentWorld.unconfirmed(this.second));
-		assertThat(agent.view().admitting(), is(false));
-		assertThat(this.engine.taken(), hasSize(1));
+	void engineBehindReceivedHeadServesNothing() {
+		orderGeneration(1);
+		SimAgent agent = startWithHead(AgentSimulation.unconfirmed(this.second));
+		assertThat(agent.status().admitting(), is(false));
+		assertThat(this.engine.acceptedOrders(), hasSize(1));
 	}
 
 	@Test
-	void nothingHeardServesNothing() {
-		served(1);
-		SimAgent agent = this.world.start("vm-1", this.engine);
-		this.world.run(10 * AgentWorld.SECOND);
-		assertThat(agent.view().admitting(), is(false));
+	void agentWithoutAnyHeadServesNothing() {
+		orderGeneration(1);
+		SimAgent agent = this.simulation.start("vm-1", this.engine);
+		this.simulation.run(10 * AgentSimulation.SECOND);
+		assertThat(agent.status().admitting(), is(false));
 	}
 
-	// The platform comes back with a newer head than the neighbour told: the agent goes
-	// straight to it and never serves the older.
+	// The platform recovers with a newer head than the peer reported. The agent must
+	// switch to it directly and never serve the older one.
 	@Test
-	void platformThatComesBackDecides() {
-		SimAgent agent = startHearing(AgentWorld.unconfirmed(this.first));
-		this.world.platform().down(false);
-		this.world.roll(2, "b");
-		assertThat(this.world.runUntil(() -> agent.view().admitting(), 30 * AgentWorld.SECOND), is(true));
-		assertThat(agent.view().weightsDigest(), equalTo(this.world.weights(2)));
-		assertThat(this.engine.taken(), hasSize(1));
+	void recoveredPlatformDeterminesHead() {
+		SimAgent agent = startWithHead(AgentSimulation.unconfirmed(this.first));
+		this.simulation.platform().unavailable(false);
+		this.simulation.rollOut(2, "b");
+		assertThat(this.simulation.runUntil(() -> agent.status().admitting(), 30 * AgentSimulation.SECOND), is(true));
+		assertThat(agent.status().weightsDigest(), equalTo(this.simulation.weights(2)));
+		assertThat(this.engine.acceptedOrders(), hasSize(1));
 	}
 
-	private SimAgent startHearing(AgentEvent head) {
-		SimAgent agent = this.world.start("vm-1", this.engine);
-		agent.hear(head);
-		this.world.run(20 * AgentWorld.SECOND);
+	private SimAgent startWithHead(AgentEvent head) {
+		SimAgent agent = this.simulation.start("vm-1", this.engine);
+		agent.receive(head);
+		this.simulation.run(20 * AgentSimulation.SECOND);
 		return agent;
 	}
 
-	private void served(long generation) {
-		AgentEffect.SendOrder order = new AgentEffect.SendOrder(this.world.weights(generation), java.util.List.of(),
-				generation, 1, Long.MAX_VALUE);
+	private void orderGeneration(long generation) {
+		AgentEffect.SendOrder order = new AgentEffect.SendOrder(this.simulation.weights(generation),
+				java.util.List.of(), generation, 1, Long.MAX_VALUE);
 		this.engine.order(order);
 		this.engine.loaded(order);
 	}
--- a/policy/src/test/java/org/wisteriapost/policy/agent/SwitchLimitTests.java
+++ b/policy/src/test/java/org/wisteriapost/policy/agent/SwitchLimitTests.java
@@ -8,11 +8,11 @@
 
 class SwitchLimitTests {
 
-	@ParameterizedTest(name = "{0} VMs, {1} lost, minReady {2}: {3}")
+	@ParameterizedTest(name = "{0} VMs, {1} unresponsive, minReady {2}: {3}")
 	@CsvSource({ "12, 0, 0, 3", "12, 0, 10, 2", "12, 1, 10, 1", "12, 2, 10, 0", "12, 5, 10, 0", "3, 0, 2, 1",
 			"3, 0, 3, 1", "1, 0, 1, 1", "0, 0, 0, 1", "810, 0, 1, 202" })
-	void limitIsTheSmallerOfShareAndWhatMinReadyLeaves(int vms, int lost, int minReady, int limit) {
-		assertThat(SwitchLimit.of(vms, lost, minReady, 0.25), is(limit));
+	void limitIsTheSmallerOfShareAndRunnersAboveMinReady(int vms, int unresponsive, int minReady, int limit) {
+		assertThat(SwitchLimit.of(vms, unresponsive, minReady, 0.25), is(limit));
 	}
 
 }
