--- a/policy/src/main/java/org/wisteriapost/policy/burn/BurnJudge.java
+++ b/policy/src/main/java/org/wisteriapost/policy/burn/BurnJudge.java
@@ -3,7 +3,8 @@
 import java.util.List;
 
 /**
- * Tells an answer in time from a late one by the strictest objective that covers it.
+ * Classifies complete responses as on time or late by the strictest latency objective
+ * that covers the request.
  */
 public final class BurnJudge {
 
@@ -13,16 +14,14 @@
 		this.objectives = List.copyOf(objectives);
 	}
 
-	/**
-	 * Returns a judge for some objectives.
-	 */
 	public static BurnJudge of(List<Objective> objectives) {
 		return new BurnJudge(objectives);
 	}
 
 	/**
-	 * Returns {@link Result#GOOD} or {@link Result#LATE} for a whole answer.
-	 * @param firstByteMillis from the request's arrival to the answer's first byte
+	 * Returns {@link Result#GOOD} or {@link Result#LATE} for a complete response.
+	 * @param firstByteMillis time from the request's arrival to the first byte of the
+	 * response
 	 */
 	public Result answered(String service, String organisation, long firstByteMillis) {
 		boolean late = this.objectives.stream()
--- a/policy/src/main/java/org/wisteriapost/policy/burn/BurnLedger.java
+++ b/policy/src/main/java/org/wisteriapost/policy/burn/BurnLedger.java
@@ -8,44 +8,42 @@
 import java.util.Map;
 
 /**
- * Counts one entry's requests by series and result in rings of buckets. Used by one
- * thread.
+ * Counts an entry's requests by series and result in ring buffers of time buckets. Not
+ * thread-safe.
  *
- * The number of series is bounded: organisations and services come from settings and
- * bundles, but a mistake there must not grow an entry's heap without end. What is over
- * the bound is counted together under {@link #OTHERS}.
+ * The number of series is bounded, so that an error in the settings or bundles, which
+ * define organisations and services, cannot exhaust the entry's heap. Further series are
+ * counted together under {@link #OVERFLOW}.
  */
 public final class BurnLedger {
 
-	/** Where series over the bound are counted. */
-	public static final Series OTHERS = new Series("others", "others");
+	/** Counts the requests of all series over the limit. */
+	public static final Series OVERFLOW = new Series("others", "others");
 
 	private static final int MAX_SERIES = 512;
 
-	private final Map<Series, Map<Window, Ring>> series = new LinkedHashMap<>();
+	private final Map<Series, Map<BurnWindow, Ring>> series = new LinkedHashMap<>();
 
 	private BurnLedger() {
 	}
 
-	/**
-	 * Returns a ledger with nothing in it.
-	 */
 	public static BurnLedger create() {
 		return new BurnLedger();
 	}
 
 	/**
-	 * Counts one request.
-	 * @param nowMillis in milliseconds since 1970
+	 * Counts a request.
+	 * @param nowMillis current time in milliseconds since the Unix epoch
 	 */
 	public void count(Series key, Result result, long nowMillis) {
-		Series counted = (this.series.containsKey(key) || this.series.size() < MAX_SERIES) ? key : OTHERS;
-		Map<Window, Ring> rings = this.series.computeIfAbsent(counted, (absent) -> rings());
+		Series counted = (this.series.containsKey(key) || this.series.size() < MAX_SERIES) ? key : OVERFLOW;
+		Map<BurnWindow, Ring> rings = this.series.computeIfAbsent(counted, (absent) -> rings());
 		rings.forEach((window, ring) -> ring.count(result, nowMillis / window.bucketMillis()));
 	}
 
 	/**
-	 * Returns what was counted in each window up to now.
+	 * Returns the counts of each series in the windows that end now.
+	 * @param nowMillis current time in milliseconds since the Unix epoch
 	 */
 	public BurnSnapshot snapshot(String entry, long nowMillis) {
 		List<BurnSnapshot.Row> rows = new ArrayList<>();
@@ -57,32 +55,33 @@
 		return new BurnSnapshot(entry, nowMillis, rows);
 	}
 
-	private static Map<Window, Ring> rings() {
-		Map<Window, Ring> rings = new EnumMap<>(Window.class);
-		for (Window window : Window.values()) {
+	private static Map<BurnWindow, Ring> rings() {
+		Map<BurnWindow, Ring> rings = new EnumMap<>(BurnWindow.class);
+		for (BurnWindow window : BurnWindow.values()) {
 			rings.put(window, new Ring(window.buckets()));
 		}
 		return rings;
 	}
 
 	/**
-	 * Buckets numbered by time; one that is overwritten by a later round starts at zero.
+	 * Ring buffer of buckets numbered by time. A bucket is reset to zero when its slot is
+	 * reused for a later time.
 	 */
 	private static final class Ring {
 
-		private final long[] numbers;
+		private final long[] bucketNumbers;
 
 		private final long[][] counts;
 
 		private Ring(int buckets) {
-			this.numbers = new long[buckets];
+			this.bucketNumbers = new long[buckets];
 			this.counts = new long[buckets][Result.values().length];
 		}
 
 		private void count(Result result, long bucket) {
-			int slot = (int) (bucket % this.numbers.length);
-			if (this.numbers[slot] != bucket) {
-				this.numbers[slot] = bucket;
+			int slot = (int) (bucket % this.bucketNumbers.length);
+			if (this.bucketNumbers[slot] != bucket) {
+				this.bucketNumbers[slot] = bucket;
 				Arrays.fill(this.counts[slot], 0);
 			}
 			this.counts[slot][result.ordinal()]++;
@@ -90,8 +89,9 @@
 
 		private Counts sum(long lastBucket) {
 			Counts sum = Counts.NONE;
-			for (int i = 0; i < this.numbers.length; i++) {
-				if (this.numbers[i] > lastBucket - this.numbers.length && this.numbers[i] <= lastBucket) {
+			for (int i = 0; i < this.bucketNumbers.length; i++) {
+				if (this.bucketNumbers[i] > lastBucket - this.bucketNumbers.length
+						&& this.bucketNumbers[i] <= lastBucket) {
 					sum = sum.plus(new Counts(Arrays.stream(this.counts[i]).boxed().toList()));
 				}
 			}
--- a/policy/src/main/java/org/wisteriapost/policy/burn/BurnReport.java
+++ b/policy/src/main/java/org/wisteriapost/policy/burn/BurnReport.java
@@ -6,19 +6,21 @@
 import java.util.TreeMap;
 
 /**
- * How fast each objective's error budget is spent, by whom and on what.
+ * Burn rate of each objective's error budget, and the requests that spend it by
+ * organisation and result.
  *
- * @param atMillis when it was made
- * @param entries how many entries' figures are in it
- * @param oldestMillis the age of the oldest of these figures
- * @param lines one for each objective
+ * @param atMillis creation time in milliseconds since the Unix epoch
+ * @param entries number of entry snapshots included
+ * @param oldestMillis age of the oldest snapshot included
+ * @param lines one line for each objective
  */
 public record BurnReport(long atMillis, int entries, long oldestMillis, List<Line> lines) {
 
 	/**
 	 * Returns the report over the entries' snapshots. A snapshot that is older than a
-	 * window has nothing to say about it and is left out of that window; in the longer
-	 * ones it still counts, so that what a replaced entry saw is not lost.
+	 * window is left out of that window. It still counts in the longer windows, so that
+	 * the requests of a replaced entry are not lost.
+	 * @param nowMillis current time in milliseconds since the Unix epoch
 	 */
 	public static BurnReport of(List<Objective> objectives, List<BurnSnapshot> snapshots, long nowMillis) {
 		List<Line> lines = objectives.stream().map((objective) -> line(objective, snapshots, nowMillis)).toList();
@@ -28,20 +30,21 @@
 
 	private static Line line(Objective objective, List<BurnSnapshot> snapshots, long nowMillis) {
 		List<Span> spans = new ArrayList<>();
-		for (Window window : Window.values()) {
+		for (BurnWindow window : BurnWindow.values()) {
 			Map<String, Counts> spenders = new TreeMap<>();
 			for (BurnSnapshot snapshot : snapshots) {
 				if (nowMillis - snapshot.atMillis() < window.lengthMillis()) {
-					add(objective, window, snapshot, spenders);
+					addCounts(objective, window, snapshot, spenders);
 				}
 			}
 			Counts total = spenders.values().stream().reduce(Counts.NONE, Counts::plus);
-			spans.add(new Span(window.label(), total, burn(objective, total), spenders));
+			spans.add(new Span(window.label(), total, burnRate(objective, total), spenders));
 		}
 		return new Line(objective, spans);
 	}
 
-	private static void add(Objective objective, Window window, BurnSnapshot snapshot, Map<String, Counts> spenders) {
+	private static void addCounts(Objective objective, BurnWindow window, BurnSnapshot snapshot,
+			Map<String, Counts> spenders) {
 		for (BurnSnapshot.Row row : snapshot.rows()) {
 			if (objective.covers(row.service(), row.organisation())) {
 				Counts counts = row.windows().getOrDefault(window.label(), Counts.NONE);
@@ -50,7 +53,7 @@
 		}
 	}
 
-	private static double burn(Objective objective, Counts counts) {
+	private static double burnRate(Objective objective, Counts counts) {
 		if (counts.total() == 0) {
 			return 0;
 		}
@@ -59,10 +62,10 @@
 	}
 
 	/**
-	 * One objective.
+	 * Error budget of an objective.
 	 *
-	 * @param objective the promise
-	 * @param spans its windows, shortest first
+	 * @param objective the objective
+	 * @param spans one span for each window, shortest first
 	 */
 	public record Line(Objective objective, List<Span> spans) {
 
@@ -76,12 +79,12 @@
 	}
 
 	/**
-	 * One objective over one window.
+	 * Error budget of an objective over one window.
 	 *
-	 * @param window its label
-	 * @param counts all requests
-	 * @param burn how many times faster than the objective allows the budget is spent; 1
-	 * spends it exactly over the window
+	 * @param window label of the window
+	 * @param counts counts of all requests
+	 * @param burn burn rate: share of bad requests divided by the share that the
+	 * objective allows; at 1 the budget is spent exactly over the window
 	 * @param spenders counts by organisation
 	 */
 	public record Span(String window, Counts counts, double burn, Map<String, Counts> spenders) {
--- a/policy/src/main/java/org/wisteriapost/policy/burn/BurnSnapshot.java
+++ b/policy/src/main/java/org/wisteriapost/policy/burn/BurnSnapshot.java
@@ -4,12 +4,12 @@
 import java.util.Map;
 
 /**
- * What one entry has counted, as it writes it to the platform every minute under
- * {@code burn/VM}. An entry that dies loses at most what it counted since.
+ * Counts of an entry, written to the platform every minute under {@code burn/VM}. An
+ * entry that fails loses at most the counts since its last snapshot.
  *
- * @param entry the entry VM
- * @param atMillis when it was taken, in milliseconds since 1970
- * @param rows the series
+ * @param entry VM of the entry
+ * @param atMillis creation time in milliseconds since the Unix epoch
+ * @param rows one row for each series
  */
 public record BurnSnapshot(String entry, long atMillis, List<Row> rows) {
 
@@ -18,11 +18,11 @@
 	}
 
 	/**
-	 * One series.
+	 * Counts of a series.
 	 *
 	 * @param service the service called
-	 * @param organisation who called
-	 * @param windows counts by {@link Window#label}
+	 * @param organisation the organisation that called it
+	 * @param windows counts by {@link BurnWindow#label}
 	 */
 	public record Row(String service, String organisation, Map<String, Counts> windows) {
 
--- a/policy/src/main/java/org/wisteriapost/policy/burn/Window.java
+++ b/policy/src/main/java/org/wisteriapost/policy/burn/BurnWindow.java
@@ -3,18 +3,16 @@
 import java.time.Duration;
 
 /**
- * The spans that burn is looked at over, each kept in buckets a fraction of its length. A
- * short and a long window together tell a spike from a slow leak.
+ * The time windows of burn rates, each divided into buckets. A short window detects a
+ * spike, a long one a slow but steady loss of budget.
  */
-public enum Window {
+public enum BurnWindow {
 
-	/** Five minutes, for a page that must go out now. */
+	/** Five minutes, for alerts that need an immediate reaction. */
 	FIVE_MINUTES("5m", Duration.ofMinutes(5), Duration.ofSeconds(15)),
-	/** One hour. */
 	ONE_HOUR("1h", Duration.ofHours(1), Duration.ofMinutes(2)),
-	/** Six hours. */
 	SIX_HOURS("6h", Duration.ofHours(6), Duration.ofMinutes(10)),
-	/** Three days, over which the budget is stated. */
+	/** Three days, the period of the error budget. */
 	THREE_DAYS("3d", Duration.ofDays(3), Duration.ofHours(1));
 
 	private final String label;
@@ -23,7 +21,7 @@
 
 	private final Duration bucket;
 
-	Window(String label, Duration length, Duration bucket) {
+	BurnWindow(String label, Duration length, Duration bucket) {
 		this.label = label;
 		this.length = length;
 		this.bucket = bucket;
--- a/policy/src/main/java/org/wisteriapost/policy/burn/Counts.java
+++ b/policy/src/main/java/org/wisteriapost/policy/burn/Counts.java
@@ -4,9 +4,9 @@
 import java.util.List;
 
 /**
- * Requests by result.
+ * Numbers of requests by result.
  *
- * @param byResult as many as there are results, in their order
+ * @param byResult counts in the declaration order of {@link Result}
  */
 public record Counts(List<Long> byResult) {
 
@@ -18,29 +18,27 @@
 	}
 
 	/**
-	 * Returns the requests of one result.
+	 * Returns the number of requests with a result.
 	 */
 	public long of(Result result) {
 		return this.byResult.get(result.ordinal());
 	}
 
 	/**
-	 * Returns all requests.
+	 * Returns the number of all requests.
 	 */
 	public long total() {
 		return this.byResult.stream().mapToLong(Long::longValue).sum();
 	}
 
 	/**
-	 * Returns the requests that spend the error budget.
+	 * Returns the number of requests that spend the error budget: all that are not
+	 * {@link Result#GOOD}.
 	 */
 	public long bad() {
 		return total() - of(Result.GOOD);
 	}
 
-	/**
-	 * Returns the sum of these and others.
-	 */
 	public Counts plus(Counts other) {
 		return new Counts(Arrays.stream(Result.values()).map((result) -> of(result) + other.of(result)).toList());
 	}
--- a/policy/src/main/java/org/wisteriapost/policy/burn/Objective.java
+++ b/policy/src/main/java/org/wisteriapost/policy/burn/Objective.java
@@ -1,25 +1,27 @@
 package org.wisteriapost.policy.burn;
 
 /**
- * What a service promises its callers.
+ * A service-level objective for the requests of an organisation to a service.
  *
- * @param name the section's name
- * @param service the service it is about
- * @param organisation whose requests it is about, {@code *} for everybody's
- * @param availability the share of requests that must be {@link Result#GOOD}
- * @param latencyMillis until the first byte of an answer; later is {@link Result#LATE}
+ * @param name name of the settings section
+ * @param service the service covered
+ * @param organisation the organisation covered, {@code *} for all
+ * @param availability share of requests that must be {@link Result#GOOD}
+ * @param latencyMillis maximum time to the first byte of a response; a later response is
+ * {@link Result#LATE}
  */
 public record Objective(String name, String service, String organisation, double availability, long latencyMillis) {
 
-	/** An objective about every organisation. */
-	public static final String EVERYBODY = "*";
+	/** Matches every organisation. */
+	public static final String ALL_ORGANISATIONS = "*";
 
 	/**
-	 * Returns whether a request counts towards this objective.
+	 * Returns whether the requests of an organisation to a service count towards this
+	 * objective.
 	 */
 	public boolean covers(String service, String organisation) {
 		return this.service.equals(service)
-				&& (this.organisation.equals(EVERYBODY) || this.organisation.equals(organisation));
+				&& (this.organisation.equals(ALL_ORGANISATIONS) || this.organisation.equals(organisation));
 	}
 
 }
--- a/policy/src/main/java/org/wisteriapost/policy/burn/ObjectiveSettings.java
+++ b/policy/src/main/java/org/wisteriapost/policy/burn/ObjectiveSettings.java
@@ -17,7 +17,7 @@
 
 	private static final Setting<String> ORGANISATION = Setting
 		.text(SECTION, "organisation", "Organisation the objective is about, * for all.")
-		.orElse(Objective.EVERYBODY);
+		.orElse(Objective.ALL_ORGANISATIONS);
 
 	private static final Setting<Double> AVAILABILITY = Setting
 		.fraction(SECTION, "availability", 0.5, 0.99999, "Share of requests that must be answered whole and in time.")
@@ -33,7 +33,7 @@
 	}
 
 	/**
-	 * Returns the objectives in a settings file that was checked.
+	 * Returns the objectives of a validated settings file.
 	 */
 	public static List<Objective> read(Settings settings) {
 		return settings.named("objective").stream().map((name) -> {
--- a/policy/src/main/java/org/wisteriapost/policy/burn/Result.java
+++ b/policy/src/main/java/org/wisteriapost/policy/burn/Result.java
@@ -1,19 +1,19 @@
 package org.wisteriapost.policy.burn;
 
 /**
- * What a request was to its caller.
+ * Result of a request from the caller's point of view.
  */
 public enum Result {
 
-	/** Answered whole within the objective's latency. */
+	/** Answered completely within the latency of the objective. */
 	GOOD,
-	/** Answered whole, later than that. */
+	/** Answered completely, but later than the objective allows. */
 	LATE,
-	/** Turned away as not run. */
+	/** Rejected without being run. */
 	REFUSED,
-	/** Given up on; it may have run. */
+	/** Abandoned without a known result; it may have been run. */
 	UNKNOWN,
-	/** Answered with a failure or cut. */
+	/** Answered with an error or an incomplete response. */
 	FAILED
 
 }
--- a/policy/src/main/java/org/wisteriapost/policy/burn/Series.java
+++ b/policy/src/main/java/org/wisteriapost/policy/burn/Series.java
@@ -1,10 +1,10 @@
 package org.wisteriapost.policy.burn;
 
 /**
- * Whose requests to what are counted together.
+ * Key under which requests are counted.
  *
  * @param service the service called
- * @param organisation who called
+ * @param organisation the organisation that called it
  */
 public record Series(String service, String organisation) {
 }
--- a/policy/src/main/java/org/wisteriapost/policy/burn/package-info.java
+++ b/policy/src/main/java/org/wisteriapost/policy/burn/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Service-level figures: what each request was to its caller, counted in bounded windows,
- * and how fast that spends the error budget of each objective.
+ * Service-level objectives: requests are counted by result in bounded time windows, and
+ * the counts yield the burn rate of each objective's error budget.
  */
 package org.wisteriapost.policy.burn;
--- a/policy/src/test/java/org/wisteriapost/policy/burn/BurnTests.java
+++ b/policy/src/test/java/org/wisteriapost/policy/burn/BurnTests.java
@@ -32,7 +32,7 @@
 
 	@ParameterizedTest(name = "{0}")
 	@MethodSource("ages")
-	void requestCountsInTheWindowsItIsYoungerThan(String name, long minutes, List<Long> expected) {
+	void requestCountsInEachWindowThatCoversIt(String name, long minutes, List<Long> expected) {
 		this.ledger.count(new Series("lm", "press"), Result.LATE, NOW - minutes * 60_000);
 		BurnReport report = BurnReport.of(List.of(ALL), List.of(this.ledger.snapshot("e", NOW)), NOW);
 		assertThat(report.lines().getFirst().spans().stream().map((span) -> span.counts().bad()).toList(),
@@ -40,7 +40,7 @@
 	}
 
 	@Test
-	void burnIsTheBadShareOverTheAllowedShareAndNamesItsSpenders() {
+	void burnRateIsBadShareOverAllowedShareWithCountsByOrganisation() {
 		count("press", Result.GOOD, 6);
 		count("press", Result.REFUSED, 2);
 		count("museum", Result.UNKNOWN, 2);
@@ -50,11 +50,10 @@
 		assertThat(report.lines().get(0).spans().getFirst().spenders().get("museum").of(Result.UNKNOWN), is(2L));
 	}
 
-	// An entry was replaced two hours ago; its last snapshot still counts over six hours
-	// and
-	// three days, but says nothing about the last hour.
+	// The last snapshot of an entry that was replaced two hours ago still counts in the
+	// windows of six hours and three days, but not in the shorter ones.
 	@Test
-	void replacedEntrysFiguresCountOnlyInLongerWindows() {
+	void snapshotOfReplacedEntryCountsOnlyInLongerWindows() {
 		count("press", Result.FAILED, 1);
 		BurnSnapshot old = this.ledger.snapshot("e", NOW);
 		BurnReport report = BurnReport.of(List.of(ALL), List.of(old), NOW + 2 * 3_600_000);
@@ -63,7 +62,7 @@
 	}
 
 	@Test
-	void seriesOverTheBoundAreCountedTogether() {
+	void seriesOverTheLimitAreCountedTogether() {
 		for (int i = 0; i < 2000; i++) {
 			count("organisation-" + i, Result.GOOD, 1);
 		}
@@ -73,7 +72,7 @@
 	}
 
 	@Test
-	void strictestObjectiveTellsLate() {
+	void strictestObjectiveDeterminesLateResult() {
 		BurnJudge judge = BurnJudge.of(List.of(ALL, ONE));
 		assertThat(judge.answered("lm", "press", 101), is(Result.LATE));
 		assertThat(judge.answered("lm", "museum", 101), is(Result.GOOD));
