--- /dev/null
+++ b/policy/src/main/java/org/wisteriapost/policy/dispatch/AdmissionPolicy.java
@@ -0,0 +1,197 @@
+package org.wisteriapost.policy.dispatch;
+
+import java.time.Duration;
+
+import org.apache.commons.rng.UniformRandomProvider;
+
+/**
+ * Decides whether a request is sent now, waits for free capacity, or is refused.
+ *
+ * Under more load than the engines can serve in time, admitting every request would make
+ * every first event late. Only requests that can meet their latency target are admitted,
+ * which keeps the engines at full goodput. Other requests are refused immediately, while
+ * their callers still have time to retry elsewhere.
+ */
+final class AdmissionPolicy {
+
+	// Time for network transfer from the entry to the caller and for processing in the
+	// entry.
+	private static final double ENTRY_OVERHEAD_MILLIS = 15;
+
+	// Below this utilization an engine is sent a request even if no prediction meets its
+	// latency target: the prompt waits behind others, but the request takes a slot that
+	// would be empty otherwise.
+	private static final double LOW_UTILIZATION = 0.75;
+
+	// A retry after a refusal has missed its latency target and must not delay requests
+	// that can still meet theirs. It is kept out of the last slots and, while other
+	// requests are being refused, is only sent to a nearly idle engine.
+	private static final double LATE_MAX_UTILIZATION = 0.85;
+
+	private static final double LATE_MAX_UTILIZATION_CONTENDED = 0.25;
+
+	// How long the fleet counts as overloaded after a request could not be sent. An
+	// engine at its limit frees a slot about every 100 ms.
+	private static final long CONTENTION_WINDOW_NANOS = Duration.ofMillis(300).toNanos();
+
+	// A retry after a refusal waits for a free slot for at most this share of the
+	// latency target, and only while no other request is refused. A second refusal is
+	// final, but a longer wait would leave no time to go elsewhere.
+	private static final double LATE_MAX_WAIT_SHARE = 0.8;
+
+	// Share of the remaining time after which a refused caller should retry. Engines
+	// that switch weights or restart are unavailable for a second and more, so an
+	// earlier retry would meet the same load and use up the one retry of the caller. The
+	// delay is jittered to avoid synchronized retries.
+	private static final double RETRY_AFTER_SHARE = 1.0 / 3;
+
+	private static final double RETRY_AFTER_JITTER = 0.3;
+
+	private static final long MIN_RETRY_AFTER_MILLIS = 100;
+
+	private static final long MAX_RETRY_AFTER_MILLIS = 2000;
+
+	// While no runner is known, a request waits for one to register for at most this
+	// share of the latency target.
+	private static final double NO_RUNNER_MAX_WAIT_SHARE = 0.125;
+
+	// Maximum wait for a slot as a share of the latency target. A later refusal would
+	// leave the caller too little time to retry.
+	private static final double MAX_WAIT_SHARE = 0.3;
+
+	private static final int MAX_RANK = 9;
+
+	private static final int LATE_RANK = 8;
+
+	private final RefusedRequests refusedRequests = new RefusedRequests();
+
+	private final UniformRandomProvider random;
+
+	private long lastContentionNanos = Long.MIN_VALUE / 2;
+
+	AdmissionPolicy(UniformRandomProvider random) {
+		this.random = random;
+	}
+
+	/**
+	 * Recognizes a request as the retry of a refused request.
+	 */
+	void arrived(Job job) {
+		this.refusedRequests.earlierAttempt(job).ifPresent((refusal) -> job.firstAttemptNanos = refusal.askedNanos());
+	}
+
+	/**
+	 * Records a refused request, whose caller may retry.
+	 */
+	void recordRefusal(RefusedRequest request) {
+		this.refusedRequests.add(request);
+	}
+
+	Decision decide(Job job, Placement.Choice choice, int queued, long nowNanos) {
+		if (choice.isEmpty()) {
+			return (waitedShare(job, nowNanos) < NO_RUNNER_MAX_WAIT_SHARE) ? Decision.WAIT : Decision.REFUSE;
+		}
+		if (!choice.engine()) {
+			return decidePlain(job, choice, nowNanos);
+		}
+		if (job.possibleRuns > 0) {
+			// Work has been spent on the request already and would be wasted by a
+			// refusal.
+			return Decision.SEND;
+		}
+		if (isLate(job, nowNanos)) {
+			return decideLate(job, choice, nowNanos);
+		}
+		double remaining = remainingMillis(job, nowNanos);
+		if (choice.hasFreeCapacity()
+				&& (choice.predictedMillis() <= remaining || choice.utilization() < LOW_UTILIZATION)) {
+			return Decision.SEND;
+		}
+		this.lastContentionNanos = nowNanos;
+		return canWait(job, choice, queued, remaining, nowNanos) ? Decision.WAIT : Decision.REFUSE;
+	}
+
+	/**
+	 * Returns whether the request can no longer meet its latency target at any runner.
+	 */
+	boolean isLate(Job job, long nowNanos) {
+		return job.isStream() && remainingMillis(job, nowNanos) <= 0;
+	}
+
+	private Decision decideLate(Job job, Placement.Choice choice, long nowNanos) {
+		boolean contended = nowNanos - this.lastContentionNanos < CONTENTION_WINDOW_NANOS;
+		if (choice.hasFreeCapacity()
+				&& choice.utilization() < (contended ? LATE_MAX_UTILIZATION_CONTENDED : LATE_MAX_UTILIZATION)) {
+			return Decision.SEND;
+		}
+		boolean keepWaiting = !contended && waitedShare(job, nowNanos) < LATE_MAX_WAIT_SHARE;
+		return keepWaiting ? Decision.WAIT : Decision.REFUSE;
+	}
+
+	private static double waitedShare(Job job, long nowNanos) {
+		return (double) (nowNanos - job.arrivedNanos()) / job.route().target().toNanos();
+	}
+
+	// The request waits in the entry and not at an engine, so that it can use the first
+	// free slot of any engine. It waits only for a bounded time and only if the requests
+	// ahead of it leave a slot within that time.
+	private static boolean canWait(Job job, Placement.Choice choice, int queued, double remaining, long nowNanos) {
+		double waited = (double) (nowNanos - job.arrivedNanos()) / Placement.NANOS_PER_MILLI;
+		double maxWait = MAX_WAIT_SHARE * job.route().target().toMillis();
+		if (choice.hasFreeCapacity() || waited >= maxWait) {
+			return false;
+		}
+		double wait = (queued + 1) * choice.slotIntervalMillis();
+		return wait <= maxWait - waited && wait + choice.predictedMillis() - choice.slotWaitMillis() <= remaining;
+	}
+
+	/**
+	 * Returns the delay after which a refused caller should retry.
+	 */
+	long retryAfterMillis(Job job, long nowNanos) {
+		double remaining = (double) (job.deadlineNanos() - nowNanos) / Placement.NANOS_PER_MILLI;
+		double delay = Math.clamp(remaining * RETRY_AFTER_SHARE, MIN_RETRY_AFTER_MILLIS, MAX_RETRY_AFTER_MILLIS);
+		return (long) (delay * (1 - this.random.nextDouble() * RETRY_AFTER_JITTER));
+	}
+
+	/**
+	 * Returns the rank of a request at its runner.
+	 */
+	int rank(Job job, long nowNanos) {
+		if (isLate(job, nowNanos)) {
+			return LATE_RANK;
+		}
+		int declared = job.organisation()
+			.map((organisation) -> organisation.priority().orElse(job.route().priority()))
+			.orElse(job.route().priority());
+		return Math.clamp(declared, 0, MAX_RANK);
+	}
+
+	private static Decision decidePlain(Job job, Placement.Choice choice, long nowNanos) {
+		if (choice.hasFreeCapacity()) {
+			return Decision.SEND;
+		}
+		boolean timedOut = nowNanos - job.arrivedNanos() > job.route().target().toNanos() / 2;
+		return timedOut ? Decision.REFUSE : Decision.WAIT;
+	}
+
+	private static double remainingMillis(Job job, long nowNanos) {
+		double elapsed = (double) (nowNanos - job.firstAttemptNanos) / Placement.NANOS_PER_MILLI;
+		return job.route().target().toMillis() - elapsed - ENTRY_OVERHEAD_MILLIS;
+	}
+
+	/**
+	 * Decision on a request.
+	 */
+	enum Decision {
+
+		/** Send the request to the chosen runner. */
+		SEND,
+		/** Decide again when the state has changed. */
+		WAIT,
+		/** End the request without a result. */
+		REFUSE
+
+	}
+
+}
--- a/policy/src/main/java/org/wisteriapost/policy/dispatch/DispatchEffect.java
+++ b/policy/src/main/java/org/wisteriapost/policy/dispatch/DispatchEffect.java
@@ -6,31 +6,30 @@
 import org.wisteriapost.policy.fleet.RunnerInfo;
 
 /**
- * What is to be done with a request.
+ * An action on a request that the dispatcher has decided and its caller carries out.
  */
 public sealed interface DispatchEffect {
 
-	/**
-	 * Returns the request.
-	 */
 	Job job();
 
 	/**
-	 * Send it to a runner.
+	 * Sends the request to a runner.
 	 *
 	 * @param job the request
-	 * @param runner to whom
-	 * @param rank 0 to 9, 0 is admitted first by the runner
-	 * @param weightsVersion the only version it may run on, when that matters
-	 * @param tries whether it may leave only over a connection that is made for it, since
-	 * the way to the runner may be closed
+	 * @param runner the target runner
+	 * @param rank admission rank at the runner, from 0 (first) to 9 (last)
+	 * @param weightsVersion the only weights version on which the request may run, if it
+	 * matters
+	 * @param tries whether the request may only be sent over a newly established
+	 * connection, because the network path to the runner may be blocked
 	 */
 	record Send(Job job, RunnerInfo runner, int rank, OptionalInt weightsVersion,
 			boolean tries) implements DispatchEffect {
 	}
 
 	/**
-	 * Stop listening to the runner that has it; its connection is closed.
+	 * Cancels the current dispatch of the request and closes its connection to the
+	 * runner.
 	 *
 	 * @param job the request
 	 */
@@ -38,27 +37,28 @@
 	}
 
 	/**
-	 * Give it its final answer: it has not run and will not.
+	 * Refuses the request. No runner has executed it or will.
 	 *
 	 * @param job the request
-	 * @param code why
-	 * @param retryAfterMillis when to come back
+	 * @param code the reason
+	 * @param retryAfterMillis the delay after which the caller should retry
 	 */
 	record Refuse(Job job, Code code, long retryAfterMillis) implements DispatchEffect {
 	}
 
 	/**
-	 * Give it its final answer: it may have run and there is no whole answer.
+	 * Fails the request. A runner may have executed it, but no complete response is
+	 * available.
 	 *
 	 * @param job the request
-	 * @param code why
-	 * @param timeout whether time ran out, rather than a runner failed
+	 * @param code the reason
+	 * @param timeout whether the deadline passed, as opposed to a runner failure
 	 */
 	record Fail(Job job, Code code, boolean timeout) implements DispatchEffect {
 	}
 
 	/**
-	 * Pass on the failure that a runner gave as its answer.
+	 * Forwards the error response of the runner to the caller.
 	 *
 	 * @param job the request
 	 */
--- a/policy/src/main/java/org/wisteriapost/policy/dispatch/DispatchLimits.java
+++ b/policy/src/main/java/org/wisteriapost/policy/dispatch/DispatchLimits.java
@@ -3,13 +3,14 @@
 import java.time.Duration;
 
 /**
- * Bounds of an entry's decisions.
+ * Limits that apply to the dispatch decisions of an entry.
  *
- * @param place the entry's failure domain
- * @param retryShare requests sent again, as a share of all, over all entries
- * @param retryExtra more of them in one window, over all entries
- * @param retryWindow the window in which they are counted
- * @param weightsInForce from naming weights until no request may start on older ones
+ * @param place the failure domain of the entry
+ * @param retryShare retries allowed per request, as a fraction, over all entries
+ * @param retryExtra additional retries allowed in each window, over all entries
+ * @param retryWindow the window in which the additional retries are counted
+ * @param weightsInForce the time from the publication of a target weights version until
+ * no request may start on an older version
  */
 public record DispatchLimits(String place, double retryShare, int retryExtra, Duration retryWindow,
 		Duration weightsInForce) {
--- a/policy/src/main/java/org/wisteriapost/policy/dispatch/Dispatcher.java
+++ b/policy/src/main/java/org/wisteriapost/policy/dispatch/Dispatcher.java
@@ -17,16 +17,15 @@
 import org.wisteriapost.policy.routing.RouteTable;
 
 /**
- * Applies one event after the other to the requests in progress and says what is to be
- * done with them.
+ * Applies events to the requests in progress, one at a time, and emits the resulting
+ * {@link DispatchEffect}s.
  *
- * The deciding classes stand beside it: {@link Placement} chooses the runner,
- * {@link Patience} says how long to wait for one, {@link Recovery} what becomes of a
- * request whose runner failed.
+ * {@link Placement} chooses the runner, {@link AdmissionPolicy} decides how long to wait
+ * for one, and {@link RetryPolicy} decides how to continue when a runner failed.
  */
 public final class Dispatcher {
 
-	/** No runner could be had in time. */
+	/** No runner had free capacity in time. */
 	public static final Code NO_ROOM = Code.refusal("no-room",
 			"Every runner has as much work as it can answer in time.");
 
@@ -34,355 +33,359 @@
 	public static final Code NO_RUNNER = Code.refusal("no-usable-runner",
 			"No runner of the service can be sent requests now.");
 
-	/** Time ran out. */
+	/** The deadline of the request passed. */
 	public static final Code TIME_OVER = Code.warning("time-over", "No whole answer came in the request's time.");
 
-	/** The runner's answer broke off. */
+	/** The response of the runner is incomplete and the request cannot be retried. */
 	public static final Code RUN_BROKEN = Code.warning("run-broken",
 			"The runner's answer broke off and the request may not run again.");
 
-	private final RunnerBook book;
+	private final RunnerRegistry registry;
 
-	private final RunnerWays ways;
+	private final RunnerWays paths;
 
-	private final FleetView fleet;
+	private final FleetView fleetView;
 
-	private final WeightsFence fence;
+	private final WeightsFence weightsFence;
 
-	private final ServicePaces paces = new ServicePaces();
+	private final ServiceLatencyFactors latencyFactors = new ServiceLatencyFactors();
 
 	private final Placement placement;
 
-	private final Patience patience;
+	private final AdmissionPolicy admission;
 
-	private final Recovery recovery;
+	private final RetryPolicy retryPolicy;
 
-	private final FinalAnswers answers;
+	private final FinalResponses responses;
 
 	private final Map<Long, Job> jobs = new LinkedHashMap<>();
 
 	private final WaitingRequests waiting = new WaitingRequests();
 
-	private final RetryAllowances allowances;
+	private final RetryBudgets retryBudgets;
 
-	private List<DispatchEffect> effects = new ArrayList<>();
+	private List<DispatchEffect> pendingEffects = new ArrayList<>();
 
-	private Optional<RouteTable> table = Optional.empty();
+	private Optional<RouteTable> routeTable = Optional.empty();
 
-	private EntryCount entries = EntryCount.flat(1);
+	private EntryCount entryCount = EntryCount.flat(1);
 
 	private Dispatcher(DispatchLimits limits, UniformRandomProvider random) {
-		this.book = new RunnerBook(new RunnerSubset(limits.place(), random.nextLong()));
-		this.fleet = new FleetView(this.book, limits.place());
-		this.fence = new WeightsFence(limits.weightsInForce());
-		this.placement = new Placement(this.book, this.paces, this.fence, limits.place(), random);
-		this.ways = new RunnerWays(this.book, this.placement, this::spec);
-		this.allowances = new RetryAllowances(limits);
-		this.patience = new Patience(random);
-		this.recovery = new Recovery();
-		this.answers = new FinalAnswers(this.patience, (effect) -> this.effects.add(effect));
+		this.registry = new RunnerRegistry(new RunnerSubset(limits.place(), random.nextLong()));
+		this.fleetView = new FleetView(this.registry, limits.place());
+		this.weightsFence = new WeightsFence(limits.weightsInForce());
+		this.placement = new Placement(this.registry, this.latencyFactors, this.weightsFence, limits.place(), random);
+		this.paths = new RunnerWays(this.registry, this.placement, this::spec);
+		this.retryBudgets = new RetryBudgets(limits);
+		this.admission = new AdmissionPolicy(random);
+		this.retryPolicy = new RetryPolicy();
+		this.responses = new FinalResponses(this.admission, (effect) -> this.pendingEffects.add(effect));
 	}
 
 	/**
-	 * Returns a dispatcher without any request or runner.
+	 * Creates a dispatcher without requests or runners.
 	 */
 	public static Dispatcher create(DispatchLimits limits, UniformRandomProvider random) {
 		return new Dispatcher(limits, random);
 	}
 
 	/**
-	 * Returns what is to be done since the last call, in order.
+	 * Returns the effects since the previous call, in order.
 	 */
 	public List<DispatchEffect> drain() {
-		List<DispatchEffect> drained = this.effects;
-		this.effects = new ArrayList<>();
+		List<DispatchEffect> drained = this.pendingEffects;
+		this.pendingEffects = new ArrayList<>();
 		return drained;
 	}
 
 	/**
-	 * Returns how many requests are in progress.
+	 * Returns the number of requests in progress.
 	 */
 	public int inProgress() {
 		return this.jobs.size();
 	}
 
-	// What is believed.
+	// State updates.
 
 	/**
-	 * Takes a newer declaration of traffic.
+	 * Replaces the route table.
 	 */
 	public void table(RouteTable newer) {
-		this.table = Optional.of(newer);
+		this.routeTable = Optional.of(newer);
 	}
 
 	/**
-	 * Hears that weights were named.
-	 * @param found whether they were named already when this entry first read the store
+	 * Records a target weights version.
+	 * @param found whether it was present when this entry first read the store
 	 */
 	public void named(NamedWeights weights, boolean found, long nowNanos) {
-		this.fence.named(weights, found, nowNanos);
+		this.weightsFence.addTarget(weights, found, nowNanos);
 	}
 
 	/**
-	 * Hears all registered runners.
+	 * Replaces the set of registered runners.
 	 */
 	public void runners(Collection<RunnerInfo> all, long nowNanos) {
-		this.book.all(all, nowNanos);
-		pump(nowNanos);
+		this.registry.replaceAll(all, nowNanos);
+		placeWaiting(nowNanos);
 	}
 
 	/**
-	 * Hears of one runner and returns whether that is new.
+	 * Adds or updates a runner and returns whether the registration contains anything
+	 * new.
 	 */
 	public boolean runner(RunnerInfo info, long nowNanos) {
-		boolean news = this.book.put(info);
-		if (news) {
-			pump(nowNanos);
+		boolean changed = this.registry.update(info);
+		if (changed) {
+			placeWaiting(nowNanos);
 		}
-		return news;
+		return changed;
 	}
 
 	/**
-	 * Hears that a runner's registration is gone.
+	 * Records that the registration of a runner was removed.
 	 */
 	public void runnerRemoved(String id, long nowNanos) {
-		this.book.removed(id, nowNanos);
+		this.registry.registrationRemoved(id, nowNanos);
 	}
 
 	/**
-	 * Hears that a runner's registration names none that can be used any more.
+	 * Removes a runner whose registration no longer describes a usable runner.
 	 */
 	public void runnerUnusable(String id) {
-		this.book.unusable(id);
+		this.registry.removeUnusable(id);
 	}
 
 	/**
-	 * Hears whether the site's store answers.
+	 * Records whether the site's store is reachable.
 	 */
 	public void store(boolean reachable, long nowNanos) {
-		this.book.store(reachable, nowNanos);
+		this.registry.updateStoreReachable(reachable, nowNanos);
 	}
 
 	/**
-	 * Hears what the agent beside a runner says of it.
+	 * Updates the status of an engine, as reported by the agent on its VM.
 	 * @param address the runner's address
 	 */
-	public void agentSays(String address, EngineWord word, long nowNanos) {
-		this.book.agentSays(address, word);
-		pump(nowNanos);
+	public void agentSays(String address, EngineWord status, long nowNanos) {
+		this.registry.updateEngineStatus(address, status);
+		placeWaiting(nowNanos);
 	}
 
 	/**
-	 * Hears what another entry has at a runner.
+	 * Updates the requests that a peer has in flight at a runner.
 	 */
-	public void peerLoad(String peer, RunnerLoad said, long nowNanos) {
-		this.book.find(said.runner())
-			.filter((state) -> state.info.start().equals(said.start()))
-			.ifPresent((state) -> state.heard(peer, said.load(), nowNanos));
+	public void peerLoad(String peer, RunnerLoad report, long nowNanos) {
+		this.registry.find(report.runner())
+			.filter((state) -> state.info.start().equals(report.start()))
+			.ifPresent((state) -> state.updatePeerLoad(peer, report.load(), nowNanos));
 	}
 
 	/**
-	 * Hears of a request that another entry has refused.
+	 * Records a request that a peer has refused.
 	 */
 	public void peerRefused(RefusedRequest request) {
-		this.patience.refused(request);
+		this.admission.recordRefusal(request);
 	}
 
 	/**
-	 * Returns the ways to runners.
+	 * Returns the network paths to the runners.
 	 */
 	public RunnerWays ways() {
-		return this.ways;
+		return this.paths;
 	}
 
 	/**
-	 * Hears that another entry cannot be heard any more: its requests have ended with it,
-	 * or it is cut off.
+	 * Removes the load of a peer that is no longer reachable: it has failed or is
+	 * partitioned from this entry.
 	 */
 	public void peerGone(String peer) {
-		this.book.states().forEach((state) -> state.forget(peer));
+		this.registry.states().forEach((state) -> state.removePeer(peer));
 	}
 
 	/**
-	 * Hears what all entries of another place have at a runner together.
+	 * Updates the requests that all entries of another failure domain have in flight at a
+	 * runner.
 	 */
-	public void placeLoad(String place, RunnerLoad said, long nowNanos) {
-		this.book.find(said.runner())
-			.filter((state) -> state.info.start().equals(said.start()))
-			.ifPresent((state) -> state.heardOfPlace(place, said.load(), nowNanos));
+	public void placeLoad(String failureDomain, RunnerLoad report, long nowNanos) {
+		this.registry.find(report.runner())
+			.filter((state) -> state.info.start().equals(report.start()))
+			.ifPresent((state) -> state.updateFailureDomainLoad(failureDomain, report.load(), nowNanos));
 	}
 
 	/**
-	 * Hears how many entries there are.
+	 * Updates the number of entries.
 	 */
 	public void entries(EntryCount count) {
-		this.entries = count;
-		this.placement.entries(count);
+		this.entryCount = count;
+		this.placement.updateEntryCount(count);
 	}
 
 	/**
-	 * Returns what is believed of the runners.
+	 * Returns the local view of the runners.
 	 */
 	public FleetView fleet() {
-		return this.fleet;
+		return this.fleetView;
 	}
 
-	// What happens to requests.
+	// Request events.
 
 	/**
-	 * Takes a request that has arrived.
+	 * Adds a request that has arrived.
 	 */
 	public void arrived(Job job, long nowNanos) {
 		this.jobs.put(job.id(), job);
-		this.patience.arrived(job);
+		this.admission.arrived(job);
 		place(job, nowNanos);
 	}
 
 	/**
-	 * Hears that a connection was made for a request, which goes out over it now.
+	 * Records that the connection for a request was established; the request is now sent
+	 * over it.
 	 */
 	public void connected(Job job, long nowNanos) {
 		job.runner.ifPresent((runner) -> {
-			runner.way.connected(job.sentNanos);
-			pump(nowNanos);
+			runner.path.connected(job.sentNanos);
+			placeWaiting(nowNanos);
 		});
 	}
 
 	/**
-	 * Hears that the first event of an answer went out to the caller.
+	 * Records that the first event of a response was sent to the caller.
 	 */
 	public void firstEvent(Job job, long nowNanos) {
-		if (job.over || job.firstSeen || job.runner.isEmpty()) {
+		if (job.finished || job.firstEventSent || job.runner.isEmpty()) {
 			return;
 		}
-		job.firstSeen = true;
-		job.headed = true;
+		job.firstEventSent = true;
+		job.responseStarted = true;
 		RunnerState runner = job.runner.get();
 		runner.firstEvent(job);
-		if (job.baseMillis > 0) {
-			runner.waits.waited(job.sentLate, nowNanos - job.sentNanos, nowNanos);
-			double ratio = (nowNanos - job.sentNanos) / (job.baseMillis * Placement.NANOS_PER_MILLI);
-			runner.measured(ratio / this.paces.of(job.service()));
-			this.paces.measured(job.service(), ratio);
+		if (job.nominalMillis > 0) {
+			runner.firstEventWaits.recordWait(job.sentAsLate, nowNanos - job.sentNanos, nowNanos);
+			double ratio = (nowNanos - job.sentNanos) / (job.nominalMillis * Placement.NANOS_PER_MILLI);
+			runner.recordLatencyRatio(ratio / this.latencyFactors.of(job.service()));
+			this.latencyFactors.recordRatio(job.service(), ratio);
 		}
-		pump(nowNanos);
+		placeWaiting(nowNanos);
 	}
 
 	/**
-	 * Hears how the latest dispatch of a request ended.
+	 * Records the outcome of the latest dispatch of a request.
 	 */
 	public void ended(Job job, Outcome outcome, long nowNanos) {
 		release(job, outcome, nowNanos);
-		if (job.over) {
+		if (job.finished) {
 			return;
 		}
-		switch (this.recovery.after(job, outcome)) {
-			case FINISHED -> finish(job);
-			case PASS_ON -> {
+		switch (this.retryPolicy.decide(job, outcome)) {
+			case FINISH -> finish(job);
+			case FORWARD_ERROR -> {
 				finish(job);
-				this.effects.add(new DispatchEffect.PassOn(job));
+				this.pendingEffects.add(new DispatchEffect.PassOn(job));
 			}
-			case FAIL -> giveUp(job, outcome, nowNanos);
-			case AGAIN -> again(job, outcome, nowNanos);
+			case FAIL -> endWithoutRetry(job, outcome, nowNanos);
+			case RETRY -> retry(job, outcome, nowNanos);
 		}
-		pump(nowNanos);
+		placeWaiting(nowNanos);
 	}
 
 	/**
-	 * Hears that the caller has gone.
+	 * Records that the caller has disconnected.
 	 */
 	public void gone(Job job, long nowNanos) {
-		if (!job.over) {
-			stop(job);
+		if (!job.finished) {
+			cancel(job);
 			finish(job);
-			pump(nowNanos);
+			placeWaiting(nowNanos);
 		}
 	}
 
 	/**
-	 * Looks at what time has brought.
+	 * Applies timeouts and places waiting requests.
 	 */
 	public void tick(long nowNanos) {
-		this.book.tick(nowNanos);
+		this.registry.tick(nowNanos);
 		for (Job job : List.copyOf(this.jobs.values())) {
 			if (nowNanos >= job.deadlineNanos()) {
-				timeOver(job, nowNanos);
+				expire(job, nowNanos);
 			}
 			else if (job.runner.isPresent()) {
 				watch(job, job.runner.get(), nowNanos);
 			}
 		}
-		this.waiting.retryAll((job) -> goesOnWaiting(job, 0, nowNanos));
+		this.waiting.retryAll((job) -> placeOrKeepWaiting(job, 0, nowNanos));
 	}
 
 	private void watch(Job job, RunnerState runner, long nowNanos) {
-		if (job.baseMillis > 0 && !job.firstSeen) {
-			runner.waits.waited(job.sentLate, nowNanos - job.sentNanos, nowNanos);
+		if (job.nominalMillis > 0 && !job.firstEventSent) {
+			runner.firstEventWaits.recordWait(job.sentAsLate, nowNanos - job.sentNanos, nowNanos);
 		}
-		if (beginsTooLate(job, nowNanos)) {
-			takeBack(job, nowNanos);
+		if (startDeadlinePassed(job, nowNanos)) {
+			cancelUnstarted(job, nowNanos);
 		}
-		else if (this.recovery.stalled(job, nowNanos)) {
-			leaveSilent(job, nowNanos);
+		else if (this.retryPolicy.stalled(job, nowNanos)) {
+			cancelStalled(job, nowNanos);
 		}
 	}
 
-	private boolean beginsTooLate(Job job, long nowNanos) {
-		if (job.firstSeen || job.runner.isEmpty()) {
+	private boolean startDeadlinePassed(Job job, long nowNanos) {
+		if (job.firstEventSent || job.runner.isEmpty()) {
 			return false;
 		}
-		return nowNanos >= this.placement.beginBy(job.runner.get(), spec(job));
+		return nowNanos >= this.placement.startDeadlineNanos(job.runner.get(), spec(job));
 	}
 
-	// The runner is not to blame. The request may have begun this moment, so it goes on
-	// elsewhere only if it may run twice.
-	private void takeBack(Job job, long nowNanos) {
-		stop(job);
-		if (this.recovery.mayRunAgain(job)) {
-			again(job, Outcome.BROKEN, nowNanos);
+	// The request is cancelled because of a weights switch, which is not a failure of
+	// the runner. It may have just started, so it is sent to another runner only if it
+	// may run twice.
+	private void cancelUnstarted(Job job, long nowNanos) {
+		cancel(job);
+		if (this.retryPolicy.canRetry(job)) {
+			retry(job, Outcome.BROKEN, nowNanos);
 		}
 		else {
-			giveUp(job, Outcome.BROKEN, nowNanos);
+			endWithoutRetry(job, Outcome.BROKEN, nowNanos);
 		}
 	}
 
-	private void again(Job job, Outcome outcome, long nowNanos) {
-		boolean counts = outcome != Outcome.NOT_SENT;
-		if (counts && !this.allowances.of(job.service()).take(this.entries.all(), nowNanos)) {
-			giveUp(job, outcome, nowNanos);
+	private void retry(Job job, Outcome outcome, long nowNanos) {
+		boolean chargesBudget = outcome != Outcome.NOT_SENT;
+		if (chargesBudget && !this.retryBudgets.of(job.service()).tryAcquire(this.entryCount.all(), nowNanos)) {
+			endWithoutRetry(job, outcome, nowNanos);
 			return;
 		}
 		place(job, nowNanos);
 	}
 
-	private void giveUp(Job job, Outcome outcome, long nowNanos) {
+	private void endWithoutRetry(Job job, Outcome outcome, long nowNanos) {
 		finish(job);
-		this.answers.noOtherRunner(job, outcome, nowNanos);
+		this.responses.endWithoutRetry(job, outcome, nowNanos);
 	}
 
-	private void timeOver(Job job, long nowNanos) {
-		stop(job);
+	private void expire(Job job, long nowNanos) {
+		cancel(job);
 		finish(job);
-		this.answers.timeOver(job, nowNanos);
+		this.responses.deadlineExceeded(job, nowNanos);
 	}
 
 	private void place(Job job, long nowNanos) {
-		Deque<Job> queue = this.waiting.of(job, this.patience.late(job, nowNanos));
-		if (goesOnWaiting(job, queue.size(), nowNanos)) {
+		Deque<Job> queue = this.waiting.queue(job, this.admission.isLate(job, nowNanos));
+		if (placeOrKeepWaiting(job, queue.size(), nowNanos)) {
 			queue.addLast(job);
 		}
 	}
 
-	private boolean goesOnWaiting(Job job, int ahead, long nowNanos) {
-		Placement.Choice choice = this.placement.choose(job, spec(job), this.patience.late(job, nowNanos), nowNanos);
-		switch (this.patience.decide(job, choice, ahead, nowNanos)) {
+	private boolean placeOrKeepWaiting(Job job, int ahead, long nowNanos) {
+		Placement.Choice choice = this.placement.choose(job, spec(job), this.admission.isLate(job, nowNanos), nowNanos);
+		switch (this.admission.decide(job, choice, ahead, nowNanos)) {
 			case SEND -> send(job, choice, nowNanos);
 			case WAIT -> {
 				return true;
 			}
 			case REFUSE -> {
 				finish(job);
-				this.answers.refuseOrFail(job, choice.none() ? NO_RUNNER : NO_ROOM, nowNanos);
+				this.responses.endWithoutRunner(job, choice.isEmpty() ? NO_RUNNER : NO_ROOM, nowNanos);
 			}
 		}
 		return false;
@@ -390,46 +393,46 @@
 
 	private void send(Job job, Placement.Choice choice, long nowNanos) {
 		RunnerState runner = choice.runner().orElseThrow();
-		if (job.dispatches == 0) {
-			this.allowances.of(job.service()).first();
+		if (job.dispatchCount == 0) {
+			this.retryBudgets.of(job.service()).recordFirstDispatch();
 		}
-		job.sentTo(runner, choice, this.patience.late(job, nowNanos), nowNanos);
-		boolean tries = this.placement.triesWay(runner, spec(job), nowNanos);
-		runner.sent(job, tries, nowNanos);
+		job.dispatchedTo(runner, choice, this.admission.isLate(job, nowNanos), nowNanos);
+		boolean requiresNewConnection = this.placement.requiresNewConnection(runner, spec(job), nowNanos);
+		runner.sent(job, requiresNewConnection, nowNanos);
 		OptionalInt version = (job.events() > 0) ? job.weightsVersion() : choice.requiredVersion();
-		this.effects.add(new DispatchEffect.Send(job, runner.info, this.patience.rank(job, nowNanos), version, tries));
+		this.pendingEffects.add(new DispatchEffect.Send(job, runner.info, this.admission.rank(job, nowNanos), version,
+				requiresNewConnection));
 	}
 
-	// Lets waiting requests go on in the order in which they came, as far as room has
-	// come up.
-	private void pump(long nowNanos) {
-		this.waiting.retry((job) -> goesOnWaiting(job, 0, nowNanos));
+	// Places waiting requests in order of arrival, as far as capacity has become free.
+	private void placeWaiting(long nowNanos) {
+		this.waiting.retry((job) -> placeOrKeepWaiting(job, 0, nowNanos));
 	}
 
 	private void release(Job job, Outcome outcome, long nowNanos) {
 		job.runner.ifPresent((runner) -> runner.ended(job, outcome, nowNanos));
-		if (job.runner.isPresent() && outcome.notRun()) {
-			job.runs--;
+		if (job.runner.isPresent() && outcome.certainlyNotRun()) {
+			job.possibleRuns--;
 		}
 		job.runner = Optional.empty();
 	}
 
-	private void stop(Job job) {
+	private void cancel(Job job) {
 		job.runner.ifPresent((runner) -> {
-			runner.stopped(job);
-			this.effects.add(new DispatchEffect.Stop(job));
+			runner.cancelled(job);
+			this.pendingEffects.add(new DispatchEffect.Stop(job));
 		});
 		job.runner = Optional.empty();
 	}
 
-	private void leaveSilent(Job job, long nowNanos) {
+	private void cancelStalled(Job job, long nowNanos) {
 		release(job, Outcome.BROKEN, nowNanos);
-		this.effects.add(new DispatchEffect.Stop(job));
-		again(job, Outcome.BROKEN, nowNanos);
+		this.pendingEffects.add(new DispatchEffect.Stop(job));
+		retry(job, Outcome.BROKEN, nowNanos);
 	}
 
 	private void finish(Job job) {
-		job.over = true;
+		job.finished = true;
 		this.jobs.remove(job.id());
 	}
 
@@ -438,7 +441,7 @@
 	}
 
 	private Optional<EngineSpec> spec(String service) {
-		return this.table.flatMap((known) -> known.service(service)).flatMap((spec) -> spec.engine());
+		return this.routeTable.flatMap((table) -> table.service(service)).flatMap((spec) -> spec.engine());
 	}
 
 }
--- a/policy/src/main/java/org/wisteriapost/policy/dispatch/EngineWord.java
+++ b/policy/src/main/java/org/wisteriapost/policy/dispatch/EngineWord.java
@@ -6,12 +6,13 @@
 import org.wisteriapost.policy.fleet.RunnerStart;
 
 /**
- * What the agent beside an engine says of it.
+ * Status of a model engine, as reported by the agent on its VM.
  *
- * @param version of the weights that it holds; empty when it holds none
- * @param switching whether it takes no requests now, since it changes weights
- * @param closesNanos when it will take none, when that is planned
- * @param start the start of the engine that this is said of
+ * @param version the weights version that the engine holds; empty if it holds none
+ * @param switching whether the engine rejects requests because it is switching weights
+ * @param closesNanos when the engine stops accepting requests for a planned weights
+ * switch
+ * @param start the incarnation of the engine that the report refers to
  */
 public record EngineWord(OptionalInt version, boolean switching, OptionalLong closesNanos, RunnerStart start) {
 }
--- a/policy/src/main/java/org/wisteriapost/policy/dispatch/EntryCount.java
+++ b/policy/src/main/java/org/wisteriapost/policy/dispatch/EntryCount.java
@@ -1,11 +1,11 @@
 package org.wisteriapost.policy.dispatch;
 
 /**
- * How many entries share what there is.
+ * Number of entries that send requests to the same runners.
  *
- * @param all of them, this one included
- * @param near those of this entry's place
- * @param byPlace whether callers are told of entries of their own place only
+ * @param all all entries, including this one
+ * @param near entries in the failure domain of this entry, including this one
+ * @param byPlace whether callers are directed only to entries in their own failure domain
  */
 public record EntryCount(int all, int near, boolean byPlace) {
 
@@ -15,23 +15,25 @@
 	}
 
 	/**
-	 * Returns a count of entries that all have callers of all places.
+	 * Returns a count for entries that serve callers from every failure domain.
 	 */
 	public static EntryCount flat(int all) {
 		return new EntryCount(all, all, false);
 	}
 
 	/**
-	 * Returns how many entries send to the runners of a place. Where callers keep to
-	 * their place, runners there are used by the entries there, and by as many again from
-	 * elsewhere when their own are full.
-	 * @param own the place of this entry
+	 * Returns the number of entries that are expected to send requests to the runners of
+	 * a failure domain. When callers are directed to entries in their own failure domain,
+	 * its runners serve the local entries and, as overflow, an equal number of remote
+	 * ones.
+	 * @param failureDomain the failure domain of the runners
+	 * @param ownFailureDomain the failure domain of this entry
 	 */
-	int sharing(String place, String own) {
+	int sendersTo(String failureDomain, String ownFailureDomain) {
 		if (!this.byPlace) {
 			return this.all;
 		}
-		return place.equals(own) ? this.near : Math.min(this.all, 2 * this.near);
+		return failureDomain.equals(ownFailureDomain) ? this.near : Math.min(this.all, 2 * this.near);
 	}
 
 }
--- a/policy/src/main/java/org/wisteriapost/policy/dispatch/FleetView.java
+++ b/policy/src/main/java/org/wisteriapost/policy/dispatch/FleetView.java
@@ -6,51 +6,53 @@
 import org.wisteriapost.policy.fleet.RunnerInfo;
 
 /**
- * What an entry believes of the runners, for telling others.
+ * Local view of the runners that an entry reports to its peers.
  */
 public final class FleetView {
 
-	private final RunnerBook book;
+	private final RunnerRegistry registry;
 
-	private final String place;
+	private final String failureDomain;
 
-	FleetView(RunnerBook book, String place) {
-		this.book = book;
-		this.place = place;
+	FleetView(RunnerRegistry registry, String failureDomain) {
+		this.registry = registry;
+		this.failureDomain = failureDomain;
 	}
 
 	/**
-	 * Returns what this entry has at each runner.
+	 * Returns the requests that this entry has in flight at each runner.
 	 */
 	public List<RunnerLoad> ownLoad() {
-		return this.book.states()
+		return this.registry.states()
 			.stream()
-			.map((state) -> new RunnerLoad(state.info.id(), state.info.start(), state.own))
+			.map((state) -> new RunnerLoad(state.info.id(), state.info.start(), state.ownLoad))
 			.toList();
 	}
 
 	/**
-	 * Returns what this entry and those that tell it their own part have at each runner.
+	 * Returns the requests in flight at each runner from this entry and from the peers
+	 * that report to it individually, which are those in its failure domain.
 	 */
 	public List<RunnerLoad> nearLoad(long nowNanos) {
-		return this.book.states()
+		return this.registry.states()
 			.stream()
-			.map((state) -> new RunnerLoad(state.info.id(), state.info.start(), state.nearTotal(nowNanos)))
+			.map((state) -> new RunnerLoad(state.info.id(), state.info.start(), state.failureDomainTotal(nowNanos)))
 			.toList();
 	}
 
 	/**
-	 * Returns what the agents of this place have said last of their engines, by address.
+	 * Returns the latest status of each engine in this entry's failure domain, by runner
+	 * address.
 	 */
 	public Map<String, EngineWord> nearWords() {
-		return this.book.words(this.place);
+		return this.registry.engineStatuses(this.failureDomain);
 	}
 
 	/**
-	 * Returns the runners that are believed to be there.
+	 * Returns the registered runners.
 	 */
 	public List<RunnerInfo> known() {
-		return this.book.states().stream().map((state) -> state.info).toList();
+		return this.registry.states().stream().map((state) -> state.info).toList();
 	}
 
 }
--- a/policy/src/main/java/org/wisteriapost/policy/dispatch/Job.java
+++ b/policy/src/main/java/org/wisteriapost/policy/dispatch/Job.java
@@ -11,15 +11,15 @@
 import org.wisteriapost.policy.routing.RouteKind;
 
 /**
- * One request in progress. The dispatcher's thread owns it, but for what
- * {@link #progressed} and {@link #begunOn} note, which belongs to the thread that reads
- * the runner's answer.
+ * A request that is being dispatched. It is owned by the dispatcher's thread, except for
+ * the state set by {@link #progressed} and {@link #begunOn}, which is written by the
+ * thread that reads the runner's response.
  */
 public final class Job {
 
 	private final long id;
 
-	private final Attempt attempt;
+	private final Attempt identity;
 
 	private final Route route;
 
@@ -33,11 +33,10 @@
 
 	private final long deadlineNanos;
 
-	// Written by the thread that reads the answer: what went out to the caller, when the
-	// last of it came, and on which weights it began.
+	// Written by the thread that reads the response.
 	private volatile int events;
 
-	private volatile long progressNanos;
+	private volatile long lastEventNanos;
 
 	private volatile Optional<String> lastEvent;
 
@@ -45,34 +44,37 @@
 
 	Optional<RunnerState> runner = Optional.empty();
 
-	final Set<String> tried = new HashSet<>();
+	final Set<String> triedRunners = new HashSet<>();
 
-	int dispatches;
+	int dispatchCount;
 
-	int runs;
+	// Dispatches that may have been executed.
+	int possibleRuns;
 
 	long sentNanos;
 
 	double predictedMillis;
 
-	double baseMillis;
+	double nominalMillis;
 
-	// When the caller first asked, if an earlier attempt is known.
-	long wantedNanos;
+	// Arrival time of the first known attempt of the request.
+	long firstAttemptNanos;
 
-	// Whether it was sent to go last at its runner.
-	boolean sentLate;
+	// Whether the latest dispatch was given the rank of late requests.
+	boolean sentAsLate;
 
-	boolean headed;
+	// Whether any dispatch of the request has sent an event to the caller.
+	boolean responseStarted;
 
-	boolean firstSeen;
+	// Whether the latest dispatch has sent an event to the caller.
+	boolean firstEventSent;
 
-	boolean over;
+	boolean finished;
 
 	private Job(long id, Attempt attempt, Route route, String service, Optional<Organisation> organisation, Size size,
 			long arrivedNanos, long deadlineNanos) {
 		this.id = id;
-		this.attempt = attempt;
+		this.identity = attempt;
 		this.route = route;
 		this.service = service;
 		this.organisation = organisation;
@@ -80,14 +82,14 @@
 		this.lastEvent = attempt.lastEvent();
 		this.arrivedNanos = arrivedNanos;
 		this.deadlineNanos = deadlineNanos;
-		this.wantedNanos = arrivedNanos;
+		this.firstAttemptNanos = arrivedNanos;
 	}
 
 	/**
 	 * Returns a request that has just arrived.
-	 * @param attempt what its caller names it by
-	 * @param service the service that its route chose
-	 * @param deadlineNanos when it must have its final answer
+	 * @param attempt the identity of the attempt
+	 * @param service the service selected by the route
+	 * @param deadlineNanos the time by which the request must have a final response
 	 */
 	public static Job arrived(long id, Attempt attempt, Route route, String service,
 			Optional<Organisation> organisation, Size size, long arrivedNanos, long deadlineNanos) {
@@ -99,14 +101,14 @@
 	}
 
 	public String attempt() {
-		return this.attempt.id();
+		return this.identity.id();
 	}
 
 	/**
-	 * Returns what is equal for all attempts of the request, when it is known.
+	 * Returns a key that is equal for all attempts of the request, if known.
 	 */
 	public OptionalLong request() {
-		return this.attempt.request();
+		return this.identity.requestKey();
 	}
 
 	public Route route() {
@@ -134,122 +136,126 @@
 	}
 
 	/**
-	 * Returns the predicted time to the first event after the latest dispatch.
+	 * Returns the predicted time from the latest dispatch to the first event.
 	 */
 	public double predictedMillis() {
 		return this.predictedMillis;
 	}
 
 	/**
-	 * Returns when the latest dispatch went out.
+	 * Returns the time of the latest dispatch.
 	 */
 	public long sentNanos() {
 		return this.sentNanos;
 	}
 
 	/**
-	 * Returns the number of the latest dispatch, from 1; what is heard of an earlier one
-	 * no longer counts.
+	 * Returns the number of the latest dispatch, starting at 1. Events of earlier
+	 * dispatches are ignored.
 	 */
 	public int dispatch() {
-		return this.dispatches;
+		return this.dispatchCount;
 	}
 
 	/**
-	 * Returns the last event that the caller has.
+	 * Returns the id of the last event that the caller has received.
 	 */
 	public Optional<String> lastEvent() {
 		return this.lastEvent;
 	}
 
 	/**
-	 * Returns what is to be remembered of the request when it is refused.
+	 * Returns the record that identifies a retry of this request after it has been
+	 * refused, if the request has a key.
 	 */
 	public Optional<RefusedRequest> refused() {
 		return request().isPresent()
-				? Optional.of(new RefusedRequest(request().getAsLong(), this.wantedNanos, this.deadlineNanos))
+				? Optional.of(new RefusedRequest(request().getAsLong(), this.firstAttemptNanos, this.deadlineNanos))
 				: Optional.empty();
 	}
 
 	/**
-	 * Returns how many events went out to the caller; for any thread.
+	 * Returns the number of events sent to the caller. Can be called from any thread.
 	 */
 	public int events() {
 		return this.events;
 	}
 
 	/**
-	 * Returns the weights that the answer has begun on; for any thread.
+	 * Returns the weights version of the response, if it has started. Can be called from
+	 * any thread.
 	 */
 	public OptionalInt weightsVersion() {
 		return this.weightsVersion;
 	}
 
 	/**
-	 * Notes events that went out to the caller; called by the one thread that reads the
-	 * answer.
-	 * @param last the id of the last one, when it has one
+	 * Records events that were sent to the caller. Must be called only by the thread that
+	 * reads the response.
+	 * @param last the id of the last event, if it has one
 	 */
 	public void progressed(int count, Optional<String> last, long nowNanos) {
 		this.events += count;
-		this.progressNanos = nowNanos;
+		this.lastEventNanos = nowNanos;
 		if (last.isPresent()) {
 			this.lastEvent = last;
 		}
 	}
 
 	/**
-	 * Notes the weights that the answer begins on; called by the thread that reads it.
+	 * Records the weights version of the response. Must be called only by the thread that
+	 * reads the response.
 	 */
 	public void begunOn(OptionalInt version) {
 		this.weightsVersion = version;
 	}
 
 	/**
-	 * Notes that it is sent to a runner.
-	 * @param late whether it goes last there
+	 * Records a dispatch to a runner.
+	 * @param late whether the request has the rank of late requests
 	 */
-	void sentTo(RunnerState to, Placement.Choice choice, boolean late, long nowNanos) {
-		this.dispatches++;
-		this.runs++;
-		this.tried.add(to.info.id());
-		this.runner = Optional.of(to);
+	void dispatchedTo(RunnerState target, Placement.Choice choice, boolean late, long nowNanos) {
+		this.dispatchCount++;
+		this.possibleRuns++;
+		this.triedRunners.add(target.info.id());
+		this.runner = Optional.of(target);
 		this.sentNanos = nowNanos;
-		this.sentLate = late;
-		this.firstSeen = false;
+		this.sentAsLate = late;
+		this.firstEventSent = false;
 		this.predictedMillis = choice.predictedMillis();
-		this.baseMillis = choice.engine() ? choice.baseMillis() : 0;
+		this.nominalMillis = choice.engine() ? choice.nominalMillis() : 0;
 	}
 
 	/**
-	 * Returns when the answer last moved: its last event, or when it was sent.
+	 * Returns the time of the last event, or of the latest dispatch if there was no event
+	 * since.
 	 */
-	long movedNanos() {
-		return (this.events > 0) ? Math.max(this.progressNanos, this.sentNanos) : this.sentNanos;
+	long lastProgressNanos() {
+		return (this.events > 0) ? Math.max(this.lastEventNanos, this.sentNanos) : this.sentNanos;
 	}
 
-	boolean stream() {
+	boolean isStream() {
 		return this.route.kind() == RouteKind.STREAM;
 	}
 
 	/**
-	 * What a caller names its request by.
+	 * Identity of one attempt of a request.
 	 *
-	 * @param id new with each attempt
-	 * @param request equal for all attempts of one request
+	 * @param id unique to the attempt
+	 * @param requestKey equal for all attempts of the same request
 	 * @param lastEvent the event after which the caller resumes a stream
 	 */
-	public record Attempt(String id, OptionalLong request, Optional<String> lastEvent) {
+	public record Attempt(String id, OptionalLong requestKey, Optional<String> lastEvent) {
 	}
 
 	/**
-	 * How much work a request is.
+	 * Amount of work of a request.
 	 *
-	 * @param promptTokens to read; 0 when unknown
-	 * @param answerTokens to write at most; 0 when unknown
-	 * @param likelyAnswerTokens the caller's estimate of the tokens to write
+	 * @param promptTokens the number of prompt tokens; 0 if unknown
+	 * @param answerTokens the maximum number of output tokens; 0 if unknown
+	 * @param expectedAnswerTokens the caller's estimate of the number of output tokens
 	 */
-	public record Size(int promptTokens, int answerTokens, OptionalInt likelyAnswerTokens) {
+	public record Size(int promptTokens, int answerTokens, OptionalInt expectedAnswerTokens) {
 	}
 
 }
--- a/policy/src/main/java/org/wisteriapost/policy/dispatch/Outcome.java
+++ b/policy/src/main/java/org/wisteriapost/policy/dispatch/Outcome.java
@@ -1,27 +1,27 @@
 package org.wisteriapost.policy.dispatch;
 
 /**
- * How one dispatch of a request ended.
+ * Outcome of one dispatch of a request. The constant names are values of a metric label.
  */
 public enum Outcome {
 
-	/** The runner's whole answer came and went out to the caller. */
+	/** The complete response was sent to the caller. */
 	DONE,
-	/** The runner's whole answer is a failure of its own; it waits to be passed on. */
+	/** The runner returned a complete error response, which can be forwarded. */
 	ERROR,
-	/** Not one byte of the request reached the runner. */
+	/** No byte of the request reached the runner. */
 	NOT_SENT,
-	/** The runner has no room and promises that the request has not run. */
+	/** The runner is at capacity and guarantees that it has not executed the request. */
 	FULL,
-	/** Another runner has the address; the request has not run. */
+	/** The address belongs to another runner. The request was not executed. */
 	MISDIRECTED,
-	/** No whole answer came; the request may have run. */
+	/** The response is incomplete or missing. The request may have been executed. */
 	BROKEN;
 
 	/**
-	 * Returns whether the request has not run at the runner and never will.
+	 * Returns whether the runner has not executed the request and never will.
 	 */
-	boolean notRun() {
+	boolean certainlyNotRun() {
 		return this == NOT_SENT || this == FULL || this == MISDIRECTED;
 	}
 
--- a/policy/src/main/java/org/wisteriapost/policy/dispatch/PeerLoad.java
+++ b/policy/src/main/java/org/wisteriapost/policy/dispatch/PeerLoad.java
@@ -1,15 +1,15 @@
 package org.wisteriapost.policy.dispatch;
 
 /**
- * What another entry has at one runner.
+ * Requests that one or more entries have in flight at a runner.
  *
  * @param active requests sent and not ended
  * @param waiting those of them without a first event
- * @param waitingPrompt prompt tokens of those
+ * @param waitingPrompt the total number of prompt tokens of the waiting requests
  */
 public record PeerLoad(int active, int waiting, long waitingPrompt) {
 
-	/** Nothing. */
+	/** No requests. */
 	public static final PeerLoad NONE = new PeerLoad(0, 0, 0);
 
 	PeerLoad plus(PeerLoad other) {
--- a/policy/src/main/java/org/wisteriapost/policy/dispatch/Placement.java
+++ b/policy/src/main/java/org/wisteriapost/policy/dispatch/Placement.java
@@ -8,305 +8,320 @@
 import org.wisteriapost.policy.routing.EngineSpec;
 
 /**
- * Chooses the runner that answers a request first.
+ * Chooses the runner that is predicted to respond to a request first.
  *
- * Load: several entries spread work over the same runners, and each sees a part of it.
- * Harm prevented: all entries send to the runner that looked free a moment ago. What
- * others said last is added to what is in flight from here, and of runners that are
- * predicted nearly alike one is drawn by chance.
+ * Several entries send to the same runners and each sees only part of the load. To keep
+ * them from all choosing the runner that looked idle in the last report, the load
+ * reported by peers is added to the local in-flight load, and ties between similar
+ * predictions are broken at random.
  */
 final class Placement {
 
 	static final long NANOS_PER_MILLI = 1_000_000;
 
-	// A plain service's runner queues a few requests more than it has slots.
+	// Requests that the runner of a plain service may queue beyond its slots.
 	private static final int PLAIN_QUEUE = 4;
 
-	// Predictions that differ by less are alike: half a token step of a usual engine.
-	private static final double ALIKE_MILLIS = 5;
+	// Random cost added to each prediction, so that predictions that differ by less than
+	// half a typical decode step are treated as equal.
+	private static final double TIE_BREAK_MILLIS = 5;
 
-	// The way to another place and back.
-	private static final double OTHER_PLACE_MILLIS = 4;
+	// Network round trip to another failure domain.
+	private static final double REMOTE_MIN_COST_MILLIS = 4;
 
-	// Links between places are narrow and paid for, and a stream takes some five
-	// kilobytes of one. A request goes to a farther engine only for a gain that its
-	// caller notices: a fifth of the time that is left to the expected first event, 80
-	// ms at most, which is more than an idle engine is ahead of one that has just
-	// begun to write.
-	private static final double OTHER_PLACE_SHARE = 0.2;
+	// Traffic between failure domains is limited and billed; a stream takes about 5 KB.
+	// A request is sent to a remote engine only for a gain that its caller notices: this
+	// share of the remaining time to the latency target, capped at slightly more than
+	// the advantage of an idle engine over one that has just started to decode.
+	private static final double REMOTE_COST_SHARE = 0.2;
 
-	private static final double OTHER_PLACE_MOST_MILLIS = 80;
+	private static final double REMOTE_MAX_COST_MILLIS = 80;
 
-	// An engine's own queue takes a few more than it has slots, so that a slot is
-	// taken the moment it comes free; the prediction counts the wait there. A slot
-	// left free for the other entries instead refused a fifth of all requests at nine
-	// tenths of the capacity.
-	private static final int QUEUED = 2;
+	// Requests that an engine may queue beyond its slots, so that a freed slot is filled
+	// immediately. The prediction includes the wait in this queue. Keeping slots free
+	// for other entries instead would refuse a fifth of the requests at 90 % of the
+	// capacity.
+	private static final int ENGINE_QUEUE = 2;
 
-	// More than any prediction that is still in time: whoever has room goes first.
-	private static final double NO_ROOM_MILLIS = 10_000;
+	// Cost of a runner without free capacity. It exceeds any prediction that meets a
+	// latency target, so that a runner with free capacity is preferred.
+	private static final double FULL_RUNNER_COST_MILLIS = 10_000;
 
-	private final RunnerBook book;
+	private final RunnerRegistry registry;
 
-	private final ServicePaces paces;
+	private final ServiceLatencyFactors latencyFactors;
 
 	private final WeightsFence fence;
 
-	private final String place;
+	private final String failureDomain;
 
 	private final UniformRandomProvider random;
 
-	private EntryCount entries = EntryCount.flat(1);
+	private EntryCount entryCount = EntryCount.flat(1);
 
-	Placement(RunnerBook book, ServicePaces paces, WeightsFence fence, String place, UniformRandomProvider random) {
-		this.book = book;
-		this.paces = paces;
+	Placement(RunnerRegistry registry, ServiceLatencyFactors latencyFactors, WeightsFence fence, String failureDomain,
+			UniformRandomProvider random) {
+		this.registry = registry;
+		this.latencyFactors = latencyFactors;
 		this.fence = fence;
-		this.place = place;
+		this.failureDomain = failureDomain;
 		this.random = random;
 	}
 
 	/**
-	 * Hears how many entries there are.
+	 * Updates the number of entries.
 	 */
-	void entries(EntryCount count) {
-		this.entries = count;
+	void updateEntryCount(EntryCount count) {
+		this.entryCount = count;
 	}
 
 	/**
 	 * Returns the best runner for a request now.
-	 * @param engine present when its service runs model engines
-	 * @param late whether it goes last at runners
+	 * @param engine the engine specification, if the service runs model engines
+	 * @param late whether the request has the rank of late requests
 	 */
 	Choice choose(Job job, Optional<EngineSpec> engine, boolean late, long nowNanos) {
-		List<RunnerState> all = this.book.of(job.service());
-		List<RunnerState> candidates = this.book.candidates(job.service());
-		long wait = longestWait(candidates, late, nowNanos);
-		OptionalInt version = engine.isPresent() ? this.fence.required(engine.get().model(), wait, nowNanos)
+		List<RunnerState> all = this.registry.forService(job.service());
+		List<RunnerState> candidates = this.registry.candidates(job.service());
+		long wait = maxFirstEventWait(candidates, late, nowNanos);
+		OptionalInt version = engine.isPresent() ? this.fence.requiredVersion(engine.get().model(), wait, nowNanos)
 				: OptionalInt.empty();
 		Choice best = best(job, engine, version, nowNanos, candidates);
-		if (best.none() && candidates.size() < all.size()) {
+		if (best.isEmpty() && candidates.size() < all.size()) {
 			return best(job, engine, version, nowNanos, all);
 		}
 		return best;
 	}
 
-	// Load: named weights are to be in force soon, and the link to one runner holds
-	// things for seconds. Harm prevented: its waits bind what goes to all others, seconds
-	// before they would begin too late. A runner that is left out says nothing of others.
-	private static long longestWait(List<RunnerState> runners, boolean late, long nowNanos) {
-		long longest = 0;
+	// While a target weights version is about to take effect, one runner whose network
+	// path delays requests by seconds must not move the start deadline for all other
+	// runners. Runners on probation are therefore ignored.
+	private static long maxFirstEventWait(List<RunnerState> runners, boolean late, long nowNanos) {
+		long maxWait = 0;
 		for (RunnerState runner : runners) {
 			if (!runner.health.onProbation()) {
-				longest = Math.max(longest, runner.waits.nanos(late, nowNanos));
+				maxWait = Math.max(maxWait, runner.firstEventWaits.maxNanos(late, nowNanos));
 			}
 		}
-		return longest;
+		return maxWait;
 	}
 
 	private Choice best(Job job, Optional<EngineSpec> engine, OptionalInt version, long nowNanos,
 			List<RunnerState> runners) {
-		for (Wish wish : Wish.values()) {
-			Choice best = best(job, engine, version, nowNanos, runners, wish);
-			if (!best.none()) {
+		for (Requirement requirement : Requirement.values()) {
+			Choice best = best(job, engine, version, nowNanos, runners, requirement);
+			if (!best.isEmpty()) {
 				return best;
 			}
 		}
-		return Choice.nobody(version);
+		return Choice.noRunner(version);
 	}
 
 	private Choice best(Job job, Optional<EngineSpec> engine, OptionalInt version, long nowNanos,
-			List<RunnerState> runners, Wish wish) {
-		Choice best = Choice.nobody(version);
+			List<RunnerState> runners, Requirement requirement) {
+		Choice best = Choice.noRunner(version);
 		double bestCost = Double.MAX_VALUE;
-		int engines = 0;
+		int usable = 0;
 		for (RunnerState runner : runners) {
-			if (!fits(job, runner, engine, version, nowNanos) || bindsSooner(runner, engine, nowNanos)
-					|| (wish != Wish.ANY && !runner.health.usable(nowNanos))) {
+			if (!eligible(job, runner, engine, version, nowNanos) || mayStartTooLate(runner, engine, nowNanos)
+					|| (requirement != Requirement.ANY && !runner.health.usable(nowNanos))) {
 				continue;
 			}
-			engines++;
+			usable++;
 			PeerLoad load = runner.total(nowNanos);
-			double base = predict(runner, engine, load, job);
-			double predicted = base * this.paces.of(job.service()) * runner.pace;
-			if (wish == Wish.WELL_AND_ENDS && endsLate(job, runner, engine, load, predicted, nowNanos)) {
+			double nominal = nominalMillis(runner, engine, load, job);
+			double predicted = nominal * this.latencyFactors.of(job.service()) * runner.latencyFactor;
+			if (requirement == Requirement.HEALTHY_AND_ENDS_BEFORE_SWITCH
+					&& endsAfterSwitch(job, runner, engine, load, predicted, nowNanos)) {
 				continue;
 			}
-			Choice choice = choice(runner, engine, load, base, predicted, version, nowNanos);
-			double cost = predicted + distance(job, runner, engine, predicted) + (choice.room() ? 0 : NO_ROOM_MILLIS)
-					+ this.random.nextDouble() * ALIKE_MILLIS;
+			Choice choice = choice(runner, engine, load, nominal, predicted, version, nowNanos);
+			double cost = predicted + remoteCostMillis(job, runner, engine, predicted)
+					+ (choice.hasFreeCapacity() ? 0 : FULL_RUNNER_COST_MILLIS)
+					+ this.random.nextDouble() * TIE_BREAK_MILLIS;
 			if (cost < bestCost) {
 				bestCost = cost;
 				best = choice;
 			}
 		}
-		double shown = (double) this.book.of(job.service()).size() / Math.max(1, runners.size());
-		return best.among(engines * shown, engine, this.entries.all());
+		double candidateRatio = (double) this.registry.forService(job.service()).size() / Math.max(1, runners.size());
+		return best.withSlotInterval(usable * candidateRatio, engine, this.entryCount.all());
 	}
 
-	private Choice choice(RunnerState runner, Optional<EngineSpec> engine, PeerLoad load, double base, double predicted,
-			OptionalInt version, long nowNanos) {
+	private Choice choice(RunnerState runner, Optional<EngineSpec> engine, PeerLoad load, double nominal,
+			double predicted, OptionalInt version, long nowNanos) {
 		if (engine.isEmpty()) {
-			int places = runner.info.slots() + PLAIN_QUEUE;
-			return new Choice(Optional.of(runner), base, predicted, 0, load.active() < places,
-					(double) load.active() / places, false, 0, version);
+			int capacity = runner.info.slots() + PLAIN_QUEUE;
+			return new Choice(Optional.of(runner), nominal, predicted, 0, load.active() < capacity,
+					(double) load.active() / capacity, false, 0, version);
 		}
 		EngineSpec spec = engine.get();
-		int free = spec.slots() + QUEUED - load.active();
-		boolean room = free > 0 && runner.share.left(free, this.entries.sharing(runner.info.place(), this.place),
-				this.random, nowNanos);
-		double wait = EngineForecast.slotWaitMillis(spec, load) * predicted / base;
-		OptionalInt bound = version.isPresent() ? runner.version(spec.model()) : version;
-		return new Choice(Optional.of(runner), base, predicted, wait, room, (double) load.active() / spec.slots(), true,
-				0, bound);
+		int free = spec.slots() + ENGINE_QUEUE - load.active();
+		boolean hasFreeCapacity = free > 0 && runner.capacityShare.available(free,
+				this.entryCount.sendersTo(runner.info.place(), this.failureDomain), this.random, nowNanos);
+		double wait = EngineLatencyModel.slotWaitMillis(spec, load) * predicted / nominal;
+		OptionalInt requiredVersion = version.isPresent() ? runner.weightsVersion(spec.model()) : version;
+		return new Choice(Optional.of(runner), nominal, predicted, wait, hasFreeCapacity,
+				(double) load.active() / spec.slots(), true, 0, requiredVersion);
 	}
 
-	// Load: engines change weights one after the other under full traffic. Harm
-	// prevented: an engine that has been given a long answer just before its turn is
-	// away until that has ended, with its other slots empty.
-	private static boolean endsLate(Job job, RunnerState runner, Optional<EngineSpec> engine, PeerLoad load,
+	// Engines switch weights one after the other under full load. A long response
+	// started shortly before the switch would keep an engine from switching, with its
+	// other slots empty.
+	private static boolean endsAfterSwitch(Job job, RunnerState runner, Optional<EngineSpec> engine, PeerLoad load,
 			double predicted, long nowNanos) {
-		if (engine.isEmpty() || runner.closesNanos().isEmpty()) {
+		if (engine.isEmpty() || runner.switchStartNanos().isEmpty()) {
 			return false;
 		}
-		double left = (double) (runner.closesNanos().getAsLong() - nowNanos) / NANOS_PER_MILLI;
-		// Callers declare the same bound for long and short answers; their estimate is
-		// right in the median.
-		int tokens = job.size().likelyAnswerTokens().orElse(engine.get().usualAnswer());
-		return predicted + EngineForecast.answerMillis(engine.get(), load, tokens) > left;
+		double remaining = (double) (runner.switchStartNanos().getAsLong() - nowNanos) / NANOS_PER_MILLI;
+		// Callers declare the same maximum for long and short responses, so their
+		// estimate is used instead; it is correct in the median.
+		int tokens = job.size().expectedAnswerTokens().orElse(engine.get().usualAnswer());
+		return predicted + EngineLatencyModel.responseMillis(engine.get(), load, tokens) > remaining;
 	}
 
-	private double distance(Job job, RunnerState runner, Optional<EngineSpec> engine, double predicted) {
-		if (runner.info.place().equals(this.place)) {
+	private double remoteCostMillis(Job job, RunnerState runner, Optional<EngineSpec> engine, double predicted) {
+		if (runner.info.place().equals(this.failureDomain)) {
 			return 0;
 		}
 		if (engine.isEmpty()) {
-			return OTHER_PLACE_MILLIS;
+			return REMOTE_MIN_COST_MILLIS;
 		}
-		double spare = (job.route().target().toMillis() - predicted) * OTHER_PLACE_SHARE;
-		return Math.clamp(spare, OTHER_PLACE_MILLIS, OTHER_PLACE_MOST_MILLIS);
+		double cost = (job.route().target().toMillis() - predicted) * REMOTE_COST_SHARE;
+		return Math.clamp(cost, REMOTE_MIN_COST_MILLIS, REMOTE_MAX_COST_MILLIS);
 	}
 
-	private static boolean fits(Job job, RunnerState runner, Optional<EngineSpec> engine, OptionalInt version,
+	private static boolean eligible(Job job, RunnerState runner, Optional<EngineSpec> engine, OptionalInt version,
 			long nowNanos) {
-		if (runner.info.draining() || runner.gone || runner.switching() || runner.leftOut(nowNanos)
-				|| runner.way.beingTried() || runner.way.closed(nowNanos)) {
+		if (runner.info.draining() || runner.removed || runner.switching() || runner.backedOff(nowNanos)
+				|| runner.path.probing() || runner.path.blocked(nowNanos)) {
 			return false;
 		}
-		if (job.tried.contains(runner.info.id()) && job.tried.size() < 3) {
+		if (job.triedRunners.contains(runner.info.id()) && job.triedRunners.size() < 3) {
 			return false;
 		}
 		if (engine.isEmpty()) {
 			return true;
 		}
-		OptionalInt held = runner.version(engine.get().model());
+		OptionalInt held = runner.weightsVersion(engine.get().model());
 		if (held.isEmpty()) {
 			return false;
 		}
-		// A stream that has begun goes on only where the same weights are, and begins
-		// anew there: not on weights that are over by then.
+		// A started stream is resumed only on the same weights version. The resumed run
+		// starts anew, so that version must still be acceptable.
 		boolean same = job.events() == 0 || job.weightsVersion().isEmpty() || held.equals(job.weightsVersion());
 		return same && (version.isEmpty() || held.getAsInt() >= version.getAsInt());
 	}
 
 	/**
-	 * Returns until when a request must have begun at a runner, or be taken back.
+	 * Returns the time by which a request must have started at a runner. Otherwise it
+	 * must be cancelled.
 	 */
-	long beginBy(RunnerState runner, Optional<EngineSpec> engine) {
+	long startDeadlineNanos(RunnerState runner, Optional<EngineSpec> engine) {
 		Optional<String> model = engine.map(EngineSpec::model);
-		OptionalInt held = model.map(runner::version).orElse(OptionalInt.empty());
-		return held.isPresent() ? this.fence.beginBy(model.get(), held.getAsInt()) : Long.MAX_VALUE;
+		OptionalInt held = model.map(runner::weightsVersion).orElse(OptionalInt.empty());
+		return held.isPresent() ? this.fence.startDeadlineNanos(model.get(), held.getAsInt()) : Long.MAX_VALUE;
 	}
 
 	/**
-	 * Returns whether it matters now if the way to a runner is open: it may be closed, or
-	 * what is sent there has to begin before newer weights bind.
+	 * Returns whether the state of the network path to a runner must be verified: the
+	 * path is suspect, or requests sent there must start before a newer weights version
+	 * takes effect.
 	 */
-	boolean wayMatters(RunnerState runner, Optional<EngineSpec> engine, long nowNanos) {
-		long beginBy = beginBy(runner, engine);
-		return runner.way.doubtful(nowNanos) || (beginBy != Long.MAX_VALUE && nowNanos < beginBy);
+	boolean needsPathCheck(RunnerState runner, Optional<EngineSpec> engine, long nowNanos) {
+		long beginBy = startDeadlineNanos(runner, engine);
+		return runner.path.suspect(nowNanos) || (beginBy != Long.MAX_VALUE && nowNanos < beginBy);
 	}
 
 	/**
-	 * Returns whether a request may leave only over a connection that is made for it.
+	 * Returns whether a request may only be sent over a newly established connection.
 	 */
-	boolean triesWay(RunnerState runner, Optional<EngineSpec> engine, long nowNanos) {
-		return wayMatters(runner, engine, nowNanos) && !runner.way.seenOpen(nowNanos);
+	boolean requiresNewConnection(RunnerState runner, Optional<EngineSpec> engine, long nowNanos) {
+		return needsPathCheck(runner, engine, nowNanos) && !runner.path.recentlyConfirmed(nowNanos);
 	}
 
-	// What was left out, or has not answered for long, is bound by its own waits, whoever
-	// waited there.
-	private boolean bindsSooner(RunnerState runner, Optional<EngineSpec> engine, long nowNanos) {
-		boolean doubtful = runner.health.onProbation() || runner.way.doubtful(nowNanos);
-		if (engine.isEmpty() || !doubtful) {
+	// A runner on probation or behind a suspect network path is judged by its own
+	// longest wait, including that of late requests.
+	private boolean mayStartTooLate(RunnerState runner, Optional<EngineSpec> engine, long nowNanos) {
+		boolean suspect = runner.health.onProbation() || runner.path.suspect(nowNanos);
+		if (engine.isEmpty() || !suspect) {
 			return false;
 		}
-		long begun = Math.max(runner.waits.nanos(false, nowNanos), runner.waits.nanos(true, nowNanos));
-		long wait = Math.max(begun, runner.way.heldNanos(nowNanos));
-		OptionalInt version = this.fence.required(engine.get().model(), wait, nowNanos);
-		OptionalInt held = runner.version(engine.get().model());
+		long observed = Math.max(runner.firstEventWaits.maxNanos(false, nowNanos),
+				runner.firstEventWaits.maxNanos(true, nowNanos));
+		long wait = Math.max(observed, runner.path.delayNanos(nowNanos));
+		OptionalInt version = this.fence.requiredVersion(engine.get().model(), wait, nowNanos);
+		OptionalInt held = runner.weightsVersion(engine.get().model());
 		return version.isPresent() && held.isPresent() && held.getAsInt() < version.getAsInt();
 	}
 
-	private static double predict(RunnerState runner, Optional<EngineSpec> engine, PeerLoad load, Job job) {
+	private static double nominalMillis(RunnerState runner, Optional<EngineSpec> engine, PeerLoad load, Job job) {
 		if (engine.isEmpty()) {
-			return (double) load.active() / Math.max(1, runner.info.slots()) * ALIKE_MILLIS * 2;
+			return (double) load.active() / Math.max(1, runner.info.slots()) * TIE_BREAK_MILLIS * 2;
 		}
-		return EngineForecast.firstEventMillis(engine.get(), load, prompt(job, engine.get()));
+		return EngineLatencyModel.firstEventMillis(engine.get(), load, promptTokens(job, engine.get()));
 	}
 
-	private static int prompt(Job job, EngineSpec engine) {
+	private static int promptTokens(Job job, EngineSpec engine) {
 		return (job.size().promptTokens() > 0) ? job.size().promptTokens() : engine.usualPrompt();
 	}
 
 	/**
-	 * What is asked of a runner, the most first; less is asked when nobody meets it.
+	 * Requirements on a runner, from strict to relaxed. The next one is used if no runner
+	 * meets the previous one.
 	 */
-	private enum Wish {
+	private enum Requirement {
 
-		/** It is well, and ends the answer before it changes weights. */
-		WELL_AND_ENDS,
-		/** It is well. */
-		WELL,
 		/**
-		 * Any. When all are left out for their failures the cause is likely elsewhere,
-		 * and one that fails part of its requests is better than none.
+		 * The runner is healthy and is predicted to end the response before it switches
+		 * weights.
+		 */
+		HEALTHY_AND_ENDS_BEFORE_SWITCH,
+		/** The runner is healthy. */
+		HEALTHY,
+		/**
+		 * Any runner. When all runners are ejected the cause is likely elsewhere, and a
+		 * runner that fails some requests is better than none.
 		 */
 		ANY
 
 	}
 
 	/**
-	 * What the best runner promises.
+	 * The chosen runner and the predictions for it.
 	 *
-	 * @param runner empty when no runner can be used
-	 * @param baseMillis to the first event, by the declared speed alone
-	 * @param predictedMillis to the first event
-	 * @param slotWaitMillis the part of it that is the wait for a slot
-	 * @param room whether one of its slots is free
-	 * @param used the share of its slots that are taken
-	 * @param engine whether it is a model engine
-	 * @param slotEveryMillis how often a slot comes free for this entry
-	 * @param requiredVersion the version that the request must start on
+	 * @param runner the runner; empty if no runner can be used
+	 * @param nominalMillis the predicted time to the first event by the declared engine
+	 * speed alone
+	 * @param predictedMillis the predicted time to the first event
+	 * @param slotWaitMillis the part of {@code predictedMillis} spent waiting for a slot
+	 * @param hasFreeCapacity whether the runner can take one more request
+	 * @param utilization the share of its slots that are taken
+	 * @param engine whether the runner is a model engine
+	 * @param slotIntervalMillis the expected interval at which slots become free for this
+	 * entry
+	 * @param requiredVersion the weights version that the request must start on
 	 */
-	record Choice(Optional<RunnerState> runner, double baseMillis, double predictedMillis, double slotWaitMillis,
-			boolean room, double used, boolean engine, double slotEveryMillis, OptionalInt requiredVersion) {
+	record Choice(Optional<RunnerState> runner, double nominalMillis, double predictedMillis, double slotWaitMillis,
+			boolean hasFreeCapacity, double utilization, boolean engine, double slotIntervalMillis,
+			OptionalInt requiredVersion) {
 
-		static Choice nobody(OptionalInt version) {
+		static Choice noRunner(OptionalInt version) {
 			return new Choice(Optional.empty(), 0, Double.MAX_VALUE, 0, false, 1, false, 0, version);
 		}
 
-		boolean none() {
+		boolean isEmpty() {
 			return this.runner.isEmpty();
 		}
 
-		private Choice among(double engines, Optional<EngineSpec> spec, int entries) {
-			if (none() || spec.isEmpty()) {
+		private Choice withSlotInterval(double engines, Optional<EngineSpec> spec, int entries) {
+			if (isEmpty() || spec.isEmpty()) {
 				return this;
 			}
 			double slots = engines * spec.get().slots() / entries;
-			return new Choice(this.runner, this.baseMillis, this.predictedMillis, this.slotWaitMillis, this.room,
-					this.used, true, EngineForecast.residenceMillis(spec.get()) / slots, this.requiredVersion);
+			return new Choice(this.runner, this.nominalMillis, this.predictedMillis, this.slotWaitMillis,
+					this.hasFreeCapacity, this.utilization, true, EngineLatencyModel.slotHoldMillis(spec.get()) / slots,
+					this.requiredVersion);
 		}
 
 	}
--- a/policy/src/main/java/org/wisteriapost/policy/dispatch/RefusedRequest.java
+++ b/policy/src/main/java/org/wisteriapost/policy/dispatch/RefusedRequest.java
@@ -1,11 +1,11 @@
 package org.wisteriapost.policy.dispatch;
 
 /**
- * A request that got a final answer without a result, so that its caller may ask again.
+ * A request that ended without a result and may be retried by its caller.
  *
- * @param request equal for all attempts of one request
- * @param askedNanos when its caller first asked
- * @param deadlineNanos when its caller gives up
+ * @param request a key that is equal for all attempts of the request
+ * @param askedNanos the arrival time of the first attempt
+ * @param deadlineNanos the deadline of the caller
  */
 public record RefusedRequest(long request, long askedNanos, long deadlineNanos) {
 }
--- a/policy/src/main/java/org/wisteriapost/policy/dispatch/RefusedRequests.java
+++ b/policy/src/main/java/org/wisteriapost/policy/dispatch/RefusedRequests.java
@@ -5,49 +5,47 @@
 import java.util.Optional;
 
 /**
- * Requests that this entry or another has refused, so that they are known when their
- * callers come back.
+ * Recently refused requests of this entry and its peers, used to recognize retries.
  *
- * Load: more than the engines can answer, so that a part of what arrives has been refused
- * before. Harm prevented: an answer that is late already takes the slot of one that can
- * be in time. How much time a caller gives says little of that: first attempts differ in
- * it by a sixth and more, and judged by it half of them were held for late ones, given
- * the last rank at their engine and refused first. So a caller counts as one that came
- * back only if its request was refused; where that is not known it is a first attempt.
+ * Under overload a part of the arriving requests are retries that have already missed
+ * their latency target, and they must not take slots from requests that can still meet
+ * it. The remaining time to the deadline does not identify retries: it varies by a sixth
+ * and more between first attempts, so about half of these would be given the last rank
+ * and refused first. A request counts as a retry only if a matching refusal is known.
  */
 final class RefusedRequests {
 
-	// Two requests may be about one prompt. Their callers' deadlines differ then; those
-	// of two attempts agree to within a twentieth of the time that callers give.
-	private static final double DEADLINE_SHARE = 0.1;
+	// Different requests can have the same key, but their deadlines differ. The
+	// deadlines of two attempts of one request agree to within 5 % of the timeout.
+	private static final double DEADLINE_TOLERANCE = 0.1;
 
-	// Some ten seconds of refusals of a fleet under twice its load.
-	private static final int MOST = 4096;
+	// About ten seconds of refusals at twice the capacity of the fleet.
+	private static final int MAX_ENTRIES = 4096;
 
 	private final Map<Long, RefusedRequest> refused = new LinkedHashMap<>() {
 
 		@Override
 		protected boolean removeEldestEntry(Map.Entry<Long, RefusedRequest> eldest) {
-			return size() > MOST;
+			return size() > MAX_ENTRIES;
 		}
 
 	};
 
-	void note(RefusedRequest request) {
+	void add(RefusedRequest request) {
 		this.refused.put(request.request(), request);
 	}
 
 	/**
-	 * Returns the refusal of an earlier attempt, if this is known to be a later one.
+	 * Returns the refusal of an earlier attempt of the request, if one is known.
 	 */
-	Optional<RefusedRequest> of(Job job) {
+	Optional<RefusedRequest> earlierAttempt(Job job) {
 		if (job.request().isEmpty()) {
 			return Optional.empty();
 		}
-		double most = DEADLINE_SHARE * job.route().timeout().toNanos();
+		double toleranceNanos = DEADLINE_TOLERANCE * job.route().timeout().toNanos();
 		return Optional.ofNullable(this.refused.get(job.request().getAsLong()))
-			.filter((one) -> one.askedNanos() < job.arrivedNanos())
-			.filter((one) -> Math.abs(one.deadlineNanos() - job.deadlineNanos()) < most);
+			.filter((refusal) -> refusal.askedNanos() < job.arrivedNanos())
+			.filter((refusal) -> Math.abs(refusal.deadlineNanos() - job.deadlineNanos()) < toleranceNanos);
 	}
 
 }
--- a/policy/src/main/java/org/wisteriapost/policy/dispatch/RunnerHealth.java
+++ b/policy/src/main/java/org/wisteriapost/policy/dispatch/RunnerHealth.java
@@ -4,112 +4,112 @@
 import java.util.OptionalLong;
 
 /**
- * Says for how long a runner is left out because of how its answers ended.
+ * Ejects a runner for a time when its requests fail.
  *
- * Load: one runner of several is dark, resets connections or fails part of its requests
- * while its health answer is good. Harm prevented: a runner that fails fast looks idle
- * and draws most of the requests; one that is dark costs each request a connect timeout.
+ * A runner may be unreachable, reset connections or fail part of its requests although
+ * its health check succeeds. A runner that fails fast looks idle and would attract most
+ * of the requests, and an unreachable one would cost every request a connect timeout.
  *
- * One connection that cannot be made is enough, since nothing else answers at that
- * address. Two broken answers in a row, since one may be that request's own. An error
- * rate, since a runner that fails half of its requests seldom fails several in a row:
- * {@value #ERROR_SHARE} lies above what services fail by themselves. The span doubles
- * while it goes on, and the next request after it is the probe, so no probes are paid
- * for.
+ * A runner is ejected after one failed connection, after {@value #BROKEN_THRESHOLD}
+ * broken responses in a row (a single one may be caused by the request itself), or when
+ * its error rate exceeds {@value #MAX_ERROR_RATE}, which is above the usual error rate of
+ * services and also detects a runner that fails every other request. The ejection time
+ * doubles with each ejection, and the next request after it serves as the probe.
  */
 final class RunnerHealth {
 
-	private static final int BROKEN_IN_ROW = 2;
+	private static final int BROKEN_THRESHOLD = 2;
 
-	private static final double ERROR_SHARE = 0.35;
+	private static final double MAX_ERROR_RATE = 0.35;
 
-	private static final int ERROR_SAMPLES = 6;
+	private static final int MIN_ERROR_SAMPLES = 6;
 
 	private static final double SMOOTHING = 0.2;
 
-	// A runner that restarts is back within a second or two; four seconds bound how long
-	// one that is well again stays unused.
-	private static final long FIRST_SPAN_NANOS = Duration.ofMillis(400).toNanos();
+	// A restarting runner is back within one or two seconds. The longest ejection bounds
+	// how long a recovered runner stays unused.
+	private static final long BASE_EJECTION_NANOS = Duration.ofMillis(400).toNanos();
 
-	private static final int MOST_DOUBLINGS = 3;
+	private static final int MAX_DOUBLINGS = 3;
 
-	private int brokenInRow;
+	private int consecutiveBroken;
 
 	private int samples;
 
-	private double errorShare;
+	private double errorRate;
 
 	private int ejections;
 
-	private long outUntilNanos;
+	private long ejectedUntilNanos;
 
-	private boolean out;
+	private boolean ejected;
 
-	// Whether it was left out since no connection could be made.
-	private boolean unreached;
+	// Whether the cause of the ejection is a failed connection.
+	private boolean ejectedAsUnreachable;
 
-	// When the latest request that failed was sent.
-	private long failedNanos = Long.MIN_VALUE;
+	// Send time of the latest request that failed.
+	private long lastFailedSentNanos = Long.MIN_VALUE;
 
-	// When the request was sent that decides whether it is back.
-	private OptionalLong probeNanos = OptionalLong.empty();
+	// Send time of the probe request, if one is in flight.
+	private OptionalLong probeSentNanos = OptionalLong.empty();
 
 	/**
-	 * Returns whether the runner may be sent requests.
+	 * Returns whether the runner can be sent requests.
 	 */
 	boolean usable(long nowNanos) {
-		return !this.out || (nowNanos >= this.outUntilNanos && this.probeNanos.isEmpty());
+		return !this.ejected || (nowNanos >= this.ejectedUntilNanos && this.probeSentNanos.isEmpty());
 	}
 
 	/**
-	 * Returns whether it was left out and has not answered since.
+	 * Returns whether the runner was ejected and has not recovered since.
 	 */
 	boolean onProbation() {
-		return this.out;
+		return this.ejected;
 	}
 
 	/**
-	 * Notes that a request is sent.
+	 * Records that a request is sent.
 	 */
 	void sent(long nowNanos) {
-		if (this.out) {
-			this.probeNanos = OptionalLong.of(nowNanos);
+		if (this.ejected) {
+			this.probeSentNanos = OptionalLong.of(nowNanos);
 		}
 	}
 
 	/**
-	 * Notes that a request was given up for no fault of the runner.
-	 * @param sentNanos when it was sent
+	 * Records that a request was cancelled for a reason other than a failure of the
+	 * runner.
+	 * @param sentNanos the send time of the request
 	 */
-	void stopped(long sentNanos) {
-		if (this.probeNanos.isPresent() && this.probeNanos.getAsLong() == sentNanos) {
-			this.probeNanos = OptionalLong.empty();
+	void cancelled(long sentNanos) {
+		if (this.probeSentNanos.isPresent() && this.probeSentNanos.getAsLong() == sentNanos) {
+			this.probeSentNanos = OptionalLong.empty();
 		}
 	}
 
 	/**
-	 * Notes the first event of an answer. It proves no more than that the runner is
-	 * reached again, which is enough where that was all that was wrong.
-	 * @param sentNanos when the request was sent
+	 * Records the first event of a response. It shows that the runner is reachable again,
+	 * which ends an ejection only if that was its cause.
+	 * @param sentNanos the send time of the request
 	 */
-	void began(long sentNanos) {
-		if (this.unreached && sentNanos > this.failedNanos) {
-			back();
+	void firstEvent(long sentNanos) {
+		if (this.ejectedAsUnreachable && sentNanos > this.lastFailedSentNanos) {
+			reinstate();
 		}
 	}
 
 	/**
-	 * Notes how a request ended.
-	 * @param sentNanos when it was sent
+	 * Records the outcome of a request.
+	 * @param sentNanos the send time of the request
 	 */
 	void ended(Outcome outcome, long sentNanos, long nowNanos) {
-		stopped(sentNanos);
+		cancelled(sentNanos);
 		switch (outcome) {
 			case DONE -> done(sentNanos);
 			case ERROR -> error(nowNanos);
 			case NOT_SENT -> {
 				failed(sentNanos);
-				this.unreached = true;
+				this.ejectedAsUnreachable = true;
 				eject(nowNanos);
 			}
 			case BROKEN -> {
@@ -117,68 +117,69 @@
 				broken(nowNanos);
 			}
 			case FULL, MISDIRECTED -> {
-				// It answers; that it has no room is part of its load, not of its health.
+				// Lack of capacity or a changed address is not a health failure.
 			}
 		}
 	}
 
 	private void failed(long sentNanos) {
-		this.failedNanos = Math.max(this.failedNanos, sentNanos);
+		this.lastFailedSentNanos = Math.max(this.lastFailedSentNanos, sentNanos);
 	}
 
-	// Failure: a runner is cut off while it writes streams. Symptom: each of them that
-	// ends whole brings the runner back, and all go there again. What was sent before the
-	// latest failure says nothing of now; one that is sent after it does.
+	// Streams that started before a runner became unreachable may still end
+	// successfully. Only a request sent after the latest failure proves that the runner
+	// has recovered; otherwise each of those streams would direct traffic to the runner
+	// again.
 	private void done(long sentNanos) {
 		sample(0);
-		if (sentNanos > this.failedNanos) {
-			well();
+		if (sentNanos > this.lastFailedSentNanos) {
+			recovered();
 		}
 	}
 
-	private void well() {
-		this.brokenInRow = 0;
-		if (this.errorShare < ERROR_SHARE / 2) {
+	private void recovered() {
+		this.consecutiveBroken = 0;
+		if (this.errorRate < MAX_ERROR_RATE / 2) {
 			this.ejections = 0;
 		}
-		back();
+		reinstate();
 	}
 
-	private void back() {
-		this.out = false;
-		this.unreached = false;
-		this.probeNanos = OptionalLong.empty();
+	private void reinstate() {
+		this.ejected = false;
+		this.ejectedAsUnreachable = false;
+		this.probeSentNanos = OptionalLong.empty();
 	}
 
 	private void error(long nowNanos) {
-		this.brokenInRow = 0;
+		this.consecutiveBroken = 0;
 		sample(1);
-		if (this.samples >= ERROR_SAMPLES && this.errorShare > ERROR_SHARE) {
-			this.unreached = false;
+		if (this.samples >= MIN_ERROR_SAMPLES && this.errorRate > MAX_ERROR_RATE) {
+			this.ejectedAsUnreachable = false;
 			eject(nowNanos);
 		}
 	}
 
 	private void broken(long nowNanos) {
-		this.brokenInRow++;
+		this.consecutiveBroken++;
 		sample(1);
-		if (this.brokenInRow >= BROKEN_IN_ROW || this.out) {
-			this.unreached = false;
+		if (this.consecutiveBroken >= BROKEN_THRESHOLD || this.ejected) {
+			this.ejectedAsUnreachable = false;
 			eject(nowNanos);
 		}
 	}
 
 	private void sample(double error) {
 		this.samples++;
-		this.errorShare += SMOOTHING * (error - this.errorShare);
+		this.errorRate += SMOOTHING * (error - this.errorRate);
 	}
 
 	private void eject(long nowNanos) {
-		if (this.out && nowNanos < this.outUntilNanos) {
+		if (this.ejected && nowNanos < this.ejectedUntilNanos) {
 			return;
 		}
-		this.out = true;
-		this.outUntilNanos = nowNanos + (FIRST_SPAN_NANOS << Math.min(MOST_DOUBLINGS, this.ejections));
+		this.ejected = true;
+		this.ejectedUntilNanos = nowNanos + (BASE_EJECTION_NANOS << Math.min(MAX_DOUBLINGS, this.ejections));
 		this.ejections++;
 	}
 
--- a/policy/src/main/java/org/wisteriapost/policy/dispatch/RunnerLoad.java
+++ b/policy/src/main/java/org/wisteriapost/policy/dispatch/RunnerLoad.java
@@ -3,11 +3,11 @@
 import org.wisteriapost.policy.fleet.RunnerStart;
 
 /**
- * What one entry has at one start of a runner.
+ * Requests that one or more entries have in flight at one incarnation of a runner.
  *
- * @param runner its id
- * @param start which start of it
- * @param load what is in flight
+ * @param runner the id of the runner
+ * @param start the incarnation of the runner
+ * @param load the requests in flight
  */
 public record RunnerLoad(String runner, RunnerStart start, PeerLoad load) {
 }
--- /dev/null
+++ b/policy/src/main/java/org/wisteriapost/policy/dispatch/RunnerRegistry.java
@@ -0,0 +1,263 @@
+package org.wisteriapost.policy.dispatch;
+
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+
+import org.wisteriapost.policy.fleet.RunnerInfo;
+
+/**
+ * Registered runners, according to the site's store and the agents on their VMs.
+ *
+ * During a store outage many registrations expire at the same time and are renewed
+ * afterwards, so a missing registration says nothing about its runner. A runner that
+ * disappears around an outage is kept until {@link #REGISTRATION_GRACE_NANOS} after the
+ * store is reachable again. Otherwise a removed registration means that the runner is
+ * shutting down, possibly without draining first, and it gets no new requests.
+ */
+final class RunnerRegistry {
+
+	/**
+	 * Time after an outage within which running runners have registered again.
+	 */
+	static final long REGISTRATION_GRACE_NANOS = Duration.ofMillis(2300).toNanos();
+
+	// Expired registrations that are renewed are renewed within seconds. The limit
+	// covers simultaneous expiry across a large site.
+	private static final int MAX_REMOVED = 200;
+
+	private final Map<String, RunnerState> runners = new HashMap<>();
+
+	private final Map<String, List<RunnerState>> services = new HashMap<>();
+
+	private final Map<String, List<RunnerState>> candidates = new HashMap<>();
+
+	private final RunnerSubset subset;
+
+	private final Map<String, EngineWord> engineStatuses = new HashMap<>();
+
+	// Runners with a removed registration, in order of removal.
+	private final Map<String, RunnerState> removedRunners = new LinkedHashMap<>();
+
+	private final Set<String> missingDuringOutage = new HashSet<>();
+
+	private boolean storeReachable = true;
+
+	private long storeRecoveredNanos = Long.MIN_VALUE / 2;
+
+	RunnerRegistry(RunnerSubset subset) {
+		this.subset = subset;
+	}
+
+	/**
+	 * Updates whether the store is reachable.
+	 */
+	void updateStoreReachable(boolean reachable, long nowNanos) {
+		if (reachable && !this.storeReachable) {
+			this.storeRecoveredNanos = nowNanos;
+		}
+		this.storeReachable = reachable;
+	}
+
+	/**
+	 * Replaces the set of registered runners.
+	 */
+	void replaceAll(Collection<RunnerInfo> infos, long nowNanos) {
+		Set<String> ids = new HashSet<>();
+		infos.forEach((info) -> {
+			ids.add(info.id());
+			update(info);
+		});
+		List<String> missing = this.runners.keySet().stream().filter((id) -> !ids.contains(id)).toList();
+		missing.forEach((id) -> registrationRemoved(id, nowNanos));
+	}
+
+	/**
+	 * Adds or updates a registration and returns whether it contains anything new other
+	 * than a renewal.
+	 */
+	boolean update(RunnerInfo info) {
+		this.missingDuringOutage.remove(info.id());
+		RunnerState known = this.runners.get(info.id());
+		if (known == null) {
+			return addOrRestore(info);
+		}
+		if (known.info.start().before(info.start())) {
+			addIncarnation(info);
+			return true;
+		}
+		boolean outdated = info.start().before(known.info.start());
+		if (outdated) {
+			return false;
+		}
+		if (info.sameAs(known.info) && !known.removed) {
+			known.info = info;
+			return false;
+		}
+		known.registered(info);
+		applyEngineStatus(known);
+		rebuildIndex();
+		return true;
+	}
+
+	/**
+	 * Removes a runner whose registration no longer describes a usable runner.
+	 */
+	void removeUnusable(String id) {
+		remove(id);
+	}
+
+	// The registration of a runner whose VM cannot reach the store expires and is
+	// restored later. A registration of the same incarnation keeps its previous state;
+	// otherwise every entry would immediately send requests to a runner that has just
+	// been ejected.
+	private boolean addOrRestore(RunnerInfo info) {
+		RunnerState previous = this.removedRunners.remove(info.id());
+		if (previous == null || !previous.info.start().equals(info.start())) {
+			addIncarnation(info);
+			return true;
+		}
+		this.runners.put(info.id(), previous);
+		previous.registered(info);
+		applyEngineStatus(previous);
+		rebuildIndex();
+		return true;
+	}
+
+	// State of an earlier incarnation does not apply to a new one.
+	private void addIncarnation(RunnerInfo info) {
+		RunnerState state = new RunnerState(info);
+		RunnerState previous = this.runners.put(info.id(), state);
+		if (previous != null) {
+			previous.removed = true;
+		}
+		applyEngineStatus(state);
+		rebuildIndex();
+	}
+
+	private void applyEngineStatus(RunnerState state) {
+		EngineWord status = this.engineStatuses.get(state.info.address());
+		if (status != null && !status.start().before(state.info.start())) {
+			state.updateEngineStatus(status);
+		}
+	}
+
+	void registrationRemoved(String id, long nowNanos) {
+		if (inOutageGracePeriod(nowNanos)) {
+			this.missingDuringOutage.add(id);
+			return;
+		}
+		remove(id);
+	}
+
+	/**
+	 * Removes runners that are still missing after the grace period that follows an
+	 * outage.
+	 */
+	void tick(long nowNanos) {
+		if (this.missingDuringOutage.isEmpty() || inOutageGracePeriod(nowNanos)) {
+			return;
+		}
+		List.copyOf(this.missingDuringOutage).forEach(this::remove);
+	}
+
+	/**
+	 * Updates the status of an engine, as reported by the agent on its VM.
+	 * @param address the runner's address
+	 */
+	void updateEngineStatus(String address, EngineWord status) {
+		EngineWord previous = this.engineStatuses.get(address);
+		if (previous != null && status.start().before(previous.start())) {
+			return;
+		}
+		this.engineStatuses.put(address, status);
+		List<RunnerState> atAddress = this.runners.values()
+			.stream()
+			.filter((state) -> state.info.address().equals(address))
+			.toList();
+		for (RunnerState state : atAddress) {
+			if (state.info.start().before(status.start())) {
+				addIncarnation(state.info.startedAgain(status.start()));
+			}
+			else {
+				applyEngineStatus(state);
+			}
+		}
+	}
+
+	Optional<RunnerState> find(String id) {
+		return Optional.ofNullable(this.runners.get(id));
+	}
+
+	List<RunnerState> forService(String service) {
+		return this.services.getOrDefault(service, List.of());
+	}
+
+	/**
+	 * Returns the runners of a service that this entry considers for a request.
+	 */
+	List<RunnerState> candidates(String service) {
+		return this.candidates.getOrDefault(service, List.of());
+	}
+
+	/**
+	 * Returns the latest status of each engine in a failure domain, by runner address.
+	 */
+	Map<String, EngineWord> engineStatuses(String failureDomain) {
+		Map<String, EngineWord> statuses = new HashMap<>();
+		this.runners.values().stream().filter((state) -> state.info.place().equals(failureDomain)).forEach((state) -> {
+			EngineWord status = this.engineStatuses.get(state.info.address());
+			if (status != null) {
+				statuses.put(state.info.address(), status);
+			}
+		});
+		return statuses;
+	}
+
+	Collection<RunnerState> states() {
+		return this.runners.values();
+	}
+
+	private boolean inOutageGracePeriod(long nowNanos) {
+		return !this.storeReachable || nowNanos - this.storeRecoveredNanos < REGISTRATION_GRACE_NANOS;
+	}
+
+	private void remove(String id) {
+		this.missingDuringOutage.remove(id);
+		RunnerState state = this.runners.remove(id);
+		if (state != null) {
+			state.removed = true;
+			this.removedRunners.put(id, state);
+			if (this.removedRunners.size() > MAX_REMOVED) {
+				this.removedRunners.remove(this.removedRunners.keySet().iterator().next());
+			}
+			rebuildIndex();
+		}
+	}
+
+	// When engines crash and restart under new ids, their previous registrations remain
+	// for about four seconds. Requests sent to a previous id are answered with status
+	// 421 and consume the shared retry budget. An address has one runner of a service at
+	// a time, so only the latest registration is used. A registration of another service
+	// does not replace it, since it may be a mistake.
+	private void rebuildIndex() {
+		Map<String, RunnerState> latest = new HashMap<>();
+		this.runners.values()
+			.forEach((state) -> latest.merge(state.info.service() + " " + state.info.address(), state,
+					(one, other) -> (one.info.revision() < other.info.revision()) ? other : one));
+		this.services.clear();
+		latest.values()
+			.forEach((state) -> this.services.computeIfAbsent(state.info.service(), (name) -> new ArrayList<>())
+				.add(state));
+		this.candidates.clear();
+		this.services.forEach((service, all) -> this.candidates.put(service, this.subset.select(all)));
+	}
+
+}
--- a/policy/src/main/java/org/wisteriapost/policy/dispatch/RunnerState.java
+++ b/policy/src/main/java/org/wisteriapost/policy/dispatch/RunnerState.java
@@ -10,242 +10,250 @@
 import org.wisteriapost.policy.fleet.RunnerInfo;
 
 /**
- * What an entry believes of one start of a runner: its registration, what is in flight
- * there from here and from other entries, and how its answers ended.
+ * Local view of one incarnation of a runner: its registration, the requests in flight
+ * there from all entries, and its recent outcomes.
  */
 final class RunnerState {
 
-	// Another entry that is killed is known to be gone from its link. This is for one
-	// whose messages are lost: all that it has is said again each second.
+	// A failed peer is usually detected by its closed connection. The timeout covers a
+	// peer whose messages are lost: peers report their full load every second.
 	private static final long PEER_TTL_NANOS = Duration.ofMillis(2500).toNanos();
 
-	// A runner that has just said that it is full is not asked again for the time in
-	// which a running answer may end.
-	private static final long LEFT_OUT_NANOS = Duration.ofMillis(40).toNanos();
+	// A runner that has rejected a request for lack of capacity gets no requests for
+	// about the time in which a running request may end.
+	private static final long BACKOFF_NANOS = Duration.ofMillis(40).toNanos();
 
-	// 1.3 s: until then a registration or an agent's word has come.
-	private static final int MOST_DOUBLINGS = 5;
+	// Limits the backoff to 1.3 s. A registration or an engine status arrives within
+	// this time.
+	private static final int MAX_DOUBLINGS = 5;
 
-	// What goes last at its runner is overtaken by others.
-	private static final double LATE_FACTOR = 2;
+	// Requests with the rank of late requests are overtaken by others.
+	private static final double LATE_PREDICTION_FACTOR = 2;
 
-	private static final double PACE_SMOOTHING = 0.15;
+	private static final double LATENCY_SMOOTHING = 0.15;
 
-	private static final double LEAST_PACE = 0.5;
+	private static final double MIN_LATENCY_FACTOR = 0.5;
 
-	private static final double MOST_PACE = 6;
+	private static final double MAX_LATENCY_FACTOR = 6;
 
-	// What single entries have there, by their names, and what all entries of another
-	// place have there together, by the place.
-	private final Map<String, Heard> peers = new HashMap<>();
+	// Load of individual peers, by peer name, and of all entries of another failure
+	// domain together, by failure domain.
+	private final Map<String, ReportedLoad> peerLoads = new HashMap<>();
 
-	private final Map<String, Heard> places = new HashMap<>();
+	private final Map<String, ReportedLoad> failureDomainLoads = new HashMap<>();
 
-	private PeerLoad others = PeerLoad.NONE;
+	private PeerLoad cachedPeerLoad = PeerLoad.NONE;
 
-	// From when on what was summed up last no longer holds: at once after news.
-	private long othersUntilNanos = Long.MIN_VALUE;
+	// Time after which the cached sum expires. Reset whenever a report arrives.
+	private long cacheValidUntilNanos = Long.MIN_VALUE;
 
 	final RunnerHealth health = new RunnerHealth();
 
-	final RunnerWay way = new RunnerWay();
+	final RunnerPath path = new RunnerPath();
 
-	final FreshShare share = new FreshShare();
+	final CapacityShare capacityShare = new CapacityShare();
 
-	final SlowestStart waits = new SlowestStart();
+	final FirstEventWaits firstEventWaits = new FirstEventWaits();
 
 	RunnerInfo info;
 
-	PeerLoad own = PeerLoad.NONE;
+	PeerLoad ownLoad = PeerLoad.NONE;
 
-	double pace = 1;
+	double latencyFactor = 1;
 
-	boolean gone;
+	boolean removed;
 
-	private long leftOutUntilNanos = Long.MIN_VALUE;
+	private long backoffUntilNanos = Long.MIN_VALUE;
 
-	private int misdirectedInRow;
+	private int consecutiveMisdirected;
 
-	private Optional<EngineWord> word = Optional.empty();
+	private Optional<EngineWord> engineStatus = Optional.empty();
 
 	RunnerState(RunnerInfo info) {
 		this.info = info;
 	}
 
 	/**
-	 * Returns the version of a model's weights that the runner holds, as its agent says,
-	 * else as it registered. An agent that says that there are none is believed: a
-	 * registration is up to some seconds old.
+	 * Returns the weights version of a model that the runner holds, according to the
+	 * status reported by its agent or, without one, its registration. The status takes
+	 * precedence even if it reports no weights, since a registration can be some seconds
+	 * old.
 	 */
-	OptionalInt version(String model) {
-		if (this.word.isPresent()) {
-			return this.word.get().version();
+	OptionalInt weightsVersion(String model) {
+		if (this.engineStatus.isPresent()) {
+			return this.engineStatus.get().version();
 		}
 		Integer registered = this.info.models().get(model);
 		return (registered != null) ? OptionalInt.of(registered) : OptionalInt.empty();
 	}
 
 	/**
-	 * Takes a registration of the same start.
+	 * Updates the registration of the same incarnation.
 	 */
 	void registered(RunnerInfo newer) {
 		this.info = newer;
-		this.gone = false;
-		forgive();
+		this.removed = false;
+		resetBackoff();
 	}
 
 	/**
-	 * Takes what the agent beside the runner says.
+	 * Updates the engine status reported by the agent.
 	 */
-	void told(EngineWord newer) {
-		this.word = Optional.of(newer);
-		forgive();
+	void updateEngineStatus(EngineWord newer) {
+		this.engineStatus = Optional.of(newer);
+		resetBackoff();
 	}
 
 	boolean switching() {
-		return this.word.map(EngineWord::switching).orElse(false);
+		return this.engineStatus.map(EngineWord::switching).orElse(false);
 	}
 
-	OptionalLong closesNanos() {
-		return this.word.map(EngineWord::closesNanos).orElse(OptionalLong.empty());
+	OptionalLong switchStartNanos() {
+		return this.engineStatus.map(EngineWord::closesNanos).orElse(OptionalLong.empty());
 	}
 
 	/**
-	 * Notes that a request is sent.
-	 * @param tries whether it leaves only once a new connection is there
+	 * Records that a request is sent.
+	 * @param requiresNewConnection whether the request is only sent over a newly
+	 * established connection
 	 */
-	void sent(Job job, boolean tries, long nowNanos) {
-		this.share.took();
-		this.own = this.own.plus(new PeerLoad(1, 1, job.size().promptTokens()));
+	void sent(Job job, boolean requiresNewConnection, long nowNanos) {
+		this.capacityShare.recordSend();
+		this.ownLoad = this.ownLoad.plus(new PeerLoad(1, 1, job.size().promptTokens()));
 		this.health.sent(nowNanos);
-		// A plain runner may take long for one request and be quick for the next.
-		if (job.baseMillis > 0) {
-			this.way.sent(job.predictedMillis * (job.sentLate ? LATE_FACTOR : 1), tries, nowNanos);
+		// The response times of plain services vary too much to judge the network path
+		// by them.
+		if (job.nominalMillis > 0) {
+			this.path.sent(job.predictedMillis * (job.sentAsLate ? LATE_PREDICTION_FACTOR : 1), requiresNewConnection,
+					nowNanos);
 		}
 	}
 
 	void firstEvent(Job job) {
-		this.own = this.own.plus(new PeerLoad(0, -1, -job.size().promptTokens()));
-		this.health.began(job.sentNanos);
-		this.way.answered(job.sentNanos);
+		this.ownLoad = this.ownLoad.plus(new PeerLoad(0, -1, -job.size().promptTokens()));
+		this.health.firstEvent(job.sentNanos);
+		this.path.answered(job.sentNanos);
 	}
 
 	/**
-	 * Notes that a request was given up for no fault of the runner.
+	 * Records that a request was cancelled for a reason other than a failure of the
+	 * runner.
 	 */
-	void stopped(Job job) {
-		left(job);
-		this.health.stopped(job.sentNanos);
-		this.way.over(job.sentNanos);
+	void cancelled(Job job) {
+		subtractLoad(job);
+		this.health.cancelled(job.sentNanos);
+		this.path.endProbe(job.sentNanos);
 	}
 
 	/**
-	 * Notes how a request ended.
+	 * Records the outcome of a request.
 	 */
 	void ended(Job job, Outcome outcome, long nowNanos) {
-		left(job);
+		subtractLoad(job);
 		this.health.ended(outcome, job.sentNanos, nowNanos);
 		switch (outcome) {
-			case NOT_SENT, BROKEN -> this.way.over(job.sentNanos);
-			case DONE, ERROR -> this.way.answered(job.sentNanos);
+			case NOT_SENT, BROKEN -> this.path.endProbe(job.sentNanos);
+			case DONE, ERROR -> this.path.answered(job.sentNanos);
 			case FULL -> {
-				this.way.answered(job.sentNanos);
+				this.path.answered(job.sentNanos);
 				full(nowNanos);
 			}
 			case MISDIRECTED -> {
-				this.way.answered(job.sentNanos);
+				this.path.answered(job.sentNanos);
 				misdirected(nowNanos);
 			}
 		}
 	}
 
-	private void left(Job job) {
-		boolean begun = job.firstSeen;
-		this.own = this.own.plus(new PeerLoad(-1, begun ? 0 : -1, begun ? 0 : -job.size().promptTokens()));
+	private void subtractLoad(Job job) {
+		boolean firstEventSent = job.firstEventSent;
+		this.ownLoad = this.ownLoad
+			.plus(new PeerLoad(-1, firstEventSent ? 0 : -1, firstEventSent ? 0 : -job.size().promptTokens()));
 	}
 
-	void heard(String peer, PeerLoad load, long nowNanos) {
-		this.peers.put(peer, new Heard(load, nowNanos));
-		this.othersUntilNanos = Long.MIN_VALUE;
+	void updatePeerLoad(String peer, PeerLoad load, long nowNanos) {
+		this.peerLoads.put(peer, new ReportedLoad(load, nowNanos));
+		this.cacheValidUntilNanos = Long.MIN_VALUE;
 	}
 
-	void heardOfPlace(String place, PeerLoad load, long nowNanos) {
-		this.places.put(place, new Heard(load, nowNanos));
-		this.othersUntilNanos = Long.MIN_VALUE;
+	void updateFailureDomainLoad(String failureDomain, PeerLoad load, long nowNanos) {
+		this.failureDomainLoads.put(failureDomain, new ReportedLoad(load, nowNanos));
+		this.cacheValidUntilNanos = Long.MIN_VALUE;
 	}
 
-	void forget(String peer) {
-		this.peers.remove(peer);
-		this.othersUntilNanos = Long.MIN_VALUE;
+	void removePeer(String peer) {
+		this.peerLoads.remove(peer);
+		this.cacheValidUntilNanos = Long.MIN_VALUE;
 	}
 
 	/**
-	 * Returns what all entries together have there. It is asked for at every runner for
-	 * every request, so the others' part is summed up when something was heard, not each
-	 * time.
+	 * Returns the load of all entries. It is read for every runner on each placement, so
+	 * the sum of the peer loads is cached until a report arrives or expires.
 	 */
 	PeerLoad total(long nowNanos) {
-		if (nowNanos >= this.othersUntilNanos) {
-			this.othersUntilNanos = Long.MAX_VALUE;
-			this.others = sum(this.peers, nowNanos).plus(sum(this.places, nowNanos));
+		if (nowNanos >= this.cacheValidUntilNanos) {
+			this.cacheValidUntilNanos = Long.MAX_VALUE;
+			this.cachedPeerLoad = sum(this.peerLoads, nowNanos).plus(sum(this.failureDomainLoads, nowNanos));
 		}
-		return this.own.plus(this.others);
+		return this.ownLoad.plus(this.cachedPeerLoad);
 	}
 
 	/**
-	 * Returns what this entry and those have there that tell it their own part: the
-	 * entries of its place, where places keep to themselves.
+	 * Returns the load of this entry and of the peers that report to it individually. If
+	 * callers are directed to entries in their own failure domain, these are the entries
+	 * of this failure domain.
 	 */
-	PeerLoad nearTotal(long nowNanos) {
-		return this.own.plus(sum(this.peers, nowNanos));
+	PeerLoad failureDomainTotal(long nowNanos) {
+		return this.ownLoad.plus(sum(this.peerLoads, nowNanos));
 	}
 
-	private PeerLoad sum(Map<String, Heard> heard, long nowNanos) {
+	private PeerLoad sum(Map<String, ReportedLoad> reports, long nowNanos) {
 		PeerLoad sum = PeerLoad.NONE;
-		for (Heard one : heard.values()) {
-			long until = one.atNanos + PEER_TTL_NANOS;
+		for (ReportedLoad report : reports.values()) {
+			long until = report.receivedNanos + PEER_TTL_NANOS;
 			if (nowNanos < until) {
-				sum = sum.plus(one.load);
-				this.othersUntilNanos = Math.min(this.othersUntilNanos, until);
+				sum = sum.plus(report.load);
+				this.cacheValidUntilNanos = Math.min(this.cacheValidUntilNanos, until);
 			}
 		}
 		return sum;
 	}
 
 	private void full(long nowNanos) {
-		this.leftOutUntilNanos = nowNanos + LEFT_OUT_NANOS;
+		this.backoffUntilNanos = nowNanos + BACKOFF_NANOS;
 	}
 
 	/**
-	 * Notes that the runner is not what it is taken for: another start, or on other
-	 * weights. It is left out for twice as long each time, until something new is heard
-	 * of it: what is believed of it is wrong for as long as the news takes, a second and
-	 * more after a crash.
+	 * Records that the runner rejected a request as misdirected: it is another
+	 * incarnation than expected or holds other weights. The backoff doubles with each
+	 * such rejection until a registration or status update arrives, since the local view
+	 * stays wrong for that long, which can be more than a second after a crash.
 	 */
 	void misdirected(long nowNanos) {
-		this.leftOutUntilNanos = nowNanos + (LEFT_OUT_NANOS << Math.min(MOST_DOUBLINGS, this.misdirectedInRow));
-		this.misdirectedInRow++;
+		this.backoffUntilNanos = nowNanos + (BACKOFF_NANOS << Math.min(MAX_DOUBLINGS, this.consecutiveMisdirected));
+		this.consecutiveMisdirected++;
 	}
 
-	boolean leftOut(long nowNanos) {
-		return nowNanos < this.leftOutUntilNanos;
+	boolean backedOff(long nowNanos) {
+		return nowNanos < this.backoffUntilNanos;
 	}
 
 	/**
-	 * Notes how long a first event took against its prediction.
+	 * Records the ratio of the actual to the predicted time to the first event.
 	 */
-	void measured(double ratio) {
-		this.pace += PACE_SMOOTHING * (Math.clamp(ratio, LEAST_PACE, MOST_PACE) - this.pace);
+	void recordLatencyRatio(double ratio) {
+		this.latencyFactor += LATENCY_SMOOTHING
+				* (Math.clamp(ratio, MIN_LATENCY_FACTOR, MAX_LATENCY_FACTOR) - this.latencyFactor);
 	}
 
-	private void forgive() {
-		if (this.misdirectedInRow > 0) {
-			this.misdirectedInRow = 0;
-			this.leftOutUntilNanos = Long.MIN_VALUE;
+	private void resetBackoff() {
+		if (this.consecutiveMisdirected > 0) {
+			this.consecutiveMisdirected = 0;
+			this.backoffUntilNanos = Long.MIN_VALUE;
 		}
 	}
 
-	private record Heard(PeerLoad load, long atNanos) {
+	private record ReportedLoad(PeerLoad load, long receivedNanos) {
 	}
 
 }
--- a/policy/src/main/java/org/wisteriapost/policy/dispatch/RunnerSubset.java
+++ b/policy/src/main/java/org/wisteriapost/policy/dispatch/RunnerSubset.java
@@ -9,59 +9,62 @@
 import com.dynatrace.hash4j.hashing.Hashing;
 
 /**
- * Which runners of a service one entry looks at for a request.
+ * Selects the runners of a service that one entry considers for a request.
  *
- * Load: hundreds of runners, some twenty requests a second at each of dozens of entries,
- * and every request that waits looks again when something has changed. Harm prevented:
- * the entry spends its processor on runners in other places that it would not choose, and
- * answers late. Up to {@value #MOST_WHOLE} runners all are looked at; beyond that all of
- * the entry's place and {@value #PER_OTHER_PLACE} of each other place, each entry
- * different ones, so that a burst in one place finds free room in all others.
+ * With hundreds of runners and dozens of entries, each placing some twenty requests per
+ * second and placing waiting requests again after each state change, an entry that
+ * evaluated every runner would spend its CPU time on remote runners that it would not
+ * choose, and respond late. Up to {@value #MAX_UNFILTERED} runners are all considered.
+ * Beyond that an entry considers all runners of its own failure domain and
+ * {@value #PER_REMOTE_DOMAIN} of each other one. Entries select different ones, so that a
+ * burst in one failure domain can use the free capacity of all others.
  */
 final class RunnerSubset {
 
-	// The better of two out of 24 is within a few percent of the better of two out of
-	// all.
-	static final int MOST_WHOLE = 24;
+	// Choosing the better of two random runners among 24 is within a few percent of
+	// choosing it among all.
+	static final int MAX_UNFILTERED = 24;
 
-	static final int PER_OTHER_PLACE = 4;
+	static final int PER_REMOTE_DOMAIN = 4;
 
-	private final String place;
+	private final String failureDomain;
 
 	private final long salt;
 
 	/**
-	 * Returns the subset of one entry.
-	 * @param salt differs from entry to entry
+	 * Creates the selector of one entry.
+	 * @param salt differs between entries
 	 */
-	RunnerSubset(String place, long salt) {
-		this.place = place;
+	RunnerSubset(String failureDomain, long salt) {
+		this.failureDomain = failureDomain;
 		this.salt = salt;
 	}
 
 	/**
-	 * Returns the runners to look at; one that comes or goes changes little of them.
+	 * Returns the runners to consider. Adding or removing a runner changes the selection
+	 * only slightly.
 	 */
-	List<RunnerState> of(List<RunnerState> all) {
-		if (all.size() <= MOST_WHOLE) {
+	List<RunnerState> select(List<RunnerState> all) {
+		if (all.size() <= MAX_UNFILTERED) {
 			return all;
 		}
 		List<RunnerState> chosen = new ArrayList<>();
-		Map<String, List<RunnerState>> elsewhere = new HashMap<>();
+		Map<String, List<RunnerState>> remote = new HashMap<>();
 		for (RunnerState state : all) {
-			String there = state.info.place();
-			(there.equals(this.place) ? chosen : elsewhere.computeIfAbsent(there, (name) -> new ArrayList<>()))
+			String failureDomain = state.info.place();
+			(failureDomain.equals(this.failureDomain) ? chosen
+					: remote.computeIfAbsent(failureDomain, (name) -> new ArrayList<>()))
 				.add(state);
 		}
-		elsewhere.values()
+		remote.values()
 			.forEach((states) -> states.stream()
-				.sorted(Comparator.comparingLong(this::weight))
-				.limit(PER_OTHER_PLACE)
+				.sorted(Comparator.comparingLong(this::hash))
+				.limit(PER_REMOTE_DOMAIN)
 				.forEach(chosen::add));
 		return chosen;
 	}
 
-	private long weight(RunnerState state) {
+	private long hash(RunnerState state) {
 		return Hashing.komihash5_0().hashLongLongToLong(this.salt, state.info.id().hashCode());
 	}
 
--- a/policy/src/main/java/org/wisteriapost/policy/dispatch/RunnerWays.java
+++ b/policy/src/main/java/org/wisteriapost/policy/dispatch/RunnerWays.java
@@ -8,33 +8,33 @@
 import org.wisteriapost.policy.routing.EngineSpec;
 
 /**
- * The ways to all runners: whose agents are asked for echoes, and what those say.
+ * Network paths to all runners: selects the agents to ask for echoes and processes the
+ * echoes.
  */
 public final class RunnerWays {
 
-	private final RunnerBook book;
+	private final RunnerRegistry registry;
 
 	private final Placement placement;
 
 	private final Function<String, Optional<EngineSpec>> engines;
 
-	RunnerWays(RunnerBook book, Placement placement, Function<String, Optional<EngineSpec>> engines) {
-		this.book = book;
+	RunnerWays(RunnerRegistry registry, Placement placement, Function<String, Optional<EngineSpec>> engines) {
+		this.registry = registry;
 		this.placement = placement;
 		this.engines = engines;
 	}
 
 	/**
-	 * Returns the addresses of the runners whose agents are to be asked for an echo now,
-	 * since it matters whether the way there is open; to be called every tenth of a
-	 * second or two.
+	 * Returns the addresses of the runners whose agents should be asked for an echo now.
+	 * Should be called every 100 to 200 ms.
 	 */
 	public List<String> toAsk(long nowNanos) {
 		List<String> addresses = new ArrayList<>();
-		for (RunnerState runner : this.book.states()) {
+		for (RunnerState runner : this.registry.states()) {
 			Optional<EngineSpec> engine = this.engines.apply(runner.info.service());
-			if (engine.isPresent() && this.placement.wayMatters(runner, engine, nowNanos)) {
-				runner.way.asked(nowNanos);
+			if (engine.isPresent() && this.placement.needsPathCheck(runner, engine, nowNanos)) {
+				runner.path.echoRequested(nowNanos);
 				addresses.add(runner.info.address());
 			}
 		}
@@ -42,42 +42,42 @@
 	}
 
 	/**
-	 * Hears an echo of the agent beside a runner.
+	 * Records an echo of the agent on a runner's VM.
 	 * @param address the runner's address
-	 * @param askedNanos when it was asked for
+	 * @param askedNanos the time at which the echo was requested
 	 */
 	public void echoed(String address, long askedNanos, long nowNanos) {
-		at(address).forEach((runner) -> runner.way.echoed(askedNanos, nowNanos));
+		atAddress(address).forEach((runner) -> runner.path.echoReceived(askedNanos, nowNanos));
 	}
 
 	/**
-	 * Hears that the link to the agent beside a runner is gone.
+	 * Records that the connection to the agent on a runner's VM was closed.
 	 * @param address the runner's address
 	 */
 	public void agentGone(String address) {
-		at(address).forEach((runner) -> runner.way.agentGone());
+		atAddress(address).forEach((runner) -> runner.path.agentDisconnected());
 	}
 
 	/**
-	 * Returns the ways that were found closed, or open again, since the last call.
+	 * Returns the paths that became blocked or unblocked since the previous call.
 	 */
 	public List<Change> changes(long nowNanos) {
-		return this.book.states()
+		return this.registry.states()
 			.stream()
-			.filter((runner) -> runner.way.changed(nowNanos))
-			.map((runner) -> new Change(runner.info.address(), runner.way.closed(nowNanos)))
+			.filter((runner) -> runner.path.pollBlockedChanged(nowNanos))
+			.map((runner) -> new Change(runner.info.address(), runner.path.blocked(nowNanos)))
 			.toList();
 	}
 
-	private List<RunnerState> at(String address) {
-		return this.book.states().stream().filter((runner) -> runner.info.address().equals(address)).toList();
+	private List<RunnerState> atAddress(String address) {
+		return this.registry.states().stream().filter((runner) -> runner.info.address().equals(address)).toList();
 	}
 
 	/**
-	 * What is newly believed of the way to a runner.
+	 * Change in the state of the network path to a runner.
 	 *
 	 * @param address the runner's address
-	 * @param closed whether nothing is sent there now
+	 * @param closed whether the path is blocked, so that nothing is sent there
 	 */
 	public record Change(String address, boolean closed) {
 	}
--- a/policy/src/main/java/org/wisteriapost/policy/dispatch/WaitingRequests.java
+++ b/policy/src/main/java/org/wisteriapost/policy/dispatch/WaitingRequests.java
@@ -8,8 +8,8 @@
 import java.util.stream.Stream;
 
 /**
- * Requests that wait for room, by service and in the order in which they came. Those that
- * can't be in time any more wait apart, and go on after all others.
+ * Requests that wait for free capacity, by service and in order of arrival. Late requests
+ * are kept in separate queues, which are served last.
  */
 final class WaitingRequests {
 
@@ -18,36 +18,36 @@
 	private final Map<String, Deque<Job>> late = new HashMap<>();
 
 	/**
-	 * Returns where a request waits.
+	 * Returns the queue for a request.
 	 */
-	Deque<Job> of(Job job, boolean isLate) {
+	Deque<Job> queue(Job job, boolean isLate) {
 		return (isLate ? this.late : this.inTime).computeIfAbsent(job.service(), (name) -> new ArrayDeque<>());
 	}
 
 	/**
-	 * Lets requests be placed anew, in order, up to the first of each queue that still
-	 * finds no room.
+	 * Places waiting requests in order, up to the first request of each queue that still
+	 * has to wait.
 	 *
-	 * Load: every first event and every end of an answer may have brought room, and
-	 * dozens wait. Harm prevented: all of them look at all runners some hundred times a
-	 * second, and the entry answers late. Who waits behind the first would hardly fare
-	 * better; each is looked at in {@link #retryAll}.
-	 * @param waits places a request and returns whether it goes on waiting
+	 * Each first event and each completed response may free capacity while dozens of
+	 * requests wait. Evaluating all runners for all of them hundreds of times per second
+	 * would delay the entry's responses. Requests behind the first one are unlikely to be
+	 * placed if it is not; {@link #retryAll} considers each of them.
+	 * @param waits places a request and returns whether it still has to wait
 	 */
 	void retry(Predicate<Job> waits) {
 		queues().forEach((queue) -> {
-			while (!queue.isEmpty() && (queue.peekFirst().over || !waits.test(queue.peekFirst()))) {
+			while (!queue.isEmpty() && (queue.peekFirst().finished || !waits.test(queue.peekFirst()))) {
 				queue.pollFirst();
 			}
 		});
 	}
 
 	/**
-	 * Lets all requests be placed anew, in order.
-	 * @param waits places a request and returns whether it goes on waiting
+	 * Places all waiting requests in order.
+	 * @param waits places a request and returns whether it still has to wait
 	 */
 	void retryAll(Predicate<Job> waits) {
-		queues().forEach((queue) -> queue.removeIf((job) -> job.over || !waits.test(job)));
+		queues().forEach((queue) -> queue.removeIf((job) -> job.finished || !waits.test(job)));
 	}
 
 	private Stream<Deque<Job>> queues() {
--- a/policy/src/main/java/org/wisteriapost/policy/dispatch/WeightsFence.java
+++ b/policy/src/main/java/org/wisteriapost/policy/dispatch/WeightsFence.java
@@ -10,101 +10,103 @@
 import org.wisteriapost.policy.fleet.NamedWeights;
 
 /**
- * Says from when on requests may start on none but newly named weights.
+ * Determines from when requests may only start on the latest target weights version.
  *
- * Runners change over at different times and go on serving the older weights until then.
- * Before the promised time has passed, requests are bound to the new version at the
- * runner itself, so that one that lags refuses them instead of answering from weights
- * that are no longer accepted. The margin covers the wait in the runner's queue and the
- * way of the news to this entry.
+ * Runners switch weights at different times and serve the older version until then. Some
+ * time before the target version takes effect, requests are restricted to it, so that a
+ * runner that lags rejects them instead of responding from a superseded version. The
+ * margin covers the wait in the runner's queue and the delay until this entry learns of
+ * the target version.
  */
 final class WeightsFence {
 
-	private static final Duration MARGIN = Duration.ofMillis(1200);
+	private static final Duration DEFAULT_MARGIN = Duration.ofMillis(1200);
 
-	// The part of the margin that is not the wait at the runner: the way of the news to
-	// this entry and of the request to the runner.
-	private static final Duration WAYS = Duration.ofMillis(400);
+	// The part of the margin for propagation: of the target version to this entry and of
+	// the request to the runner.
+	private static final Duration PROPAGATION_MARGIN = Duration.ofMillis(400);
 
-	// A request may wait longer than the slowest that was seen, while a burst grows.
+	// While a burst grows, a request may wait longer than any before it.
 	private static final double WAIT_FACTOR = 1.5;
 
-	// Taken back so long before the bound: the runner hears of it within this time.
-	private static final Duration LAST_CHANCE = Duration.ofMillis(100);
+	// Requests that have not started are cancelled this long before the target version
+	// takes effect. The cancellation reaches the runner within this time.
+	private static final Duration CANCEL_MARGIN = Duration.ofMillis(100);
 
-	// What an entry finds named when it starts was named at a time that it does not know.
-	// It binds soon: the older weights may be over their time already.
-	private static final Duration FOUND = Duration.ofMillis(3000);
+	// The publication time of a target version that an entry finds at startup is
+	// unknown. It is required soon, since the older version may be superseded already.
+	private static final Duration FOUND_AT_START_DELAY = Duration.ofMillis(3000);
 
-	private final long inForceNanos;
+	private final long activationDelayNanos;
 
-	private final long openNanos;
+	private final long requiredDelayNanos;
 
-	private final Map<String, List<Named>> named = new HashMap<>();
+	private final Map<String, List<Target>> targets = new HashMap<>();
 
-	WeightsFence(Duration inForce) {
-		this.inForceNanos = inForce.toNanos();
-		this.openNanos = inForce.minus(MARGIN).toNanos();
+	WeightsFence(Duration activationDelay) {
+		this.activationDelayNanos = activationDelay.toNanos();
+		this.requiredDelayNanos = activationDelay.minus(DEFAULT_MARGIN).toNanos();
 	}
 
 	/**
-	 * Hears that a version is named.
-	 * @param found whether it was there already when this entry first read the store
+	 * Records a target weights version.
+	 * @param found whether it was present when this entry first read the store
 	 */
-	void named(NamedWeights weights, boolean found, long nowNanos) {
-		List<Named> list = this.named.computeIfAbsent(weights.model(), (model) -> new ArrayList<>());
+	void addTarget(NamedWeights weights, boolean found, long nowNanos) {
+		List<Target> list = this.targets.computeIfAbsent(weights.model(), (model) -> new ArrayList<>());
 		if (!list.isEmpty() && list.getLast().version >= weights.version()) {
 			return;
 		}
-		long wait = found ? Math.min(FOUND.toNanos(), this.openNanos) : this.openNanos;
-		list.add(new Named(weights.version(), nowNanos + wait, nowNanos + this.inForceNanos));
+		long delay = found ? Math.min(FOUND_AT_START_DELAY.toNanos(), this.requiredDelayNanos)
+				: this.requiredDelayNanos;
+		list.add(new Target(weights.version(), nowNanos + delay, nowNanos + this.activationDelayNanos));
 	}
 
 	/**
-	 * Returns the version that requests must start on, or a newer one, when they wait at
-	 * runners for as long as was seen lately.
-	 * @param waitNanos the longest wait for a first event of late at the runners that
-	 * count
+	 * Returns the minimum version for new requests, given the recent waits at runners.
+	 * @param waitNanos the longest recent wait for a first event at the considered
+	 * runners
 	 */
-	OptionalInt required(String model, long waitNanos, long nowNanos) {
-		long margin = WAYS.toNanos() + (long) (WAIT_FACTOR * waitNanos);
-		return required(model, nowNanos + Math.max(0, margin - MARGIN.toNanos()));
+	OptionalInt requiredVersion(String model, long waitNanos, long nowNanos) {
+		long margin = PROPAGATION_MARGIN.toNanos() + (long) (WAIT_FACTOR * waitNanos);
+		return requiredVersion(model, nowNanos + Math.max(0, margin - DEFAULT_MARGIN.toNanos()));
 	}
 
 	/**
-	 * Returns until when a request that was sent to a runner with a version must have
-	 * begun there, or be taken back.
+	 * Returns the time by which a request sent to a runner with the given version must
+	 * have started. Otherwise it must be cancelled.
 	 */
-	long beginBy(String model, int version) {
-		return this.named.getOrDefault(model, List.of())
+	long startDeadlineNanos(String model, int version) {
+		return this.targets.getOrDefault(model, List.of())
 			.stream()
-			.filter((one) -> one.version > version)
-			.mapToLong((one) -> one.endsNanos - LAST_CHANCE.toNanos())
+			.filter((target) -> target.version > version)
+			.mapToLong((target) -> target.activeFromNanos - CANCEL_MARGIN.toNanos())
 			.min()
 			.orElse(Long.MAX_VALUE);
 	}
 
 	/**
-	 * Returns the version that requests must start on, or a newer one.
+	 * Returns the minimum version for requests that start at the given time.
 	 */
-	OptionalInt required(String model, long nowNanos) {
+	OptionalInt requiredVersion(String model, long nowNanos) {
 		OptionalInt required = OptionalInt.empty();
-		for (Named one : this.named.getOrDefault(model, List.of())) {
-			if (nowNanos >= one.bindsNanos) {
-				required = OptionalInt.of(one.version);
+		for (Target target : this.targets.getOrDefault(model, List.of())) {
+			if (nowNanos >= target.requiredFromNanos) {
+				required = OptionalInt.of(target.version);
 			}
 		}
 		return required;
 	}
 
 	/**
-	 * One naming.
+	 * A target weights version.
 	 *
-	 * @param version what was named
-	 * @param bindsNanos from when on requests are sent to nothing older
-	 * @param endsNanos from when on none may begin on anything older
+	 * @param version the version
+	 * @param requiredFromNanos the time from which requests are only sent to runners with
+	 * at least this version
+	 * @param activeFromNanos the time from which no request may start on an older version
 	 */
-	private record Named(int version, long bindsNanos, long endsNanos) {
+	private record Target(int version, long requiredFromNanos, long activeFromNanos) {
 	}
 
 }
--- a/policy/src/main/java/org/wisteriapost/policy/dispatch/package-info.java
+++ b/policy/src/main/java/org/wisteriapost/policy/dispatch/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Decisions on requests that an entry sends to runners itself: where each goes, which
- * waits, which is refused, and what becomes of one whose runner fails. No input, output,
- * threads or clock.
+ * Admission, placement, retries and failure handling for requests that an entry sends
+ * directly to runners. The classes are pure state machines: they do no I/O, start no
+ * threads and read no clock.
  */
 package org.wisteriapost.policy.dispatch;
--- a/policy/src/test/java/org/wisteriapost/policy/dispatch/Desk.java
+++ b/policy/src/test/java/org/wisteriapost/policy/dispatch/DispatcherHarness.java
@@ -22,11 +22,11 @@
 import org.wisteriapost.policy.routing.ServiceSpec;
 
 /**
- * A dispatcher with a clock of its own, engines of a usual size and plain runners.
+ * A {@link Dispatcher} with a manual clock, typical engines and plain runners.
  */
-final class Desk {
+final class DispatcherHarness {
 
-	static final long MILLI = 1_000_000;
+	static final long NANOS_PER_MILLI = 1_000_000;
 
 	static final EngineSpec ENGINE = new EngineSpec(16, 300_000, 5, 9.3, 0.02, 0.03, 20, 1.2, 2048, 1000, 90, "lm",
 			300);
@@ -39,22 +39,22 @@
 
 	static final Route ALLOCATE = route("allocate", RouteKind.AT_MOST_ONCE, "registry-api", 120, 600, 1, false);
 
-	/** Its answers usually take most of a second. */
+	/** Its responses usually take most of a second. */
 	static final Route SLOW = route("slow", RouteKind.AT_MOST_ONCE, "registry-api", 1500, 6000, 1, false);
 
 	final Dispatcher dispatcher = Dispatcher.create(
 			new DispatchLimits("hall-a", 0.2, 100, Duration.ofSeconds(10), Duration.ofSeconds(8)),
 			RandomSource.XO_RO_SHI_RO_128_PP.create(42));
 
-	long now = 10_000 * MILLI;
+	long nowNanos = 10_000 * NANOS_PER_MILLI;
 
-	private final Set<String> cutOff = new HashSet<>();
+	private final Set<String> blockedRunners = new HashSet<>();
 
 	private final List<DispatchEffect> effects = new ArrayList<>();
 
-	private long ids;
+	private long lastId;
 
-	Desk() {
+	DispatcherHarness() {
 		CallLimits limits = new CallLimits(16_384, 1 << 20, Duration.ofSeconds(3), Duration.ofSeconds(15));
 		ServiceSpec engines = new ServiceSpec("lm-notice", 264, Optional.of(ENGINE), Optional.empty());
 		ServiceSpec plain = new ServiceSpec("registry-api", 96, Optional.empty(), Optional.empty());
@@ -73,8 +73,8 @@
 		return engineIn("hall-a", id);
 	}
 
-	static RunnerInfo engineIn(String place, String id) {
-		return new RunnerInfo(id, "lm-notice", "10.0.0." + id.hashCode() % 200 + ":80", place, 16, false, 0,
+	static RunnerInfo engineIn(String failureDomain, String id) {
+		return new RunnerInfo(id, "lm-notice", "10.0.0." + id.hashCode() % 200 + ":80", failureDomain, 16, false, 0,
 				Map.of("lm", 1), 0, RunnerStart.UNKNOWN);
 	}
 
@@ -83,11 +83,11 @@
 				Map.of(), 0, RunnerStart.UNKNOWN);
 	}
 
-	Desk with(RunnerInfo... infos) {
+	DispatcherHarness register(RunnerInfo... infos) {
 		for (RunnerInfo info : infos) {
-			this.dispatcher.runner(info, this.now);
+			this.dispatcher.runner(info, this.nowNanos);
 		}
-		connect();
+		confirmConnections();
 		return this;
 	}
 
@@ -104,82 +104,82 @@
 	}
 
 	/**
-	 * Lets a request arrive.
+	 * Adds a request.
 	 * @param request equal for all attempts of one request
 	 */
 	Job arrive(Route route, Job.Size size, long remainingMillis, OptionalLong request) {
-		this.ids++;
-		Job.Attempt attempt = new Job.Attempt("attempt-" + this.ids, request, Optional.empty());
-		Job job = Job.arrived(this.ids, attempt, route, route.service(0), Optional.empty(), size, this.now,
-				this.now + remainingMillis * MILLI);
-		this.dispatcher.arrived(job, this.now);
-		connect();
+		this.lastId++;
+		Job.Attempt attempt = new Job.Attempt("attempt-" + this.lastId, request, Optional.empty());
+		Job job = Job.arrived(this.lastId, attempt, route, route.service(0), Optional.empty(), size, this.nowNanos,
+				this.nowNanos + remainingMillis * NANOS_PER_MILLI);
+		this.dispatcher.arrived(job, this.nowNanos);
+		confirmConnections();
 		return job;
 	}
 
 	/**
-	 * Another entry says what it has at a runner.
+	 * Reports the load of a peer at a runner.
 	 */
-	void others(String runner, PeerLoad load) {
-		this.dispatcher.peerLoad("other", new RunnerLoad(runner, RunnerStart.UNKNOWN, load), this.now);
+	void reportPeerLoad(String runner, PeerLoad load) {
+		this.dispatcher.peerLoad("other", new RunnerLoad(runner, RunnerStart.UNKNOWN, load), this.nowNanos);
 	}
 
-	Desk after(long millis) {
-		this.now += millis * MILLI;
-		this.dispatcher.tick(this.now);
-		connect();
+	DispatcherHarness advance(long millis) {
+		this.nowNanos += millis * NANOS_PER_MILLI;
+		this.dispatcher.tick(this.nowNanos);
+		confirmConnections();
 		return this;
 	}
 
 	void ended(Job job, Outcome outcome) {
-		this.dispatcher.ended(job, outcome, this.now);
-		connect();
+		this.dispatcher.ended(job, outcome, this.nowNanos);
+		confirmConnections();
 	}
 
 	void firstEvent(Job job) {
-		job.progressed(1, Optional.of("1"), this.now);
-		this.dispatcher.firstEvent(job, this.now);
-		connect();
+		job.progressed(1, Optional.of("1"), this.nowNanos);
+		this.dispatcher.firstEvent(job, this.nowNanos);
+		confirmConnections();
 	}
 
 	/**
-	 * From now on no connection to a runner can be made.
+	 * Makes connections to a runner fail from now on.
 	 */
-	Desk cutOff(String runner) {
-		this.cutOff.add(runner);
+	DispatcherHarness blockConnections(String runnerId) {
+		this.blockedRunners.add(runnerId);
 		return this;
 	}
 
-	// Connections that try the way to a runner are there at once.
-	private void connect() {
-		List<DispatchEffect> fresh = this.dispatcher.drain();
-		while (!fresh.isEmpty()) {
-			this.effects.addAll(fresh);
-			for (DispatchEffect effect : fresh) {
+	// Establishes the required connections at once, unless they are blocked.
+	private void confirmConnections() {
+		List<DispatchEffect> newEffects = this.dispatcher.drain();
+		while (!newEffects.isEmpty()) {
+			this.effects.addAll(newEffects);
+			for (DispatchEffect effect : newEffects) {
 				if (effect instanceof DispatchEffect.Send send && send.tries()
-						&& !this.cutOff.contains(send.runner().id())) {
-					this.dispatcher.connected(send.job(), this.now);
+						&& !this.blockedRunners.contains(send.runner().id())) {
+					this.dispatcher.connected(send.job(), this.nowNanos);
 				}
 			}
-			fresh = this.dispatcher.drain();
+			newEffects = this.dispatcher.drain();
 		}
 	}
 
 	/**
-	 * Returns what was done since the last call.
+	 * Returns the effects since the previous call.
 	 */
 	List<DispatchEffect> drain() {
-		connect();
+		confirmConnections();
 		List<DispatchEffect> drained = List.copyOf(this.effects);
 		this.effects.clear();
 		return drained;
 	}
 
 	/**
-	 * Returns the names of what was done since the last call, for example
-	 * {@code Send:r1}.
+	 * Returns descriptions of the effects since the previous call, for example {@code
+	 * Send:r1}.
 	 */
-	List<String> done() {
+	List<String> effectNames() {
 		List<String> names = new ArrayList<>();
 		for (DispatchEffect effect : drain()) {
 			names.add(switch (effect) {
--- a/policy/src/test/java/org/wisteriapost/policy/dispatch/LateRequestTests.java
+++ b/policy/src/test/java/org/wisteriapost/policy/dispatch/LateRequestTests.java
@@ -14,112 +14,111 @@
 
 class LateRequestTests {
 
-	private static final Job.Size USUAL = new Job.Size(1000, 100, OptionalInt.empty());
+	private static final Job.Size TYPICAL = new Job.Size(1000, 100, OptionalInt.empty());
 
-	private final Desk desk = new Desk().with(Desk.engine("e1"));
+	private final DispatcherHarness harness = new DispatcherHarness().register(DispatcherHarness.engine("e1"));
 
-	private long requests;
+	private long lastKey;
 
-	// Another entry refused it two seconds ago, and has said so.
-	private Job comesBack(long remainingMillis) {
-		this.requests++;
-		long askedNanos = this.desk.now - 2000 * Desk.MILLI;
-		this.desk.dispatcher
-			.peerRefused(new RefusedRequest(this.requests, askedNanos, this.desk.now + remainingMillis * Desk.MILLI));
-		return this.desk.arrive(Desk.STREAM, USUAL, remainingMillis, OptionalLong.of(this.requests));
+	// A retry of a request that a peer refused two seconds ago.
+	private Job arriveAgain(long remainingMillis) {
+		this.lastKey++;
+		long askedNanos = this.harness.nowNanos - 2000 * DispatcherHarness.NANOS_PER_MILLI;
+		this.harness.dispatcher.peerRefused(new RefusedRequest(this.lastKey, askedNanos,
+				this.harness.nowNanos + remainingMillis * DispatcherHarness.NANOS_PER_MILLI));
+		return this.harness.arrive(DispatcherHarness.STREAM, TYPICAL, remainingMillis, OptionalLong.of(this.lastKey));
 	}
 
-	private void atTheEngine(int requests) {
-		this.desk.others("e1", new PeerLoad(requests, 0, 0));
+	private void occupySlots(int requests) {
+		this.harness.reportPeerLoad("e1", new PeerLoad(requests, 0, 0));
 	}
 
-	// A caller was refused and came back two seconds later: too late for a first event in
-	// time, and a second refusal is its last. A slot that nobody else wants is its.
+	// A late retry whose second refusal would be final is sent if a slot would stay
+	// empty otherwise.
 	@Test
-	void whoComesBackIsServedFromASpareSlot() {
-		atTheEngine(13);
-		comesBack(4000);
-		assertThat(this.desk.done(), Matchers.contains("Send:e1"));
+	void retryUsesSpareSlot() {
+		occupySlots(13);
+		arriveAgain(4000);
+		assertThat(this.harness.effectNames(), Matchers.contains("Send:e1"));
 	}
 
-	// The same, while others are turned away: a slot given to a late answer is one
-	// less for an answer in time, so none but an idle engine's is given.
+	// While other requests are refused, late requests are only sent to a nearly idle
+	// engine.
 	@Test
-	void whileOthersAreTurnedAwaySlotsAreKeptForThem() {
-		atTheEngine(18);
-		this.desk.arrive(Desk.STREAM, 1000, 6000);
-		this.desk.after(160);
-		assertThat(this.desk.done(), Matchers.contains("Refuse:no-room"));
-		atTheEngine(8);
-		comesBack(4000);
-		assertThat(this.desk.done(), Matchers.contains("Refuse:no-room"));
-		this.desk.after(310);
-		comesBack(4000);
-		assertThat(this.desk.done(), Matchers.contains("Send:e1"));
+	void slotsAreReservedForRequestsInTimeDuringContention() {
+		occupySlots(18);
+		this.harness.arrive(DispatcherHarness.STREAM, 1000, 6000);
+		this.harness.advance(160);
+		assertThat(this.harness.effectNames(), Matchers.contains("Refuse:no-room"));
+		occupySlots(8);
+		arriveAgain(4000);
+		assertThat(this.harness.effectNames(), Matchers.contains("Refuse:no-room"));
+		this.harness.advance(310);
+		arriveAgain(4000);
+		assertThat(this.harness.effectNames(), Matchers.contains("Send:e1"));
 	}
 
 	@Test
-	void aLateRequestWaitsForABoundedTimeOnly() {
-		atTheEngine(18);
-		comesBack(4000);
-		assertThat(this.desk.done(), Matchers.empty());
-		this.desk.after(420);
-		assertThat(this.desk.done(), Matchers.contains("Refuse:no-room"));
+	void lateRequestWaitsForBoundedTime() {
+		occupySlots(18);
+		arriveAgain(4000);
+		assertThat(this.harness.effectNames(), Matchers.empty());
+		this.harness.advance(420);
+		assertThat(this.harness.effectNames(), Matchers.contains("Refuse:no-room"));
 	}
 
-	// Engines start anew and none can be used. Whoever asks is told at once, and to come
-	// back as late as it bears, spread over a while, so that all do not come together.
+	// While no engine is available, callers are told to retry as late as their remaining
+	// time permits, with jitter to avoid synchronized retries.
 	@ParameterizedTest
 	@CsvSource({ "6000,1400,2000", "600,140,200" })
-	void whoIsRefusedIsTheMoreLikelyServedTheLaterItComesBack(long remaining, long least, long most) {
-		Desk empty = new Desk();
-		empty.arrive((remaining > 1000) ? Desk.STREAM : Desk.LOOKUP, 100, remaining);
-		empty.after(70);
+	void retryAfterDependsOnRemainingTime(long remaining, long min, long max) {
+		DispatcherHarness empty = new DispatcherHarness();
+		empty.arrive((remaining > 1000) ? DispatcherHarness.STREAM : DispatcherHarness.LOOKUP, 100, remaining);
+		empty.advance(70);
 		List<DispatchEffect> effects = empty.drain();
 		assertThat(effects, Matchers.hasSize(1));
 		long retryAfter = ((DispatchEffect.Refuse) effects.getFirst()).retryAfterMillis();
 		assertThat(retryAfter,
-				Matchers.allOf(Matchers.greaterThanOrEqualTo(least * 9 / 10), Matchers.lessThanOrEqualTo(most)));
+				Matchers.allOf(Matchers.greaterThanOrEqualTo(min * 9 / 10), Matchers.lessThanOrEqualTo(max)));
 	}
 
-	// Nobody has been refused. Callers give differently much time: evenly spread, of
-	// two kinds, or less since a newer declaration has lowered it. None of that says
-	// that they have asked before, so all of them go at their own rank.
+	// Failure: first attempts with different or reduced timeouts are taken for retries
+	// and get the rank of late requests.
 	@ParameterizedTest
-	@MethodSource("budgets")
-	void howMuchTimeACallerGivesDoesNotMakeItLate(List<Integer> remainingMillis) {
+	@MethodSource("timeouts")
+	void remainingTimeDoesNotMakeFirstAttemptLate(List<Integer> remainingMillis) {
 		for (int remaining : remainingMillis) {
-			Job job = this.desk.arrive(Desk.STREAM, USUAL, remaining, OptionalLong.of(this.requests++));
-			assertThat(ranks(), Matchers.contains(Desk.STREAM.priority()));
-			this.desk.after(100);
-			this.desk.firstEvent(job);
-			this.desk.ended(job, Outcome.DONE);
+			Job job = this.harness.arrive(DispatcherHarness.STREAM, TYPICAL, remaining,
+					OptionalLong.of(this.lastKey++));
+			assertThat(sentRanks(), Matchers.contains(DispatcherHarness.STREAM.priority()));
+			this.harness.advance(100);
+			this.harness.firstEvent(job);
+			this.harness.ended(job, Outcome.DONE);
 		}
 	}
 
-	static List<List<Integer>> budgets() {
+	static List<List<Integer>> timeouts() {
 		return List.of(List.of(6000, 5100, 5900, 5500, 5300), List.of(6000, 2000, 6000, 2000),
 				List.of(6000, 6000, 3000, 3000));
 	}
 
-	// This entry refused the request itself, and it comes back: it is late, and goes
-	// after all others at the engine. Another one about the same prompt, whose caller
-	// gives up at another time, is a first attempt.
+	// A retry gets the rank of late requests. A request with the same key but another
+	// deadline is a first attempt.
 	@ParameterizedTest
 	@CsvSource({ "4000,true", "6000,false" })
-	void whoWasRefusedIsKnownAgain(long remainingMillis, boolean known) {
-		atTheEngine(18);
-		this.desk.arrive(Desk.STREAM, USUAL, 6000, OptionalLong.of(7));
-		this.desk.after(160);
-		assertThat(this.desk.done(), Matchers.contains("Refuse:no-room"));
-		this.desk.after(1840);
-		atTheEngine(0);
-		this.desk.arrive(Desk.STREAM, USUAL, remainingMillis, OptionalLong.of(7));
-		assertThat(ranks().getFirst() > Desk.STREAM.priority(), Matchers.equalTo(known));
+	void retryOfRefusedRequestIsRecognized(long remainingMillis, boolean known) {
+		occupySlots(18);
+		this.harness.arrive(DispatcherHarness.STREAM, TYPICAL, 6000, OptionalLong.of(7));
+		this.harness.advance(160);
+		assertThat(this.harness.effectNames(), Matchers.contains("Refuse:no-room"));
+		this.harness.advance(1840);
+		occupySlots(0);
+		this.harness.arrive(DispatcherHarness.STREAM, TYPICAL, remainingMillis, OptionalLong.of(7));
+		assertThat(sentRanks().getFirst() > DispatcherHarness.STREAM.priority(), Matchers.equalTo(known));
 	}
 
-	private List<Integer> ranks() {
-		return this.desk.drain()
+	private List<Integer> sentRanks() {
+		return this.harness.drain()
 			.stream()
 			.filter(DispatchEffect.Send.class::isInstance)
 			.map((effect) -> ((DispatchEffect.Send) effect).rank())
--- a/policy/src/test/java/org/wisteriapost/policy/dispatch/RunnerSubsetTests.java
+++ b/policy/src/test/java/org/wisteriapost/policy/dispatch/RunnerSubsetTests.java
@@ -13,16 +13,13 @@
 
 import static org.hamcrest.MatcherAssert.assertThat;
 
-/**
- * Hundreds of engines in several places, of which an entry looks at a part.
- */
 class RunnerSubsetTests {
 
-	private static List<RunnerState> engines(int places, int each) {
+	private static List<RunnerState> engines(int failureDomains, int each) {
 		java.util.ArrayList<RunnerState> states = new java.util.ArrayList<>();
-		for (int place = 0; place < places; place++) {
+		for (int domain = 0; domain < failureDomains; domain++) {
 			for (int i = 0; i < each; i++) {
-				states.add(new RunnerState(Desk.engineIn("hall-" + place, "engine-" + place + "-" + i)));
+				states.add(new RunnerState(DispatcherHarness.engineIn("hall-" + domain, "engine-" + domain + "-" + i)));
 			}
 		}
 		return states;
@@ -30,60 +27,65 @@
 
 	@ParameterizedTest
 	@CsvSource({ "3,4,12", "1,24,24", "5,22,38", "10,200,236" })
-	void anEntryLooksAtItsPlaceAndAFewOfEachOther(int places, int each, int expected) {
-		List<RunnerState> chosen = new RunnerSubset("hall-0", 7).of(engines(places, each));
+	void selectsOwnFailureDomainAndFewOfEachOther(int failureDomains, int each, int expected) {
+		List<RunnerState> chosen = new RunnerSubset("hall-0", 7).select(engines(failureDomains, each));
 		assertThat(chosen, Matchers.hasSize(expected));
-		long near = chosen.stream().filter((state) -> state.info.place().equals("hall-0")).count();
-		assertThat(near, Matchers.equalTo((long) each));
+		long local = chosen.stream().filter((state) -> state.info.place().equals("hall-0")).count();
+		assertThat(local, Matchers.equalTo((long) each));
 	}
 
-	// A burst in one place has to find the room of all the others: the ten entries there
-	// together look at nearly every engine, and at none much more than at another.
+	// A burst in one failure domain must be able to use the free capacity of all others:
+	// ten entries together cover nearly every remote engine, and none is selected much
+	// more often than the others.
 	@Test
-	void theEntriesOfAPlaceTogetherLookAtMostEngines() {
+	void entriesOfFailureDomainTogetherCoverMostEngines() {
 		List<RunnerState> engines = engines(5, 22);
-		Map<String, Integer> looked = new HashMap<>();
+		Map<String, Integer> selected = new HashMap<>();
 		for (int salt = 1; salt <= 10; salt++) {
-			new RunnerSubset("hall-0", salt * 7919L).of(engines)
+			new RunnerSubset("hall-0", salt * 7919L).select(engines)
 				.stream()
 				.filter((state) -> !state.info.place().equals("hall-0"))
-				.forEach((state) -> looked.merge(state.info.id(), 1, Integer::sum));
+				.forEach((state) -> selected.merge(state.info.id(), 1, Integer::sum));
 		}
-		assertThat(looked.size(), Matchers.greaterThan(60));
-		assertThat(looked.values().stream().mapToInt(Integer::intValue).max().orElseThrow(), Matchers.lessThan(8));
+		assertThat(selected.size(), Matchers.greaterThan(60));
+		assertThat(selected.values().stream().mapToInt(Integer::intValue).max().orElseThrow(), Matchers.lessThan(8));
 	}
 
 	@Test
-	void anEngineThatGoesChangesLittle() {
+	void removedEngineBarelyChangesSelection() {
 		List<RunnerState> engines = engines(5, 22);
 		RunnerSubset subset = new RunnerSubset("hall-0", 7);
-		Set<RunnerState> before = new HashSet<>(subset.of(engines));
-		Set<RunnerState> after = new HashSet<>(subset.of(engines.subList(0, engines.size() - 1)));
+		Set<RunnerState> before = new HashSet<>(subset.select(engines));
+		Set<RunnerState> after = new HashSet<>(subset.select(engines.subList(0, engines.size() - 1)));
 		before.removeAll(after);
 		assertThat(before.size(), Matchers.lessThanOrEqualTo(1));
 	}
 
-	// Every engine that the entry looks at has crashed; one that it does not look at as a
-	// rule is well. The request goes there.
+	// Failure: requests are refused because all selected engines have crashed, although
+	// another engine is available.
 	@Test
-	void whenAllThatAreLookedAtAreGoneTheOthersAreUsed() {
-		Desk desk = new Desk();
-		for (int place = 0; place < 3; place++) {
+	void otherEnginesAreUsedWhenAllSelectedAreUnavailable() {
+		DispatcherHarness harness = new DispatcherHarness();
+		for (int domain = 0; domain < 3; domain++) {
 			for (int i = 0; i < 12; i++) {
-				desk.with(Desk.engineIn("hall-" + (char) ('a' + place), "engine-" + place + "-" + i));
+				harness.register(
+						DispatcherHarness.engineIn("hall-" + (char) ('a' + domain), "engine-" + domain + "-" + i));
 			}
 		}
-		desk.arrive(Desk.STREAM);
-		String first = desk.done().getFirst();
+		harness.arrive(DispatcherHarness.STREAM);
+		String first = harness.effectNames().getFirst();
 		assertThat(first, Matchers.startsWith("Send:engine-0"));
-		Set<String> looked = new HashSet<>();
+		Set<String> selected = new HashSet<>();
 		for (int i = 0; i < 400; i++) {
-			desk.arrive(Desk.STREAM);
+			harness.arrive(DispatcherHarness.STREAM);
 		}
-		desk.done().stream().filter((one) -> one.startsWith("Send")).forEach((one) -> looked.add(one.substring(5)));
-		looked.forEach((id) -> desk.dispatcher.runnerUnusable(id));
-		desk.arrive(Desk.STREAM);
-		assertThat(desk.done().getFirst(), Matchers.startsWith("Send:"));
+		harness.effectNames()
+			.stream()
+			.filter((one) -> one.startsWith("Send"))
+			.forEach((one) -> selected.add(one.substring(5)));
+		selected.forEach((id) -> harness.dispatcher.runnerUnusable(id));
+		harness.arrive(DispatcherHarness.STREAM);
+		assertThat(harness.effectNames().getFirst(), Matchers.startsWith("Send:"));
 	}
 
 }
--- a/policy/src/test/java/org/wisteriapost/policy/dispatch/RunnerWayTests.java
+++ b/policy/src/test/java/org/wisteriapost/policy/dispatch/RunnerWayTests.java
@@ -21,14 +21,14 @@
 
 class RunnerWayTests {
 
-	private static final String HELD_UP = "held-up";
+	private static final String DELAYED = "delayed";
 
 	private static final long STEP_MILLIS = 20;
 
 	private static final long ARRIVAL_STEPS = 2;
 
-	// The first request has been without a word for longer than its objective.
-	private static final long KNOWN_MILLIS = 600;
+	// The first unanswered request has exceeded its latency target.
+	private static final long DETECTION_MILLIS = 600;
 
 	private static final long FIRST_EVENT_MILLIS = 160;
 
@@ -36,402 +36,406 @@
 
 	private static final long CONNECT_MILLIS = 200;
 
-	private static final long OLD_END_MILLIS = 2200;
+	private static final long FIRST_STREAM_END_MILLIS = 2200;
 
-	// Callers see 502 after one to two seconds. The link to one engine holds what is sent
-	// there for seconds; a reset does not take it back, so the engine begins it for
-	// nobody, or on weights that are over. Streams that it began before go on and end
-	// whole. The first request that stays without a word says it all, and from then on
-	// one at a time is enough to see whether the way is open again; but each end of an
-	// old stream was taken for a sign that the runner is well, and all went there again.
+	// Failure: the link to one engine delays requests by seconds, and cancelled ones are
+	// still executed there. Each earlier stream that ended was taken as proof that the
+	// path was open and sent all requests there. One unanswered request must be enough
+	// to probe the path with one request at a time.
 	@Test
-	void aWayThatHoldsThingsUpGetsOneRequestAtATime() {
-		Entry entry = new Entry(HELD_UP);
-		entry.begin(4);
-		entry.desk.with(Desk.engine("a"), Desk.engine("c"));
+	void delayingPathGetsOneRequestAtATime() {
+		Entry entry = new Entry(DELAYED);
+		entry.startStreams(4);
+		entry.harness.register(DispatcherHarness.engine("a"), DispatcherHarness.engine("c"));
 		entry.run(4000);
-		assertThat(entry.sentTo(HELD_UP, 0, 500), Matchers.greaterThan(0L));
-		assertThat("at once", entry.mostAtOnce, Matchers.lessThanOrEqualTo(1L));
-		assertThat("without a connection made for it", entry.arriving(), Matchers.equalTo(0L));
-		assertThat(entry.sentTo("a", 600, 4000), Matchers.greaterThan(20L));
+		assertThat(entry.countSent(DELAYED, 0, 500), Matchers.greaterThan(0L));
+		assertThat("concurrent requests", entry.maxConcurrentDelayed, Matchers.lessThanOrEqualTo(1L));
+		assertThat("sent without a new connection", entry.countSentWithoutProbe(), Matchers.equalTo(0L));
+		assertThat(entry.countSent("a", 600, 4000), Matchers.greaterThan(20L));
 	}
 
-	// Several entries, of which this one has sent nothing to the engine for a while, so
-	// it can't know that the link there holds things for seconds. What it sends has to
-	// begin before newer weights bind: it leaves only once a connection is there. When
-	// none comes the caller is told at once that it has not run.
+	// Failure: an entry that has not sent anything recently does not know that the path
+	// delays requests, and its request starts after the target version took effect.
 	@Test
-	void whatHasToBeginByATimeLeavesOnlyOnceTheWayIsOpen() {
-		Desk desk = new Desk().with(Desk.engine("a"));
-		desk.dispatcher.named(new NamedWeights("lm", 1), true, desk.now);
-		desk.after(10_000);
-		assertThat(triesOfNext(desk), Matchers.contains(false));
-		desk.after(2000);
-		desk.dispatcher.named(new NamedWeights("lm", 2), false, desk.now);
-		desk.after(3000);
-		assertThat(triesOfNext(desk), Matchers.contains(true));
-		assertThat("seen open just now", triesOfNext(desk), Matchers.contains(false));
-		desk.after(1000).cutOff("a");
-		Job job = desk.arrive(Desk.STREAM_ONCE);
-		desk.after(200);
-		desk.ended(job, Outcome.NOT_SENT);
-		desk.after(100);
-		assertThat(desk.done(), Matchers.contains("Send:a", "Refuse:no-usable-runner"));
+	void requestWithStartDeadlineRequiresConfirmedPath() {
+		DispatcherHarness harness = new DispatcherHarness().register(DispatcherHarness.engine("a"));
+		harness.dispatcher.named(new NamedWeights("lm", 1), true, harness.nowNanos);
+		harness.advance(10_000);
+		assertThat(nextNeedsNewConnection(harness), Matchers.contains(false));
+		harness.advance(2000);
+		harness.dispatcher.named(new NamedWeights("lm", 2), false, harness.nowNanos);
+		harness.advance(3000);
+		assertThat(nextNeedsNewConnection(harness), Matchers.contains(true));
+		assertThat("path recently confirmed", nextNeedsNewConnection(harness), Matchers.contains(false));
+		harness.advance(1000).blockConnections("a");
+		Job job = harness.arrive(DispatcherHarness.STREAM_ONCE);
+		harness.advance(200);
+		harness.ended(job, Outcome.NOT_SENT);
+		harness.advance(100);
+		assertThat(harness.effectNames(), Matchers.contains("Send:a", "Refuse:no-usable-runner"));
 	}
 
-	// One request is without its first event for longer than usual. The next one does not
-	// go over the same connections, which may lead nowhere, and those that come while it
-	// tries go elsewhere.
+	// A request that follows an overdue one uses a new connection, and requests that
+	// arrive during the probe are sent elsewhere.
 	@Test
-	void whileARequestTriesTheWayTheOthersGoElsewhere() {
-		Desk desk = new Desk().with(Desk.engine("a"));
-		desk.arrive(Desk.STREAM);
-		desk.cutOff("a").after(450);
-		desk.drain();
-		desk.arrive(Desk.STREAM);
-		assertThat(desk.drain().stream().map((effect) -> ((DispatchEffect.Send) effect).tries()).toList(),
+	void requestsAreSentElsewhereWhilePathIsProbed() {
+		DispatcherHarness harness = new DispatcherHarness().register(DispatcherHarness.engine("a"));
+		harness.arrive(DispatcherHarness.STREAM);
+		harness.blockConnections("a").advance(450);
+		harness.drain();
+		harness.arrive(DispatcherHarness.STREAM);
+		assertThat(harness.drain().stream().map((effect) -> ((DispatchEffect.Send) effect).tries()).toList(),
 				Matchers.contains(true));
-		desk.with(Desk.engine("b"));
+		harness.register(DispatcherHarness.engine("b"));
 		for (int i = 0; i < 6; i++) {
-			desk.arrive(Desk.STREAM, 100, 6000);
+			harness.arrive(DispatcherHarness.STREAM, 100, 6000);
 		}
-		assertThat(desk.done(), Matchers.everyItem(Matchers.equalTo("Send:b")));
+		assertThat(harness.effectNames(), Matchers.everyItem(Matchers.equalTo("Send:b")));
 	}
 
-	// Requests were given up at an engine seconds ago and none was answered since. A
-	// connection can be made there again, but what follows may be held for as long as
-	// those were: newer weights bind sooner than that.
+	// Failure: a connection can be established, but requests may still be delayed as
+	// long as the unanswered ones, which is past their start deadline.
 	@Test
-	void whatMayBeHeldUntilNewerWeightsBindIsNotSent() {
-		Desk desk = new Desk().with(Desk.engine("a"));
-		desk.dispatcher.named(new NamedWeights("lm", 1), true, desk.now);
-		desk.after(10_000);
-		desk.dispatcher.named(new NamedWeights("lm", 2), false, desk.now);
-		desk.after(2000);
-		desk.dispatcher.gone(desk.arrive(Desk.STREAM), desk.now);
-		desk.after(1500);
-		assertThat("time enough", triesOfNext(desk, false), Matchers.contains(true));
-		desk.after(1200);
-		desk.drain();
-		desk.arrive(Desk.STREAM);
-		desk.after(100);
-		assertThat(desk.done(), Matchers.contains("Refuse:no-usable-runner"));
+	void requestThatMayBeDelayedPastStartDeadlineIsNotSent() {
+		DispatcherHarness harness = new DispatcherHarness().register(DispatcherHarness.engine("a"));
+		harness.dispatcher.named(new NamedWeights("lm", 1), true, harness.nowNanos);
+		harness.advance(10_000);
+		harness.dispatcher.named(new NamedWeights("lm", 2), false, harness.nowNanos);
+		harness.advance(2000);
+		harness.dispatcher.gone(harness.arrive(DispatcherHarness.STREAM), harness.nowNanos);
+		harness.advance(1500);
+		assertThat("enough time before the deadline", nextNeedsNewConnection(harness, false), Matchers.contains(true));
+		harness.advance(1200);
+		harness.drain();
+		harness.arrive(DispatcherHarness.STREAM);
+		harness.advance(100);
+		assertThat(harness.effectNames(), Matchers.contains("Refuse:no-usable-runner"));
 	}
 
-	// Newer weights are named, and the link to one engine begins to hold things.
-	// Connections are still made there, since the way back is free; what follows them is
-	// held. The agent on the same VM no longer sends stamps back in time: nothing goes
-	// there, and all goes to the other.
+	// Failure: connections to an engine can be established because the reverse path is
+	// free, but requests are delayed past their start deadline. Missing echoes of the
+	// agent on the same VM reveal this.
 	@Test
-	void whileEchoesStayAwayNothingIsSent() {
-		Desk desk = new Desk().with(Desk.engine("a"), Desk.engine("b"));
-		desk.dispatcher.named(new NamedWeights("lm", 1), true, desk.now);
-		desk.after(10_000);
-		desk.dispatcher.named(new NamedWeights("lm", 2), false, desk.now);
-		echo(desk, 1000, "a", "b");
-		desk.drain();
-		desk.arrive(Desk.STREAM, 100, 6000);
-		desk.arrive(Desk.STREAM, 100, 6000);
-		assertThat(desk.done(), Matchers.containsInAnyOrder("Send:a", "Send:b"));
-		echo(desk, 700, "b");
-		assertThat(changes(desk), Matchers.contains("closed " + Desk.engine("a").address()));
+	void nothingIsSentWhileEchoesAreMissing() {
+		DispatcherHarness harness = new DispatcherHarness().register(DispatcherHarness.engine("a"),
+				DispatcherHarness.engine("b"));
+		harness.dispatcher.named(new NamedWeights("lm", 1), true, harness.nowNanos);
+		harness.advance(10_000);
+		harness.dispatcher.named(new NamedWeights("lm", 2), false, harness.nowNanos);
+		advanceWithEchoes(harness, 1000, "a", "b");
+		harness.drain();
+		harness.arrive(DispatcherHarness.STREAM, 100, 6000);
+		harness.arrive(DispatcherHarness.STREAM, 100, 6000);
+		assertThat(harness.effectNames(), Matchers.containsInAnyOrder("Send:a", "Send:b"));
+		advanceWithEchoes(harness, 700, "b");
+		assertThat(pathChanges(harness), Matchers.contains("blocked " + DispatcherHarness.engine("a").address()));
 		for (int i = 0; i < 6; i++) {
-			desk.arrive(Desk.STREAM, 100, 6000);
+			harness.arrive(DispatcherHarness.STREAM, 100, 6000);
 		}
-		assertThat(desk.done(), Matchers.everyItem(Matchers.equalTo("Send:b")));
-		assertThat(changes(desk), Matchers.empty());
-		echo(desk, 200, "a", "b");
-		assertThat(changes(desk), Matchers.contains("open " + Desk.engine("a").address()));
+		assertThat(harness.effectNames(), Matchers.everyItem(Matchers.equalTo("Send:b")));
+		assertThat(pathChanges(harness), Matchers.empty());
+		advanceWithEchoes(harness, 200, "a", "b");
+		assertThat(pathChanges(harness), Matchers.contains("open " + DispatcherHarness.engine("a").address()));
 		for (int i = 0; i < 6; i++) {
-			desk.arrive(Desk.STREAM, 100, 6000);
+			harness.arrive(DispatcherHarness.STREAM, 100, 6000);
 		}
-		assertThat("open again", desk.done(), Matchers.hasItem("Send:a"));
+		assertThat("open again", harness.effectNames(), Matchers.hasItem("Send:a"));
 	}
 
-	// An engine is slow to begin, and its agent sends stamps back at once: the way is
-	// open, and requests go on as before.
+	// An echo shows that the path is open although the engine is slow.
 	@Test
-	void anEchoEndsADoubt() {
-		Desk desk = new Desk().with(Desk.engine("a"));
-		desk.arrive(Desk.STREAM);
-		desk.after(450);
-		assertThat(desk.dispatcher.ways().toAsk(desk.now), Matchers.contains(Desk.engine("a").address()));
-		desk.dispatcher.ways().echoed(Desk.engine("a").address(), desk.now, desk.now);
-		assertThat(desk.dispatcher.ways().toAsk(desk.now), Matchers.empty());
-		desk.drain();
-		desk.arrive(Desk.STREAM);
-		desk.after(130).arrive(Desk.STREAM);
-		assertThat(desk.drain().stream().map((effect) -> ((DispatchEffect.Send) effect).tries()).toList(),
+	void echoClearsSuspicion() {
+		DispatcherHarness harness = new DispatcherHarness().register(DispatcherHarness.engine("a"));
+		harness.arrive(DispatcherHarness.STREAM);
+		harness.advance(450);
+		assertThat(harness.dispatcher.ways().toAsk(harness.nowNanos),
+				Matchers.contains(DispatcherHarness.engine("a").address()));
+		harness.dispatcher.ways().echoed(DispatcherHarness.engine("a").address(), harness.nowNanos, harness.nowNanos);
+		assertThat(harness.dispatcher.ways().toAsk(harness.nowNanos), Matchers.empty());
+		harness.drain();
+		harness.arrive(DispatcherHarness.STREAM);
+		harness.advance(130).arrive(DispatcherHarness.STREAM);
+		assertThat(harness.drain().stream().map((effect) -> ((DispatchEffect.Send) effect).tries()).toList(),
 				Matchers.contains(false, false));
 	}
 
-	// A plain service's runner takes half a second for one request. It goes on taking
-	// others.
+	// Plain services have varying response times.
 	@Test
-	void aSlowPlainRunnerIsNotInDoubt() {
-		Desk desk = new Desk().with(Desk.plain("p")).cutOff("p");
-		desk.arrive(Desk.ALLOCATE);
-		desk.after(450).drain();
-		desk.arrive(Desk.ALLOCATE);
-		desk.arrive(Desk.ALLOCATE);
-		assertThat(desk.done(), Matchers.contains("Send:p", "Send:p"));
+	void slowPlainRunnerIsNotSuspect() {
+		DispatcherHarness harness = new DispatcherHarness().register(DispatcherHarness.plain("p"))
+			.blockConnections("p");
+		harness.arrive(DispatcherHarness.ALLOCATE);
+		harness.advance(450).drain();
+		harness.arrive(DispatcherHarness.ALLOCATE);
+		harness.arrive(DispatcherHarness.ALLOCATE);
+		assertThat(harness.effectNames(), Matchers.contains("Send:p", "Send:p"));
 	}
 
-	// While an agent does not answer yet, one request tries the way; its echo lets the
-	// others follow, without waiting for the first event.
+	// An echo that arrives during a probe releases the waiting requests before the first
+	// event.
 	@Test
-	void anEchoEndsATry() {
-		Desk desk = new Desk().with(Desk.engine("a"));
-		desk.arrive(Desk.STREAM);
-		desk.cutOff("a").after(450).drain();
-		desk.arrive(Desk.STREAM);
-		desk.arrive(Desk.STREAM);
-		assertThat(desk.done(), Matchers.contains("Send:a"));
-		desk.after(20);
-		desk.dispatcher.ways().echoed(Desk.engine("a").address(), desk.now, desk.now);
-		desk.after(20);
-		assertThat(desk.done(), Matchers.contains("Send:a"));
+	void echoEndsProbe() {
+		DispatcherHarness harness = new DispatcherHarness().register(DispatcherHarness.engine("a"));
+		harness.arrive(DispatcherHarness.STREAM);
+		harness.blockConnections("a").advance(450).drain();
+		harness.arrive(DispatcherHarness.STREAM);
+		harness.arrive(DispatcherHarness.STREAM);
+		assertThat(harness.effectNames(), Matchers.contains("Send:a"));
+		harness.advance(20);
+		harness.dispatcher.ways().echoed(DispatcherHarness.engine("a").address(), harness.nowNanos, harness.nowNanos);
+		harness.advance(20);
+		assertThat(harness.effectNames(), Matchers.contains("Send:a"));
 	}
 
 	@Test
-	void nobodyIsAskedWhileTheWayDoesNotMatter() {
-		Desk desk = new Desk().with(Desk.engine("a"), Desk.plain("p"));
-		desk.arrive(Desk.STREAM);
-		desk.after(100);
-		assertThat(desk.dispatcher.ways().toAsk(desk.now), Matchers.empty());
+	void noEchoIsRequestedForUnsuspectPath() {
+		DispatcherHarness harness = new DispatcherHarness().register(DispatcherHarness.engine("a"),
+				DispatcherHarness.plain("p"));
+		harness.arrive(DispatcherHarness.STREAM);
+		harness.advance(100);
+		assertThat(harness.dispatcher.ways().toAsk(harness.nowNanos), Matchers.empty());
 	}
 
-	// Callers of a plain service whose answers usually take most of a second are refused
-	// while five of six slots are empty. A plain answer comes only when it is whole, and
-	// no agent is beside the runner; were the wait for it taken for a way that may be
-	// closed, the service would get one request at a time.
+	// Failure: the usual response time of a plain service is taken for a blocked path,
+	// so that it gets one request at a time and callers are refused while slots are
+	// empty.
 	@Test
-	void theUsualWaitForAPlainAnswerCastsNoDoubt() {
-		Desk desk = new Desk().with(Desk.plain("p"));
+	void typicalResponseTimeOfPlainServiceIsNotSuspect() {
+		DispatcherHarness harness = new DispatcherHarness().register(DispatcherHarness.plain("p"));
 		Deque<Job> running = new ArrayDeque<>();
 		for (int i = 0; i < 40; i++) {
-			running.add(desk.arrive(Desk.SLOW));
-			desk.after(200);
+			running.add(harness.arrive(DispatcherHarness.SLOW));
+			harness.advance(200);
 			if (running.size() > 4) {
-				desk.ended(running.remove(), Outcome.DONE);
+				harness.ended(running.remove(), Outcome.DONE);
 			}
 		}
-		List<DispatchEffect> effects = desk.drain();
+		List<DispatchEffect> effects = harness.drain();
 		assertThat(effects, Matchers.everyItem(Matchers.instanceOf(DispatchEffect.Send.class)));
 		assertThat(effects, Matchers.hasSize(40));
 		assertThat(effects.stream().filter((effect) -> ((DispatchEffect.Send) effect).tries()).toList(),
 				Matchers.empty());
 	}
 
-	// Newer weights are named and the agent beside the only engine ends, by a release or
-	// a crash; the engine answers every request at once. Callers that come some seconds
-	// apart are refused all the same until the agent has been silent for eight seconds.
+	// Failure: after the agent of the only engine ended, callers are refused for eight
+	// seconds because echoes are missing, although the engine works.
 	@Test
-	void anAgentThatHasEndedDoesNotTakeItsEngineWithIt() {
-		Desk desk = new Desk().with(Desk.engine("a"));
-		desk.dispatcher.named(new NamedWeights("lm", 1), true, desk.now);
-		desk.after(10_000);
-		desk.dispatcher.named(new NamedWeights("lm", 2), false, desk.now);
-		echo(desk, 500, "a");
-		desk.drain();
-		desk.dispatcher.ways().agentGone(Desk.engine("a").address());
+	void engineIsUsedAfterItsAgentEnds() {
+		DispatcherHarness harness = new DispatcherHarness().register(DispatcherHarness.engine("a"));
+		harness.dispatcher.named(new NamedWeights("lm", 1), true, harness.nowNanos);
+		harness.advance(10_000);
+		harness.dispatcher.named(new NamedWeights("lm", 2), false, harness.nowNanos);
+		advanceWithEchoes(harness, 500, "a");
+		harness.drain();
+		harness.dispatcher.ways().agentGone(DispatcherHarness.engine("a").address());
 		for (int i = 0; i < 5; i++) {
-			echo(desk, 1000);
-			Job job = desk.arrive(Desk.STREAM, 100, 6000);
-			echo(desk, 100);
+			advanceWithEchoes(harness, 1000);
+			Job job = harness.arrive(DispatcherHarness.STREAM, 100, 6000);
+			advanceWithEchoes(harness, 100);
 			if (job.runner.isPresent()) {
-				desk.firstEvent(job);
-				desk.ended(job, Outcome.DONE);
+				harness.firstEvent(job);
+				harness.ended(job, Outcome.DONE);
 			}
 		}
-		assertThat(desk.done(), Matchers.everyItem(Matchers.equalTo("Send:a")));
+		assertThat(harness.effectNames(), Matchers.everyItem(Matchers.equalTo("Send:a")));
 	}
 
-	// A release: entries are new, agents are not yet and send no stamp back. Engines are
-	// slow to begin for a while, as when a burst grows; connections are made at once and
-	// every request is answered. Callers are refused while slots are empty.
+	// Failure: during a release, agents do not support echoes yet. Engines that are slow
+	// under load get too few requests and callers are refused while slots are empty.
 	@ParameterizedTest
 	@ValueSource(longs = { 500, 800, 1200 })
 	void anEngineWhoseAgentSendsNoStampsBackGetsItsSlotsWhenItIsSlow(long firstEventMillis) {
-		long with = sent(firstEventMillis, true);
-		long without = sent(firstEventMillis, false);
-		assertThat("of " + with + " sent with echoes, without", without, Matchers.greaterThan(with * 3 / 4));
+		long withEchoes = countSent(firstEventMillis, true);
+		long withoutEchoes = countSent(firstEventMillis, false);
+		assertThat("of " + withEchoes + " sent with echoes, without", withoutEchoes,
+				Matchers.greaterThan(withEchoes * 3 / 4));
 	}
 
-	private static long sent(long firstEventMillis, boolean echoes) {
-		Desk desk = new Desk().with(Desk.engine("a"), Desk.engine("b"));
-		List<Job> open = new ArrayList<>();
+	private static long countSent(long firstEventMillis, boolean echoes) {
+		DispatcherHarness harness = new DispatcherHarness().register(DispatcherHarness.engine("a"),
+				DispatcherHarness.engine("b"));
+		List<Job> running = new ArrayList<>();
 		for (long at = 0; at < 6000; at += STEP_MILLIS) {
 			if (at % 100 == 0) {
-				open.add(desk.arrive(Desk.STREAM, new Job.Size(300, 100, OptionalInt.empty()), 6000));
-				desk.dispatcher.ways().toAsk(desk.now).forEach((address) -> {
+				running
+					.add(harness.arrive(DispatcherHarness.STREAM, new Job.Size(300, 100, OptionalInt.empty()), 6000));
+				harness.dispatcher.ways().toAsk(harness.nowNanos).forEach((address) -> {
 					if (echoes) {
-						desk.dispatcher.ways().echoed(address, desk.now, desk.now);
+						harness.dispatcher.ways().echoed(address, harness.nowNanos, harness.nowNanos);
 					}
 				});
 			}
-			desk.after(STEP_MILLIS);
-			for (Job job : List.copyOf(open)) {
-				long waited = (desk.now - job.sentNanos()) / Desk.MILLI;
-				if (job.over) {
-					open.remove(job);
+			harness.advance(STEP_MILLIS);
+			for (Job job : List.copyOf(running)) {
+				long waited = (harness.nowNanos - job.sentNanos()) / DispatcherHarness.NANOS_PER_MILLI;
+				if (job.finished) {
+					running.remove(job);
 				}
 				else if (job.runner.isPresent() && waited >= firstEventMillis + 500) {
-					desk.ended(job, Outcome.DONE);
-					open.remove(job);
+					harness.ended(job, Outcome.DONE);
+					running.remove(job);
 				}
-				else if (job.runner.isPresent() && waited >= firstEventMillis && !job.firstSeen) {
-					desk.firstEvent(job);
+				else if (job.runner.isPresent() && waited >= firstEventMillis && !job.firstEventSent) {
+					harness.firstEvent(job);
 				}
 			}
 		}
-		return desk.done().stream().filter((name) -> name.startsWith("Send")).count();
+		return harness.effectNames().stream().filter((name) -> name.startsWith("Send")).count();
 	}
 
-	private static List<String> changes(Desk desk) {
-		return desk.dispatcher.ways()
-			.changes(desk.now)
+	private static List<String> pathChanges(DispatcherHarness harness) {
+		return harness.dispatcher.ways()
+			.changes(harness.nowNanos)
 			.stream()
-			.map((way) -> (way.closed() ? "closed " : "open ") + way.address())
+			.map((change) -> (change.closed() ? "blocked " : "open ") + change.address())
 			.toList();
 	}
 
-	private static void echo(Desk desk, long millis, String... engines) {
+	private static void advanceWithEchoes(DispatcherHarness harness, long millis, String... engines) {
 		for (long at = 0; at < millis; at += 100) {
-			desk.after(100);
-			desk.dispatcher.ways().toAsk(desk.now);
+			harness.advance(100);
+			harness.dispatcher.ways().toAsk(harness.nowNanos);
 			for (String engine : engines) {
-				desk.dispatcher.ways().echoed(Desk.engine(engine).address(), desk.now, desk.now);
+				harness.dispatcher.ways()
+					.echoed(DispatcherHarness.engine(engine).address(), harness.nowNanos, harness.nowNanos);
 			}
 		}
 	}
 
-	private static List<Boolean> triesOfNext(Desk desk) {
-		return triesOfNext(desk, true);
+	private static List<Boolean> nextNeedsNewConnection(DispatcherHarness harness) {
+		return nextNeedsNewConnection(harness, true);
 	}
 
-	private static List<Boolean> triesOfNext(Desk desk, boolean answered) {
-		desk.drain();
-		Job job = desk.arrive(Desk.STREAM);
-		List<Boolean> tries = desk.drain().stream().map((effect) -> ((DispatchEffect.Send) effect).tries()).toList();
+	private static List<Boolean> nextNeedsNewConnection(DispatcherHarness harness, boolean answered) {
+		harness.drain();
+		Job job = harness.arrive(DispatcherHarness.STREAM);
+		List<Boolean> required = harness.drain()
+			.stream()
+			.map((effect) -> ((DispatchEffect.Send) effect).tries())
+			.toList();
 		if (answered) {
-			desk.firstEvent(job);
-			desk.ended(job, Outcome.DONE);
+			harness.firstEvent(job);
+			harness.ended(job, Outcome.DONE);
 		}
 		else {
-			desk.dispatcher.gone(job, desk.now);
+			harness.dispatcher.gone(job, harness.nowNanos);
 		}
-		return tries;
+		return required;
 	}
 
-	/** One of several entries, with requests that come all the time. */
+	/** An entry that receives requests continuously. */
 	private static final class Entry {
 
-		private final Desk desk = new Desk();
+		private final DispatcherHarness harness = new DispatcherHarness();
 
-		private final Map<Job, Integer> seen = new HashMap<>();
+		private final Map<Job, Integer> firstEventDispatches = new HashMap<>();
 
-		private final List<Job> open = new ArrayList<>();
+		private final List<Job> running = new ArrayList<>();
 
-		private final List<Job> old = new ArrayList<>();
+		private final List<Job> earlierStreams = new ArrayList<>();
 
 		private final List<Sent> sent = new ArrayList<>();
 
-		private final Set<Job> trying = new HashSet<>();
+		private final Set<Job> probes = new HashSet<>();
 
-		private long mostAtOnce;
+		private long maxConcurrentDelayed;
 
 		private Entry(String... engines) {
 			for (String engine : engines) {
-				this.desk.with(Desk.engine(engine));
+				this.harness.register(DispatcherHarness.engine(engine));
 			}
 		}
 
-		private void begin(int streams) {
+		private void startStreams(int streams) {
 			for (int i = 0; i < streams; i++) {
-				this.old.add(this.desk.arrive(Desk.STREAM));
+				this.earlierStreams.add(this.harness.arrive(DispatcherHarness.STREAM));
 			}
-			this.desk.after(FIRST_EVENT_MILLIS);
-			this.old.forEach(this.desk::firstEvent);
-			this.desk.drain();
+			this.harness.advance(FIRST_EVENT_MILLIS);
+			this.earlierStreams.forEach(this.harness::firstEvent);
+			this.harness.drain();
 		}
 
 		private void run(long millis) {
-			long started = this.desk.now;
-			this.desk.cutOff(HELD_UP);
+			long started = this.harness.nowNanos;
+			this.harness.blockConnections(DELAYED);
 			for (long at = 0; at < millis; at += STEP_MILLIS) {
 				if (at / STEP_MILLIS % ARRIVAL_STEPS == 0) {
-					this.open.add(this.desk.arrive(Desk.STREAM, new Job.Size(300, 100, OptionalInt.empty()), 6000));
+					this.running.add(this.harness.arrive(DispatcherHarness.STREAM,
+							new Job.Size(300, 100, OptionalInt.empty()), 6000));
 				}
-				this.desk.after(STEP_MILLIS);
-				goOn(at);
-				note(this.desk.now - started);
-				List.copyOf(this.open).forEach(this::goOn);
-				note(this.desk.now - started);
-				long known = started + KNOWN_MILLIS * Desk.MILLI;
-				this.mostAtOnce = Math.max(this.mostAtOnce,
-						this.open.stream().filter((job) -> heldUp(job) && job.sentNanos() > known).count());
+				this.harness.advance(STEP_MILLIS);
+				advance(at);
+				recordSends(this.harness.nowNanos - started);
+				List.copyOf(this.running).forEach(this::advance);
+				recordSends(this.harness.nowNanos - started);
+				long detectedNanos = started + DETECTION_MILLIS * DispatcherHarness.NANOS_PER_MILLI;
+				this.maxConcurrentDelayed = Math.max(this.maxConcurrentDelayed,
+						this.running.stream()
+							.filter((job) -> isDelayed(job) && job.sentNanos() > detectedNanos)
+							.count());
 			}
 		}
 
-		// The old streams write events, and end one after the other.
-		private void goOn(long atMillis) {
-			for (Job job : this.old) {
-				job.progressed(1, Optional.of("2"), this.desk.now);
+		// The earlier streams keep emitting events and end one after the other.
+		private void advance(long atMillis) {
+			for (Job job : this.earlierStreams) {
+				job.progressed(1, Optional.of("2"), this.harness.nowNanos);
 			}
-			if (atMillis >= OLD_END_MILLIS && !this.old.isEmpty()) {
-				this.desk.ended(this.old.removeFirst(), Outcome.DONE);
+			if (atMillis >= FIRST_STREAM_END_MILLIS && !this.earlierStreams.isEmpty()) {
+				this.harness.ended(this.earlierStreams.removeFirst(), Outcome.DONE);
 			}
 		}
 
-		private static boolean heldUp(Job job) {
-			return !job.over && job.runner.map((runner) -> runner.info.id().equals(HELD_UP)).orElse(false);
+		private static boolean isDelayed(Job job) {
+			return !job.finished && job.runner.map((runner) -> runner.info.id().equals(DELAYED)).orElse(false);
 		}
 
-		private void note(long atNanos) {
-			for (DispatchEffect effect : this.desk.drain()) {
+		private void recordSends(long atNanos) {
+			for (DispatchEffect effect : this.harness.drain()) {
 				if (effect instanceof DispatchEffect.Send send) {
-					this.sent.add(new Sent(send.runner().id(), send.tries(), atNanos / Desk.MILLI));
+					this.sent
+						.add(new Sent(send.runner().id(), send.tries(), atNanos / DispatcherHarness.NANOS_PER_MILLI));
 					if (send.tries()) {
-						this.trying.add(send.job());
+						this.probes.add(send.job());
 					}
 				}
 			}
 		}
 
-		private void goOn(Job job) {
-			long waited = (this.desk.now - job.sentNanos()) / Desk.MILLI;
-			if (heldUp(job) && this.trying.contains(job) && waited >= CONNECT_MILLIS) {
-				this.trying.remove(job);
-				this.desk.ended(job, Outcome.NOT_SENT);
+		private void advance(Job job) {
+			long waited = (this.harness.nowNanos - job.sentNanos()) / DispatcherHarness.NANOS_PER_MILLI;
+			if (isDelayed(job) && this.probes.contains(job) && waited >= CONNECT_MILLIS) {
+				this.probes.remove(job);
+				this.harness.ended(job, Outcome.NOT_SENT);
 			}
-			if (job.over || job.runner.isEmpty() || heldUp(job)) {
+			if (job.finished || job.runner.isEmpty() || isDelayed(job)) {
 				return;
 			}
 			if (waited >= ANSWER_MILLIS) {
-				this.desk.ended(job, Outcome.DONE);
+				this.harness.ended(job, Outcome.DONE);
 			}
-			else if (waited >= FIRST_EVENT_MILLIS && !Integer.valueOf(job.dispatch()).equals(this.seen.get(job))) {
-				this.seen.put(job, job.dispatch());
-				this.desk.firstEvent(job);
+			else if (waited >= FIRST_EVENT_MILLIS
+					&& !Integer.valueOf(job.dispatch()).equals(this.firstEventDispatches.get(job))) {
+				this.firstEventDispatches.put(job, job.dispatch());
+				this.harness.firstEvent(job);
 			}
 		}
 
-		private long arriving() {
+		private long countSentWithoutProbe() {
 			return this.sent.stream()
-				.filter((one) -> one.runner.equals(HELD_UP) && !one.tries && one.millis >= KNOWN_MILLIS)
+				.filter((send) -> send.runner.equals(DELAYED) && !send.newConnection && send.millis >= DETECTION_MILLIS)
 				.count();
 		}
 
-		private long sentTo(String runner, long fromMillis, long toMillis) {
+		private long countSent(String runner, long fromMillis, long toMillis) {
 			return this.sent.stream()
-				.filter((one) -> one.runner.equals(runner) && one.millis >= fromMillis && one.millis < toMillis)
+				.filter((send) -> send.runner.equals(runner) && send.millis >= fromMillis && send.millis < toMillis)
 				.count();
 		}
 
 	}
 
-	private record Sent(String runner, boolean tries, long millis) {
+	private record Sent(String runner, boolean newConnection, long millis) {
 	}
 
 }
--- a/policy/src/test/java/org/wisteriapost/policy/dispatch/WeightsFenceTests.java
+++ b/policy/src/test/java/org/wisteriapost/policy/dispatch/WeightsFenceTests.java
@@ -14,183 +14,176 @@
 
 class WeightsFenceTests {
 
-	private static final long SECOND = 1000 * Desk.MILLI;
+	private static final long SECOND = 1000 * DispatcherHarness.NANOS_PER_MILLI;
 
 	private final WeightsFence fence = new WeightsFence(Duration.ofSeconds(8));
 
-	// A version is named, then a newer one before the first has to be in force. Each is
-	// judged from its own naming: the first binds after its own time, though the second
-	// is not due yet.
+	// A newer target does not affect when an earlier one is required.
 	@Test
-	void eachVersionBindsFromItsOwnNaming() {
-		this.fence.named(new NamedWeights("lm", 1), false, 0);
-		this.fence.named(new NamedWeights("lm", 2), false, 20 * SECOND);
-		assertThat(this.fence.required("lm", 22 * SECOND), Matchers.equalTo(OptionalInt.of(1)));
-		assertThat(this.fence.required("lm", 27 * SECOND), Matchers.equalTo(OptionalInt.of(2)));
+	void eachVersionIsRequiredAfterItsOwnDelay() {
+		this.fence.addTarget(new NamedWeights("lm", 1), false, 0);
+		this.fence.addTarget(new NamedWeights("lm", 2), false, 20 * SECOND);
+		assertThat(this.fence.requiredVersion("lm", 22 * SECOND), Matchers.equalTo(OptionalInt.of(1)));
+		assertThat(this.fence.requiredVersion("lm", 27 * SECOND), Matchers.equalTo(OptionalInt.of(2)));
 	}
 
-	// A third version is named three seconds after the second, before the second has to
-	// be in force. The second still binds after its own time; were it forgotten,
-	// engines that lag would start requests on the first beyond the promise.
+	// Failure: a third version published before the second takes effect replaces it, so
+	// that engines on the first one get requests after the promised time.
 	@Test
-	void aNewerNameDoesNotPutOffTheOneBefore() {
-		this.fence.named(new NamedWeights("lm", 2), false, 20 * SECOND);
-		this.fence.named(new NamedWeights("lm", 3), false, 23 * SECOND);
-		assertThat(this.fence.required("lm", 22 * SECOND), Matchers.equalTo(OptionalInt.empty()));
-		assertThat(this.fence.required("lm", 27 * SECOND), Matchers.equalTo(OptionalInt.of(2)));
-		assertThat(this.fence.required("lm", 30 * SECOND), Matchers.equalTo(OptionalInt.of(3)));
+	void newerTargetDoesNotDelayEarlierTarget() {
+		this.fence.addTarget(new NamedWeights("lm", 2), false, 20 * SECOND);
+		this.fence.addTarget(new NamedWeights("lm", 3), false, 23 * SECOND);
+		assertThat(this.fence.requiredVersion("lm", 22 * SECOND), Matchers.equalTo(OptionalInt.empty()));
+		assertThat(this.fence.requiredVersion("lm", 27 * SECOND), Matchers.equalTo(OptionalInt.of(2)));
+		assertThat(this.fence.requiredVersion("lm", 30 * SECOND), Matchers.equalTo(OptionalInt.of(3)));
 	}
 
 	@Test
-	void whatIsFoundNamedAtTheStartBindsSoon() {
-		this.fence.named(new NamedWeights("lm", 2), true, 20 * SECOND);
-		assertThat(this.fence.required("lm", 23 * SECOND), Matchers.equalTo(OptionalInt.of(2)));
+	void targetFoundAtStartupIsRequiredSoon() {
+		this.fence.addTarget(new NamedWeights("lm", 2), true, 20 * SECOND);
+		assertThat(this.fence.requiredVersion("lm", 23 * SECOND), Matchers.equalTo(OptionalInt.of(2)));
 	}
 
 	@Test
-	void anOlderNameChangesNothing() {
-		this.fence.named(new NamedWeights("lm", 3), false, 0);
-		this.fence.named(new NamedWeights("lm", 2), false, SECOND);
-		assertThat(this.fence.required("lm", 20 * SECOND), Matchers.equalTo(OptionalInt.of(3)));
+	void olderTargetIsIgnored() {
+		this.fence.addTarget(new NamedWeights("lm", 3), false, 0);
+		this.fence.addTarget(new NamedWeights("lm", 2), false, SECOND);
+		assertThat(this.fence.requiredVersion("lm", 20 * SECOND), Matchers.equalTo(OptionalInt.of(3)));
 	}
 
-	// One engine lags behind the named weights. Once they have to be in force, requests
-	// go only to engines that hold them.
 	@Test
-	void anEngineThatLagsGetsNothingOnceTheVersionBinds() {
-		Desk desk = new Desk().with(Desk.engine("old"), new RunnerInfo("new", "lm-notice", "10.0.0.9:80", "hall-a", 16,
-				false, 0, Map.of("lm", 2), 0, RunnerStart.UNKNOWN));
-		desk.dispatcher.named(new NamedWeights("lm", 1), true, desk.now);
-		desk.after(10_000);
-		desk.dispatcher.named(new NamedWeights("lm", 2), false, desk.now);
-		desk.after(7000);
+	void engineOnOlderVersionGetsNoRequestsOnceTargetIsRequired() {
+		DispatcherHarness harness = new DispatcherHarness().register(DispatcherHarness.engine("old"), new RunnerInfo(
+				"new", "lm-notice", "10.0.0.9:80", "hall-a", 16, false, 0, Map.of("lm", 2), 0, RunnerStart.UNKNOWN));
+		harness.dispatcher.named(new NamedWeights("lm", 1), true, harness.nowNanos);
+		harness.advance(10_000);
+		harness.dispatcher.named(new NamedWeights("lm", 2), false, harness.nowNanos);
+		harness.advance(7000);
 		for (int i = 0; i < 10; i++) {
-			desk.arrive(Desk.STREAM);
+			harness.arrive(DispatcherHarness.STREAM);
 		}
-		assertThat(desk.done(), Matchers.everyItem(Matchers.equalTo("Send:new")));
+		assertThat(harness.effectNames(), Matchers.everyItem(Matchers.equalTo("Send:new")));
 	}
 
-	private static Desk oldAndNew() {
-		Desk desk = new Desk().with(Desk.engine("old"));
-		desk.dispatcher.named(new NamedWeights("lm", 1), true, desk.now);
-		return desk.after(10_000);
+	private static DispatcherHarness withOlderWeights() {
+		DispatcherHarness harness = new DispatcherHarness().register(DispatcherHarness.engine("old"));
+		harness.dispatcher.named(new NamedWeights("lm", 1), true, harness.nowNanos);
+		return harness.advance(10_000);
 	}
 
-	private static RunnerInfo onNewWeights() {
+	private static RunnerInfo engineWithTargetWeights() {
 		return new RunnerInfo("new", "lm-notice", "10.0.0.9:80", "hall-a", 16, false, 0, Map.of("lm", 2), 0,
 				RunnerStart.UNKNOWN);
 	}
 
-	// A burst: requests wait 1.3 s in the engine's queue before they begin. Sent at the
-	// usual margin before the version binds, one would begin on the older weights after
-	// it. The wait that was seen just now widens the margin.
+	// Failure: in a burst, requests sent within the default margin wait 1.3 s at the
+	// engine and start on the older version after the target version took effect.
 	@Test
-	void theMarginFollowsTheWaitThatIsSeen() {
-		Desk desk = oldAndNew();
-		desk.dispatcher.named(new NamedWeights("lm", 2), false, desk.now);
-		desk.after(4300);
-		Job slow = desk.arrive(Desk.STREAM);
-		desk.after(900).after(400);
-		desk.firstEvent(slow);
-		desk.done();
-		desk.with(onNewWeights()).after(400);
+	void marginGrowsWithObservedWait() {
+		DispatcherHarness harness = withOlderWeights();
+		harness.dispatcher.named(new NamedWeights("lm", 2), false, harness.nowNanos);
+		harness.advance(4300);
+		Job slow = harness.arrive(DispatcherHarness.STREAM);
+		harness.advance(900).advance(400);
+		harness.firstEvent(slow);
+		harness.effectNames();
+		harness.register(engineWithTargetWeights()).advance(400);
 		for (int i = 0; i < 8; i++) {
-			desk.arrive(Desk.STREAM);
+			harness.arrive(DispatcherHarness.STREAM);
 		}
-		assertThat(desk.done(), Matchers.everyItem(Matchers.equalTo("Send:new")));
+		assertThat(harness.effectNames(), Matchers.everyItem(Matchers.equalTo("Send:new")));
 	}
 
-	// Callers that were refused come back and wait behind all others for a second.
-	// That
-	// says nothing of requests that go first: bound as early as the last of the queue
-	// they
-	// would be refused for seconds in which engines may still answer them.
+	// Failure: the long waits of late requests restrict other requests to the target
+	// version too early, and these are refused although engines could still serve them.
 	@Test
-	void theWaitOfThoseThatComeLastDoesNotCountForTheOthers() {
-		Desk desk = oldAndNew();
-		desk.dispatcher.named(new NamedWeights("lm", 2), false, desk.now);
-		desk.after(4900);
-		desk.dispatcher.peerRefused(new RefusedRequest(7, desk.now - 2000 * Desk.MILLI, desk.now + 4000 * Desk.MILLI));
-		Job late = desk.arrive(Desk.STREAM, new Job.Size(1000, 100, OptionalInt.empty()), 4000,
+	void waitOfLateRequestsDoesNotRestrictOthers() {
+		DispatcherHarness harness = withOlderWeights();
+		harness.dispatcher.named(new NamedWeights("lm", 2), false, harness.nowNanos);
+		harness.advance(4900);
+		harness.dispatcher
+			.peerRefused(new RefusedRequest(7, harness.nowNanos - 2000 * DispatcherHarness.NANOS_PER_MILLI,
+					harness.nowNanos + 4000 * DispatcherHarness.NANOS_PER_MILLI));
+		Job late = harness.arrive(DispatcherHarness.STREAM, new Job.Size(1000, 100, OptionalInt.empty()), 4000,
 				java.util.OptionalLong.of(7));
 		for (int i = 0; i < 10; i++) {
-			desk.after(110);
+			harness.advance(110);
 		}
-		desk.firstEvent(late);
-		desk.done();
-		desk.after(200);
-		desk.arrive(Desk.STREAM);
-		assertThat(desk.done(), Matchers.contains("Send:old"));
+		harness.firstEvent(late);
+		harness.effectNames();
+		harness.advance(200);
+		harness.arrive(DispatcherHarness.STREAM);
+		assertThat(harness.effectNames(), Matchers.contains("Send:old"));
 	}
 
-	// A request waits longer at its engine than anybody foresaw. Just before the named
-	// version has to be in force it is taken back, and goes to an engine that holds it.
+	// A request that waits longer than predicted is cancelled just before the target
+	// version takes effect and sent to an engine that holds it.
 	@Test
-	void whatHasNotBegunWhenTheVersionBindsIsTakenBack() {
-		Desk desk = oldAndNew();
-		desk.dispatcher.named(new NamedWeights("lm", 2), false, desk.now);
-		desk.after(6750);
-		desk.arrive(Desk.STREAM);
-		assertThat(desk.done(), Matchers.contains("Send:old"));
-		desk.with(onNewWeights());
+	void requestThatMissesStartDeadlineIsRetriedElsewhere() {
+		DispatcherHarness harness = withOlderWeights();
+		harness.dispatcher.named(new NamedWeights("lm", 2), false, harness.nowNanos);
+		harness.advance(6750);
+		harness.arrive(DispatcherHarness.STREAM);
+		assertThat(harness.effectNames(), Matchers.contains("Send:old"));
+		harness.register(engineWithTargetWeights());
 		for (int i = 0; i < 58; i++) {
-			desk.after(20);
+			harness.advance(20);
 		}
-		assertThat(desk.done(), Matchers.contains("Stop", "Send:new"));
+		assertThat(harness.effectNames(), Matchers.contains("Stop", "Send:new"));
 	}
 
-	// The same with a stream that may run once only: it may have begun this moment, so it
-	// ends as one that may have run.
+	// The request may have just started, so it is not sent to another engine.
 	@Test
-	void whatMayRunOnceOnlyIsEndedInstead() {
-		Desk desk = oldAndNew();
-		desk.dispatcher.named(new NamedWeights("lm", 2), false, desk.now);
-		desk.after(6750);
-		desk.arrive(Desk.STREAM_ONCE);
-		desk.done();
+	void nonRepeatableRequestThatMissesStartDeadlineFails() {
+		DispatcherHarness harness = withOlderWeights();
+		harness.dispatcher.named(new NamedWeights("lm", 2), false, harness.nowNanos);
+		harness.advance(6750);
+		harness.arrive(DispatcherHarness.STREAM_ONCE);
+		harness.effectNames();
 		for (int i = 0; i < 58; i++) {
-			desk.after(20);
+			harness.advance(20);
 		}
-		assertThat(desk.done(), Matchers.contains("Stop", "Fail:run-broken"));
+		assertThat(harness.effectNames(), Matchers.contains("Stop", "Fail:run-broken"));
 	}
 
-	// The engine has changed over while the request waited: it begins on the new weights.
+	// The engine switched while the request waited, so the request starts on the target
+	// version.
 	@Test
-	void whatBeginsOnTheNewWeightsIsLeftWhereItIs() {
-		Desk desk = oldAndNew();
-		desk.dispatcher.named(new NamedWeights("lm", 2), false, desk.now);
-		desk.after(6750);
-		desk.arrive(Desk.STREAM);
-		desk.done();
-		desk.dispatcher.agentSays(Desk.engine("old").address(),
+	void requestAtEngineThatHasSwitchedIsNotCancelled() {
+		DispatcherHarness harness = withOlderWeights();
+		harness.dispatcher.named(new NamedWeights("lm", 2), false, harness.nowNanos);
+		harness.advance(6750);
+		harness.arrive(DispatcherHarness.STREAM);
+		harness.effectNames();
+		harness.dispatcher.agentSays(DispatcherHarness.engine("old").address(),
 				new EngineWord(OptionalInt.of(2), false, java.util.OptionalLong.empty(), RunnerStart.UNKNOWN),
-				desk.now);
+				harness.nowNanos);
 		for (int i = 0; i < 58; i++) {
-			desk.after(20);
+			harness.advance(20);
 		}
-		assertThat(desk.done(), Matchers.empty());
+		assertThat(harness.effectNames(), Matchers.empty());
 	}
 
-	// A stream on the older weights breaks off when the newer ones bind. Gone on with
-	// elsewhere it would begin anew on weights that are no longer accepted.
+	// Failure: a stream that breaks when the target version takes effect is resumed from
+	// the start on the superseded version.
 	@Test
-	void aBrokenStreamIsNotResumedOnWeightsThatAreOver() {
-		Desk desk = oldAndNew().with(Desk.engine("old-too"));
-		desk.dispatcher.named(new NamedWeights("lm", 2), false, desk.now);
-		desk.after(5000);
-		Job job = desk.arrive(Desk.STREAM);
+	void brokenStreamIsNotResumedOnSupersededWeights() {
+		DispatcherHarness harness = withOlderWeights().register(DispatcherHarness.engine("old-too"));
+		harness.dispatcher.named(new NamedWeights("lm", 2), false, harness.nowNanos);
+		harness.advance(5000);
+		Job job = harness.arrive(DispatcherHarness.STREAM);
 		job.begunOn(OptionalInt.of(1));
-		desk.firstEvent(job);
-		desk.done();
+		harness.firstEvent(job);
+		harness.effectNames();
 		for (int i = 0; i < 10; i++) {
-			desk.after(200);
-			job.progressed(1, java.util.Optional.of("2"), desk.now);
+			harness.advance(200);
+			job.progressed(1, java.util.Optional.of("2"), harness.nowNanos);
 		}
-		desk.ended(job, Outcome.BROKEN);
+		harness.ended(job, Outcome.BROKEN);
 		for (int i = 0; i < 20; i++) {
-			desk.after(20);
+			harness.advance(20);
 		}
-		assertThat(desk.done(), Matchers.contains("Fail:run-broken"));
+		assertThat(harness.effectNames(), Matchers.contains("Fail:run-broken"));
 	}
 
 }
--- /dev/null
+++ b/policy/src/test/java/org/wisteriapost/policy/dispatch/WeightsSwitchTests.java
@@ -0,0 +1,65 @@
+package org.wisteriapost.policy.dispatch;
+
+import java.util.List;
+import java.util.OptionalInt;
+import java.util.OptionalLong;
+
+import org.hamcrest.Matchers;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import org.wisteriapost.policy.fleet.RunnerInfo;
+import org.wisteriapost.policy.fleet.RunnerStart;
+
+import static org.hamcrest.MatcherAssert.assertThat;
+
+class WeightsSwitchTests {
+
+	private final RunnerInfo switching = DispatcherHarness.engine("e1");
+
+	private final RunnerInfo serving = DispatcherHarness.engine("e2");
+
+	private final DispatcherHarness harness = new DispatcherHarness().register(this.switching, this.serving);
+
+	private void scheduleSwitch(RunnerInfo engine, long inMillis) {
+		this.harness.dispatcher.agentSays(engine.address(),
+				new EngineWord(OptionalInt.of(1), false,
+						OptionalLong.of(this.harness.nowNanos + inMillis * DispatcherHarness.NANOS_PER_MILLI),
+						RunnerStart.UNKNOWN),
+				this.harness.nowNanos);
+	}
+
+	private List<String> arrive(int answerTokens) {
+		this.harness.arrive(DispatcherHarness.STREAM, new Job.Size(500, 250, OptionalInt.of(answerTokens)), 6000);
+		return this.harness.effectNames();
+	}
+
+	// A long response would delay the weights switch of the less busy engine, with its
+	// other slots empty. A short one ends before the switch.
+	@ParameterizedTest
+	@CsvSource({ "20,Send:e1", "250,Send:e2" })
+	void engineGetsOnlyRequestsThatEndBeforeItsSwitch(int answerTokens, String sent) {
+		this.harness.reportPeerLoad("e2", new PeerLoad(8, 2, 2000));
+		scheduleSwitch(this.switching, 900);
+		assertThat(arrive(answerTokens), Matchers.contains(sent));
+	}
+
+	// A delayed weights switch is better than a refused request.
+	@Test
+	void longResponseIsSentWhenAllEnginesSwitchSoon() {
+		scheduleSwitch(this.switching, 400);
+		scheduleSwitch(this.serving, 500);
+		assertThat(arrive(250), Matchers.contains(Matchers.startsWith("Send")));
+	}
+
+	@Test
+	void engineGetsLongResponsesAfterItsSwitch() {
+		scheduleSwitch(this.switching, 300);
+		this.harness.dispatcher.agentSays(this.switching.address(),
+				new EngineWord(OptionalInt.of(2), false, OptionalLong.empty(), RunnerStart.UNKNOWN),
+				this.harness.nowNanos);
+		this.harness.reportPeerLoad("e2", new PeerLoad(8, 2, 2000));
+		assertThat(arrive(250), Matchers.contains("Send:e1"));
+	}
+
+}
