--- a/policy/src/main/java/org/wisteriapost/policy/transfer/LinkShare.java
+++ b/policy/src/main/java/org/wisteriapost/policy/transfer/LinkShare.java
@@ -1,33 +1,34 @@
 package org.wisteriapost.policy.transfer;
 
 /**
- * Returns how much of a VM's link weights may use.
+ * Computes how much of a VM's link weight transfers may use.
  *
- * Made for a roll beside live traffic at its peak: answers come first, so the share sinks
- * from one bound to the other as they get later. It never reaches zero, for a roll that
- * stands still would keep two versions in service without end.
+ * While weights are rolled out under peak load, responses to callers take precedence: the
+ * share falls from one bound to the other as responses become late. It never reaches
+ * zero, since a stopped rollout would keep two versions in service indefinitely.
  *
- * @param linkBytesPerSecond what the link carries; 0 for no limit
- * @param calm share while answers are in time
- * @param late share while every answer is late
+ * @param linkBytesPerSecond capacity of the link; 0 for no limit
+ * @param calm share while responses are in time
+ * @param late share while every response is late
  */
 public record LinkShare(double linkBytesPerSecond, double calm, double late) {
 
-	// The rest is for heads, acknowledgements and control.
-	private static final double IDLE = 0.97;
+	// The rest is left for message headers, acknowledgements and control traffic.
+	private static final double IDLE_SHARE = 0.97;
 
 	/**
-	 * Returns the bytes per second while there is no live traffic.
+	 * Returns the bytes per second for a VM without live traffic.
 	 *
-	 * Made for engines that hold no weights: there is nothing on their links to spare,
-	 * and the traffic that they would take is refused until they hold all.
+	 * Used for engines that hold no weights: they are sent no requests until all weights
+	 * are held, so nothing needs to be reserved for responses.
 	 */
 	public double idleRate() {
-		return this.linkBytesPerSecond * IDLE;
+		return this.linkBytesPerSecond * IDLE_SHARE;
 	}
 
 	/**
-	 * Returns the bytes per second for a lateness from 0, calm, to 1.
+	 * Returns the bytes per second for a lateness from 0 (all responses in time) to 1
+	 * (all late).
 	 */
 	public double rate(double lateness) {
 		double bounded = Math.clamp(lateness, 0, 1);
--- a/policy/src/main/java/org/wisteriapost/policy/transfer/LocalCopies.java
+++ b/policy/src/main/java/org/wisteriapost/policy/transfer/LocalCopies.java
@@ -10,8 +10,8 @@
 import org.wisteriapost.policy.bundle.WeightFile;
 
 /**
- * Which pieces of a fetch need no link at all, because another file in the VM's store has
- * the same content: what did not change between two versions.
+ * Finds chunks of a fetch that can be copied within the VM's store because another file
+ * holds the same content, such as chunks that did not change between two versions.
  */
 public final class LocalCopies {
 
@@ -19,9 +19,9 @@
 	}
 
 	/**
-	 * Returns a copy for each wanted piece whose content is held in another file.
+	 * Returns a copy for each wanted chunk whose content is held in another file.
 	 * @param held files with the chunks that are held of each
-	 * @param have pieces that are held already
+	 * @param have chunks that are already held
 	 */
 	public static List<Copy> plan(Pieces wanted, Collection<HeldFile> held, BitSet have) {
 		Map<String, Copy> byHash = new HashMap<>();
@@ -32,17 +32,17 @@
 						new Copy(file.digest(), index, -1)));
 		}
 		List<Copy> copies = new ArrayList<>();
-		for (int piece = have.nextClearBit(0); piece < wanted.count(); piece = have.nextClearBit(piece + 1)) {
-			Copy source = byHash.get(wanted.hash(piece));
+		for (int chunk = have.nextClearBit(0); chunk < wanted.count(); chunk = have.nextClearBit(chunk + 1)) {
+			Copy source = byHash.get(wanted.hash(chunk));
 			if (source != null) {
-				copies.add(new Copy(source.digest(), source.index(), piece));
+				copies.add(new Copy(source.digest(), source.index(), chunk));
 			}
 		}
 		return copies;
 	}
 
 	/**
-	 * A file in the store.
+	 * A file in the store with the chunks that are held.
 	 *
 	 * @param file its manifest
 	 * @param digest its digest
@@ -52,11 +52,11 @@
 	}
 
 	/**
-	 * One chunk to copy within the store.
+	 * A chunk to copy within the store.
 	 *
-	 * @param digest of the file that has it
-	 * @param index of the chunk there
-	 * @param piece where it is wanted
+	 * @param digest digest of the source file
+	 * @param index index of the chunk in the source file
+	 * @param piece the chunk of the fetch that it is copied to
 	 */
 	public record Copy(String digest, int index, int piece) {
 	}
--- a/policy/src/main/java/org/wisteriapost/policy/transfer/Pacer.java
+++ b/policy/src/main/java/org/wisteriapost/policy/transfer/Pacer.java
@@ -1,16 +1,15 @@
 package org.wisteriapost.policy.transfer;
 
 /**
- * Keeps a stream of bytes under a rate: a bucket that fills with time. Used by one
- * thread.
+ * A token bucket that limits the rate of a byte stream. Used by one thread.
  *
- * It stands on both ways of the link, so that weights leave the rest of it to live
- * traffic. The bucket holds a fraction of a second: enough to bridge the gaps between
- * ticks, too little for a burst that live answers would notice.
+ * It limits weight transfers in both directions of the link, so that the rest of the link
+ * is left for live traffic. Its capacity is a fraction of a second: enough to bridge the
+ * gaps between ticks, too little for a burst that delays responses to callers.
  */
 public final class Pacer {
 
-	private static final double NANOS = 1e9;
+	private static final double NANOS_PER_SECOND = 1e9;
 
 	private final double burstSeconds;
 
@@ -18,22 +17,22 @@
 
 	private double tokens;
 
-	private long last;
+	private long refilledNanos;
 
 	private Pacer(double burstSeconds) {
 		this.burstSeconds = burstSeconds;
 	}
 
 	/**
-	 * Returns a pacer that lets everything pass until a rate is set.
-	 * @param burstSeconds how long a pause it makes up for
+	 * Returns a bucket without a limit; {@link #rate} sets one.
+	 * @param burstSeconds the capacity, in seconds at the current rate
 	 */
 	public static Pacer create(double burstSeconds) {
 		return new Pacer(burstSeconds);
 	}
 
 	/**
-	 * Sets the rate, 0 for none.
+	 * Sets the rate; 0 for no limit.
 	 */
 	public void rate(double bytesPerSecond, long nowNanos) {
 		refill(nowNanos);
@@ -41,28 +40,29 @@
 	}
 
 	/**
-	 * Returns how long to wait before the next bytes may pass, 0 for not at all.
+	 * Returns how long to wait before more bytes may be sent; 0 when they may be sent
+	 * now.
 	 */
 	public long delayNanos(long nowNanos) {
 		refill(nowNanos);
 		if (this.bytesPerSecond <= 0 || this.tokens > 0) {
 			return 0;
 		}
-		return (long) Math.ceil((1 - this.tokens) / this.bytesPerSecond * NANOS);
+		return (long) Math.ceil((1 - this.tokens) / this.bytesPerSecond * NANOS_PER_SECOND);
 	}
 
 	/**
-	 * Counts bytes that pass; what is over the bucket is owed by those that follow.
+	 * Consumes tokens. The balance may become negative and delays the following bytes.
 	 */
 	public void take(int bytes) {
 		this.tokens -= bytes;
 	}
 
 	private void refill(long nowNanos) {
-		double most = this.bytesPerSecond * this.burstSeconds;
-		double grown = this.tokens + (nowNanos - this.last) / NANOS * this.bytesPerSecond;
-		this.tokens = (this.bytesPerSecond <= 0) ? 0 : Math.min(most, grown);
-		this.last = nowNanos;
+		double capacity = this.bytesPerSecond * this.burstSeconds;
+		double refilled = this.tokens + (nowNanos - this.refilledNanos) / NANOS_PER_SECOND * this.bytesPerSecond;
+		this.tokens = (this.bytesPerSecond <= 0) ? 0 : Math.min(capacity, refilled);
+		this.refilledNanos = nowNanos;
 	}
 
 }
--- a/policy/src/main/java/org/wisteriapost/policy/transfer/Peer.java
+++ b/policy/src/main/java/org/wisteriapost/policy/transfer/Peer.java
@@ -1,7 +1,7 @@
 package org.wisteriapost.policy.transfer;
 
 /**
- * Another VM that needs the same files.
+ * Another VM that fetches or holds the same files.
  *
  * @param vm its name
  * @param place its failure domain
--- a/policy/src/main/java/org/wisteriapost/policy/transfer/PeerRequests.java
+++ b/policy/src/main/java/org/wisteriapost/policy/transfer/PeerRequests.java
@@ -9,28 +9,28 @@
 import org.wisteriapost.kernel.Invariants;
 
 /**
- * What is asked of peers, part by part, and what becomes of it.
+ * Requests chunks from peers, part by part, and handles the responses.
  */
 final class PeerRequests {
 
-	// What may be made up for after a pause: long enough for the gap between ticks.
+	// Bridges the gap between two ticks.
 	private static final double BURST_SECONDS = 0.1;
 
-	private final Pieces pieces;
+	private final Pieces chunks;
 
 	private final TransferLimits limits;
 
 	private final Invariants invariants;
 
-	private final Holdings holdings;
+	private final LocalChunks localChunks;
 
-	private final Neighbourhood neighbours;
+	private final PeerConnections connections;
 
-	private final PieceChoice choice;
+	private final ChunkSelector selector;
 
-	private final Deadline deadline;
+	private final RequestTimeout timeout;
 
-	private final IntConsumer reopen;
+	private final IntConsumer makeRequestable;
 
 	private final RequestWindow window;
 
@@ -39,198 +39,200 @@
 	private int partBytes = PartSize.of(0);
 
 	/**
-	 * Returns requests of which none is made yet.
-	 * @param reopen hears that a piece is not to come from a peer any more
+	 * Creates an instance without pending requests.
+	 * @param makeRequestable called with each chunk that no longer comes from a peer
 	 */
-	PeerRequests(Pieces pieces, TransferLimits limits, Invariants invariants, Holdings holdings,
-			Neighbourhood neighbours, PieceChoice choice, Deadline deadline, IntConsumer reopen) {
-		this.pieces = pieces;
+	PeerRequests(Pieces chunks, TransferLimits limits, Invariants invariants, LocalChunks localChunks,
+			PeerConnections connections, ChunkSelector selector, RequestTimeout timeout, IntConsumer makeRequestable) {
+		this.chunks = chunks;
 		this.limits = limits;
 		this.invariants = invariants;
-		this.holdings = holdings;
-		this.neighbours = neighbours;
-		this.choice = choice;
-		this.deadline = deadline;
-		this.reopen = reopen;
+		this.localChunks = localChunks;
+		this.connections = connections;
+		this.selector = selector;
+		this.timeout = timeout;
+		this.makeRequestable = makeRequestable;
 		this.window = new RequestWindow(limits.outstanding());
 	}
 
 	/**
-	 * Sets how fast pieces may come in.
+	 * Sets the rate at which chunks may be received.
 	 * @param bytesPerSecond 0 for no limit
 	 */
-	void rate(double bytesPerSecond, long now) {
+	void setRate(double bytesPerSecond, long now) {
 		this.pacer.rate(bytesPerSecond, now);
 		this.partBytes = PartSize.of(bytesPerSecond);
 	}
 
 	/**
-	 * Returns how long to wait before more may be asked for, 0 for not at all.
+	 * Returns how long to wait before more may be requested; 0 when it may be now.
 	 */
 	long delayNanos(long now) {
 		return this.pacer.delayNanos(now);
 	}
 
 	/**
-	 * Counts bytes that were asked of another than a peer.
+	 * Counts bytes that were requested from the origin against the rate.
 	 */
-	void others(int bytes) {
+	void countOriginBytes(int bytes) {
 		this.pacer.take(bytes);
 	}
 
 	/**
-	 * Returns whether the link has turned out to be narrow.
+	 * Returns whether responses show that the link has little capacity.
 	 */
-	boolean narrow() {
-		return this.window.narrow();
+	boolean isLinkNarrow() {
+		return this.window.isLinkNarrow();
 	}
 
 	/**
-	 * Asks for as much as may be on its way.
-	 * @param fromAfar the pieces that may be asked of VMs in other places
+	 * Sends requests up to the limits of rate and requests in flight.
+	 * @param crossDomain the chunks that may be requested from other failure domains
 	 */
-	void fill(BitSet fromAfar, long now, List<TransferEffect> effects) {
-		Optional<PieceChoice.Choice> next = next(fromAfar, now);
+	void sendRequests(BitSet crossDomain, long now, List<TransferEffect> effects) {
+		Optional<ChunkSelector.Selection> next = next(crossDomain, now);
 		while (next.isPresent()) {
-			ask(next.get().peer(), next.get().piece(), now, effects);
-			next = next(fromAfar, now);
+			request(next.get().peer(), next.get().chunk(), now, effects);
+			next = next(crossDomain, now);
 		}
 	}
 
 	/**
-	 * Goes on with a piece of which a part has come. One that was given up and comes
-	 * after all is gone on with, unless it has meanwhile been asked for elsewhere.
+	 * Continues a chunk of which a part was received. An abandoned request that is
+	 * answered late is continued too, unless the chunk has been requested elsewhere
+	 * meanwhile.
 	 */
-	void partCame(PeerState peer, TransferEvent.PartCame part, long now, List<TransferEffect> effects) {
-		int piece = part.piece();
-		boolean wanted = peer.asked(piece, part.end()) || this.holdings.open().get(piece);
-		peer.heard(now);
-		peer.answered(piece, part.end()).ifPresent((ask) -> took(peer, ask, now));
-		if (wanted && this.holdings.missing(piece)) {
-			this.holdings.asked(piece);
-			peer.begun().put(piece, part.end());
+	void onPartReceived(PeerState peer, TransferEvent.PartCame part, long now, List<TransferEffect> effects) {
+		int chunk = part.piece();
+		boolean expected = peer.isPending(chunk, part.end()) || this.localChunks.requestable().get(chunk);
+		peer.recordResponse(now);
+		peer.removePending(chunk, part.end()).ifPresent((request) -> recordResponseTime(peer, request, now));
+		if (expected && this.localChunks.missing(chunk)) {
+			this.localChunks.markRequested(chunk);
+			peer.partial().put(chunk, part.end());
 		}
-		else if (!peer.brings(piece)) {
-			effects.add(new TransferEffect.Drop(peer.vm(), piece));
+		else if (!peer.isSourceOf(chunk)) {
+			effects.add(new TransferEffect.Drop(peer.vm(), chunk));
 		}
 	}
 
-	/**
-	 * Notes how long an answer took.
-	 */
-	void took(PeerState peer, PeerState.Ask ask, long now) {
-		boolean inTime = now - ask.at() <= this.deadline.nanos();
+	void recordResponseTime(PeerState peer, PeerState.PendingRequest request, long now) {
+		boolean inTime = now - request.sentAt() <= this.timeout.timeoutNanos();
 		if (inTime) {
-			peer.inTime();
+			peer.recordOnTime();
 		}
-		// What comes late over a link of this VM that is wide tells of the peer alone.
-		if (inTime || narrow()) {
-			this.deadline.answered(now - ask.at());
+		// A late response while the local link is fast is caused by the peer and says
+		// nothing about other peers.
+		if (inTime || isLinkNarrow()) {
+			this.timeout.recordResponseTime(now - request.sentAt());
 		}
-		this.window.answered(now - ask.at(), now);
+		this.window.recordResponseTime(now - request.sentAt(), now);
 	}
 
 	/**
-	 * Gives up all that is asked of a peer. What has come of a piece is kept where the
-	 * next part may still come.
+	 * Abandons all requests to a peer and discards the parts received from it, except for
+	 * requested parts that may still be answered.
 	 */
-	void release(PeerState peer, List<TransferEffect> effects) {
-		peer.begun().keySet().forEach((piece) -> effects.add(new TransferEffect.Drop(peer.vm(), piece)));
-		for (int piece : peer.release()) {
-			this.reopen.accept(piece);
+	void abandonRequests(PeerState peer, List<TransferEffect> effects) {
+		peer.partial().keySet().forEach((chunk) -> effects.add(new TransferEffect.Drop(peer.vm(), chunk)));
+		for (int chunk : peer.abandonRequests()) {
+			this.makeRequestable.accept(chunk);
 		}
 	}
 
 	/**
-	 * Hears that a peer gives no more of a piece now.
+	 * Handles a refusal: backs off from a busy peer, and no longer requests the chunk
+	 * from a peer that does not hold it.
 	 */
-	void refused(PeerState peer, TransferEvent.Refused refused, long now, List<TransferEffect> effects) {
-		int piece = refused.piece();
-		peer.heard(now);
-		int come = peer.answered(piece).map(PeerState.Ask::offset).orElse(0);
+	void onRefused(PeerState peer, TransferEvent.Refused refused, long now, List<TransferEffect> effects) {
+		int chunk = refused.piece();
+		peer.recordResponse(now);
+		int received = peer.removePending(chunk).map(PeerState.PendingRequest::offset).orElse(0);
 		if (refused.busy()) {
-			peer.pause(now + this.deadline.busyNanos());
+			peer.pause(now + this.timeout.busyBackoffNanos());
 		}
-		else if (peer.has().get(piece)) {
-			this.neighbours.forget(peer, piece);
+		else if (peer.held().get(chunk)) {
+			this.connections.removeHeld(peer, chunk);
 		}
-		boolean begun = come > 0 && this.holdings.missing(piece) && !this.holdings.open().get(piece);
-		if (refused.busy() && begun && peer.mayAskAgain(piece)) {
-			peer.begun().put(piece, come);
+		boolean resumable = received > 0 && this.localChunks.missing(chunk)
+				&& !this.localChunks.requestable().get(chunk);
+		if (refused.busy() && resumable && peer.mayRetryAfterBusy(chunk)) {
+			peer.partial().put(chunk, received);
 			return;
 		}
-		effects.add(new TransferEffect.Drop(peer.vm(), piece));
-		this.reopen.accept(piece);
+		effects.add(new TransferEffect.Drop(peer.vm(), chunk));
+		this.makeRequestable.accept(chunk);
 	}
 
 	/**
-	 * Forgets what has come of a piece that is here whole.
+	 * Discards the received parts of a chunk that is complete.
 	 */
-	void drop(int piece, List<TransferEffect> effects) {
-		for (PeerState peer : this.neighbours.all()) {
-			if (peer.begun().remove(piece) != null) {
-				effects.add(new TransferEffect.Drop(peer.vm(), piece));
+	void discardParts(int chunk, List<TransferEffect> effects) {
+		for (PeerState peer : this.connections.all()) {
+			if (peer.partial().remove(chunk) != null) {
+				effects.add(new TransferEffect.Drop(peer.vm(), chunk));
 			}
 		}
 	}
 
 	/**
-	 * Gives up what has not come in time.
+	 * Abandons requests that have timed out.
 	 */
 	void tick(long now, List<TransferEffect> effects) {
-		long limit = this.deadline.nanos();
-		for (PeerState peer : this.neighbours.all()) {
-			boolean late = peer.asks().values().stream().anyMatch((ask) -> now - ask.at() > limit);
+		long limit = this.timeout.timeoutNanos();
+		for (PeerState peer : this.connections.all()) {
+			boolean late = peer.pending().values().stream().anyMatch((request) -> now - request.sentAt() > limit);
 			if (late) {
-				this.window.late(now);
-				release(peer, effects);
-				this.neighbours.discount(peer);
-				if (peer.silent(now, limit)) {
+				this.window.recordLate(now);
+				abandonRequests(peer, effects);
+				this.connections.stopCounting(peer);
+				if (peer.recordTimeout(now, limit)) {
 					effects.add(new TransferEffect.Notice(TransferMachine.PEER_STALLED, peer.vm(), 0));
 				}
 			}
 		}
 	}
 
-	private Optional<PieceChoice.Choice> next(BitSet fromAfar, long now) {
-		if (this.neighbours.outstanding() >= room(now) || this.pacer.delayNanos(now) > 0) {
+	private Optional<ChunkSelector.Selection> next(BitSet crossDomain, long now) {
+		if (this.connections.pendingRequests() >= freeCapacity(now) || this.pacer.delayNanos(now) > 0) {
 			return Optional.empty();
 		}
-		Optional<PieceChoice.Choice> begun = nextBegun(now);
-		if (begun.isPresent() || this.neighbours.begun() + this.holdings.beingStored() >= this.limits.outstanding()) {
-			return begun;
+		Optional<ChunkSelector.Selection> partial = nextPartial(now);
+		if (partial.isPresent()
+				|| this.connections.chunksInProgress() + this.localChunks.storingCount() >= this.limits.outstanding()) {
+			return partial;
 		}
-		return this.choice.next(this.holdings.open(), this.neighbours.all(), fromAfar, now);
+		return this.selector.next(this.localChunks.requestable(), this.connections.all(), crossDomain, now);
 	}
 
-	// Load: all that is asked for takes longer than the deadline, for the link is full.
-	// Harm prevented: what is given up still comes, and asked for anew beside it the link
-	// stays full for good. It counts as on its way; one part always may be asked for, so
-	// that a peer that never answers does not stop the fetch.
-	private int room(long now) {
-		return Math.max(1, this.window.size() - this.neighbours.owed(now));
+	// Abandoned requests may still be answered and keep using the link. Without counting
+	// them as in flight, a link that is already saturated would stay so. One part may
+	// always be requested, so that a peer that never answers does not stop the fetch.
+	private int freeCapacity(long now) {
+		return Math.max(1, this.window.size() - this.connections.abandonedRequests(now));
 	}
 
-	private void ask(PeerState peer, int piece, long now, List<TransferEffect> effects) {
-		this.invariants.holds(this.holdings.missing(piece), "asked-only-what-is-missing", "piece " + piece);
-		this.holdings.asked(piece);
-		int offset = peer.begun().getOrDefault(piece, 0);
-		int end = Math.min(this.pieces.length(piece), offset + this.partBytes);
-		peer.ask(piece, end, now);
+	private void request(PeerState peer, int chunk, long now, List<TransferEffect> effects) {
+		this.invariants.holds(this.localChunks.missing(chunk), "asked-only-what-is-missing", "chunk " + chunk);
+		this.localChunks.markRequested(chunk);
+		int offset = peer.partial().getOrDefault(chunk, 0);
+		int end = Math.min(this.chunks.length(chunk), offset + this.partBytes);
+		peer.addPending(chunk, end, now);
 		this.pacer.take(end - offset);
-		boolean last = end == this.pieces.length(piece);
-		effects.add(new TransferEffect.Request(peer.vm(), piece, offset, last ? 0 : end - offset));
-	}
-
-	// What is nearest to its end goes on first: others can only ask for what is whole.
-	private Optional<PieceChoice.Choice> nextBegun(long now) {
-		PieceChoice.Choice nearest = null;
-		int most = 0;
-		for (PeerState peer : this.neighbours.all()) {
-			for (Map.Entry<Integer, Integer> begun : peer.begun().entrySet()) {
-				if (peer.ready(now) && begun.getValue() > most) {
-					most = begun.getValue();
-					nearest = new PieceChoice.Choice(peer, begun.getKey());
+		boolean last = end == this.chunks.length(chunk);
+		effects.add(new TransferEffect.Request(peer.vm(), chunk, offset, last ? 0 : end - offset));
+	}
+
+	// Chunks closest to completion are continued first, since only complete chunks can
+	// be served to other peers.
+	private Optional<ChunkSelector.Selection> nextPartial(long now) {
+		ChunkSelector.Selection nearest = null;
+		int mostReceived = 0;
+		for (PeerState peer : this.connections.all()) {
+			for (Map.Entry<Integer, Integer> partial : peer.partial().entrySet()) {
+				if (peer.acceptsRequests(now) && partial.getValue() > mostReceived) {
+					mostReceived = partial.getValue();
+					nearest = new ChunkSelector.Selection(peer, partial.getKey());
 				}
 			}
 		}
--- a/policy/src/main/java/org/wisteriapost/policy/transfer/PeerState.java
+++ b/policy/src/main/java/org/wisteriapost/policy/transfer/PeerState.java
@@ -11,293 +11,285 @@
 import java.util.Set;
 
 /**
- * What is known of one neighbour.
+ * The state of one connected peer: what it holds, what is requested from it, and whether
+ * it responds.
  */
 final class PeerState {
 
-	/** Silent deadlines in a row after which a peer counts as failing. */
-	private static final int FAILING_STRIKES = 1;
+	// Consecutive timeouts after which a peer counts as failing.
+	private static final int FAILING_TIMEOUTS = 1;
 
-	private static final int MOST_DOUBLINGS = 5;
+	private static final int MAX_DOUBLINGS = 5;
 
 	private static final long NEVER = Long.MAX_VALUE;
 
 	private static final long LONG_AGO = Long.MIN_VALUE / 2;
 
-	// Load: a peer's link carries a tenth of what it is declared to. Harm prevented: what
-	// it alone holds is waited for by all, for it is heard again and again and so seems
-	// well; no VM but it reads those pieces from the origin. Until it has brought a part
-	// in time, or for so long after the last that was late, others do not count on it.
-	private static final long SLOW_NANOS = Duration.ofSeconds(2).toNanos();
+	// A peer whose link has a tenth of its declared capacity still responds now and
+	// then, and so would count as healthy: no other VM would read the chunks assigned to
+	// it from the origin, and all would wait for them. For this long after its last late
+	// response, or until it sends a part in time, other VMs take over its chunks.
+	private static final long SLOW_PERIOD_NANOS = Duration.ofSeconds(2).toNanos();
 
-	// A naming reaches all VMs within a second. Until then those that began first would
-	// read what the others are about to read.
-	private static final long IDLE_NANOS = Duration.ofSeconds(1).toNanos();
+	// A new target version reaches all VMs within a second. Without the grace period the
+	// VMs that receive it first would read the chunks that the others are about to read.
+	private static final long NOT_FETCHING_GRACE_NANOS = Duration.ofSeconds(1).toNanos();
 
 	private final Peer peer;
 
-	private final boolean near;
+	private final boolean sameFailureDomain;
 
-	private final BitSet has = new BitSet();
+	private final BitSet held = new BitSet();
 
-	// How long a part that was given up counts as still on its way: by then its link is
-	// dead or the part as good as lost.
-	private static final long OWED_NANOS = Duration.ofSeconds(10).toNanos();
+	// How long an abandoned request counts as in flight; afterwards its link is assumed
+	// dead.
+	private static final long ABANDONED_RETENTION_NANOS = Duration.ofSeconds(10).toNanos();
 
-	private final Map<Integer, Ask> asks = new HashMap<>();
+	private final Map<Integer, PendingRequest> pending = new HashMap<>();
 
-	// Pieces of which parts have come, with the bytes that have, while nothing is asked.
-	private final Map<Integer, Integer> begun = new LinkedHashMap<>();
+	// Bytes received of each chunk that is partially received and not being requested.
+	private final Map<Integer, Integer> partial = new LinkedHashMap<>();
 
-	private final Map<Integer, Ask> owed = new HashMap<>();
+	private final Map<Integer, PendingRequest> abandoned = new HashMap<>();
 
-	// Begun pieces for which it was busy when it was asked last.
-	private final Set<Integer> turnedAway = new HashSet<>();
+	// Partially received chunks whose latest request the peer answered with busy.
+	private final Set<Integer> refusedOnce = new HashSet<>();
 
 	private boolean up;
 
 	private boolean down;
 
-	private boolean counted;
+	private boolean countedAsHolder;
 
-	private boolean greeted;
+	private boolean reported;
 
-	private long idleSince = NEVER;
+	private long notFetchingSince = NEVER;
 
 	private long pausedUntil = Long.MIN_VALUE;
 
 	private long distrustedUntil = Long.MIN_VALUE;
 
-	private int strikes;
+	private int timeouts;
 
-	private long lateAt = LONG_AGO;
+	private long lastLateAt = LONG_AGO;
 
 	private int corruptions;
 
-	PeerState(Peer peer, boolean near) {
+	PeerState(Peer peer, boolean sameFailureDomain) {
 		this.peer = peer;
-		this.near = near;
+		this.sameFailureDomain = sameFailureDomain;
 	}
 
 	String vm() {
 		return this.peer.vm();
 	}
 
-	boolean near() {
-		return this.near;
+	boolean sameFailureDomain() {
+		return this.sameFailureDomain;
 	}
 
 	boolean up() {
 		return this.up;
 	}
 
-	BitSet has() {
-		return this.has;
+	BitSet held() {
+		return this.held;
 	}
 
 	/**
-	 * Returns the pieces of which a part is asked of it now.
+	 * Returns the pending requests by chunk.
 	 */
-	Map<Integer, Ask> asks() {
-		return this.asks;
+	Map<Integer, PendingRequest> pending() {
+		return this.pending;
 	}
 
 	/**
-	 * Returns the pieces to go on with, and how many bytes of each have come.
+	 * Returns the chunks to resume, and how many bytes of each were received.
 	 */
-	Map<Integer, Integer> begun() {
-		return this.begun;
+	Map<Integer, Integer> partial() {
+		return this.partial;
 	}
 
 	/**
-	 * Returns whether the part that ends there is asked of it now.
+	 * Returns whether the part that ends at an offset is being requested.
 	 */
-	boolean asked(int piece, int end) {
-		Ask ask = this.asks.get(piece);
-		return ask != null && ask.end() == end;
+	boolean isPending(int chunk, int end) {
+		PendingRequest request = this.pending.get(chunk);
+		return request != null && request.end() == end;
 	}
 
 	/**
-	 * Returns whether a piece is to come from it.
+	 * Returns whether a chunk is being requested or resumed from this peer.
 	 */
-	boolean brings(int piece) {
-		return this.asks.containsKey(piece) || this.begun.containsKey(piece);
+	boolean isSourceOf(int chunk) {
+		return this.pending.containsKey(chunk) || this.partial.containsKey(chunk);
 	}
 
-	void ask(int piece, int end, long now) {
-		int offset = Optional.ofNullable(this.begun.remove(piece)).orElse(0);
-		this.asks.put(piece, new Ask(now, offset, end));
+	void addPending(int chunk, int end, long now) {
+		int offset = Optional.ofNullable(this.partial.remove(chunk)).orElse(0);
+		this.pending.put(chunk, new PendingRequest(now, offset, end));
 	}
 
 	/**
-	 * Takes back the request that a part ends, also one that was given up.
+	 * Removes the request for the part that ends at an offset, also an abandoned one.
 	 */
-	Optional<Ask> answered(int piece, int end) {
-		this.turnedAway.remove(piece);
-		return Optional.ofNullable((asked(piece, end) ? this.asks : this.owed).remove(piece));
+	Optional<PendingRequest> removePending(int chunk, int end) {
+		this.refusedOnce.remove(chunk);
+		return Optional.ofNullable((isPending(chunk, end) ? this.pending : this.abandoned).remove(chunk));
 	}
 
 	/**
-	 * Takes back the request for a piece, also one that was given up.
+	 * Removes the request for a chunk, also an abandoned one.
 	 */
-	Optional<Ask> answered(int piece) {
-		return Optional.ofNullable(this.asks.remove(piece)).or(() -> Optional.ofNullable(this.owed.remove(piece)));
+	Optional<PendingRequest> removePending(int chunk) {
+		return Optional.ofNullable(this.pending.remove(chunk))
+			.or(() -> Optional.ofNullable(this.abandoned.remove(chunk)));
 	}
 
 	/**
-	 * Notes that it was busy for a begun piece, and returns whether it may be asked to go
-	 * on once more. One that stays busy would hold all that it has begun, and nothing
-	 * would be asked of others: what has come of the piece costs less than that.
+	 * Records that the peer was busy for a partially received chunk, and returns whether
+	 * to retry once. A peer that stays busy would otherwise keep all chunks begun with it
+	 * and block requests to others; discarding the received bytes costs less.
 	 */
-	boolean mayAskAgain(int piece) {
-		boolean first = this.turnedAway.add(piece);
-		if (!first) {
-			this.turnedAway.remove(piece);
+	boolean mayRetryAfterBusy(int chunk) {
+		boolean retry = this.refusedOnce.add(chunk);
+		if (!retry) {
+			this.refusedOnce.remove(chunk);
 		}
-		return first;
+		return retry;
 	}
 
 	/**
-	 * Returns how many parts were given up and may still come.
+	 * Returns how many abandoned requests may still be answered.
 	 */
-	int owed(long now) {
-		this.owed.values().removeIf((ask) -> now - ask.at() > OWED_NANOS);
-		return this.owed.size();
+	int abandoned(long now) {
+		this.abandoned.values().removeIf((request) -> now - request.sentAt() > ABANDONED_RETENTION_NANOS);
+		return this.abandoned.size();
 	}
 
 	/**
-	 * Counts the time of each request from now on.
+	 * Restarts the timeout of each pending request.
 	 */
-	void excuse(long now) {
-		this.asks.replaceAll((piece, ask) -> new Ask(now, ask.offset(), ask.end()));
+	void restartTimers(long now) {
+		this.pending.replaceAll((chunk, request) -> new PendingRequest(now, request.offset(), request.end()));
 	}
 
-	/**
-	 * Returns whether what it holds counts among the holders.
-	 */
-	boolean counted() {
-		return this.counted;
+	boolean countedAsHolder() {
+		return this.countedAsHolder;
 	}
 
-	void counted(boolean counts) {
-		this.counted = counts;
+	void countedAsHolder(boolean counted) {
+		this.countedAsHolder = counted;
 	}
 
 	/**
-	 * Returns whether what it holds counts again: it has been heard, and the time of
-	 * distrust after a wrong chunk has ended.
+	 * Returns whether the peer may be counted as a holder again: it has responded, and
+	 * its backoff after a corrupt chunk has ended.
 	 */
-	boolean trustedAgain(long now) {
-		return this.up && !this.counted && this.strikes < FAILING_STRIKES && !slow(now) && now >= this.distrustedUntil;
+	boolean mayCountAgain(long now) {
+		return this.up && !this.countedAsHolder && this.timeouts < FAILING_TIMEOUTS && !slow(now)
+				&& now >= this.distrustedUntil;
 	}
 
 	/**
-	 * Gives up all requests and returns their pieces. What was asked for may still come.
+	 * Abandons all requests and returns their chunks. Abandoned requests may still be
+	 * answered.
 	 */
-	Set<Integer> release() {
-		Set<Integer> pieces = new LinkedHashSet<>(this.asks.keySet());
-		pieces.addAll(this.begun.keySet());
-		this.owed.putAll(this.asks);
-		this.asks.clear();
-		this.begun.clear();
-		this.turnedAway.clear();
-		return pieces;
+	Set<Integer> abandonRequests() {
+		Set<Integer> chunks = new LinkedHashSet<>(this.pending.keySet());
+		chunks.addAll(this.partial.keySet());
+		this.abandoned.putAll(this.pending);
+		this.pending.clear();
+		this.partial.clear();
+		this.refusedOnce.clear();
+		return chunks;
 	}
 
 	/**
-	 * Returns whether it has said what it holds, or cannot.
+	 * Returns whether the peer has reported which chunks it holds, or is unreachable.
 	 */
-	boolean greeted() {
-		return this.greeted || this.down;
+	boolean reported() {
+		return this.reported || this.down;
 	}
 
-	void greeted(boolean said) {
-		this.greeted = said;
+	void reported(boolean reported) {
+		this.reported = reported;
 	}
 
 	/**
-	 * Hears that it neither fetches nor holds what this VM fetches: it reads nothing from
-	 * the origin, whatever its rank.
+	 * Records that the peer neither fetches nor holds these files, so that it reads
+	 * nothing from the origin, whatever its rank.
 	 */
-	void idle(long now) {
-		this.idleSince = Math.min(this.idleSince, now);
+	void markNotFetching(long now) {
+		this.notFetchingSince = Math.min(this.notFetchingSince, now);
 	}
 
-	/**
-	 * Hears that it fetches or holds what this VM fetches.
-	 */
-	void busy() {
-		this.idleSince = NEVER;
+	void markFetching() {
+		this.notFetchingSince = NEVER;
 	}
 
 	void linkUp() {
 		this.up = true;
 		this.down = false;
-		this.strikes = 0;
-		this.lateAt = LONG_AGO;
+		this.timeouts = 0;
+		this.lastLateAt = LONG_AGO;
 		this.pausedUntil = Long.MIN_VALUE;
 	}
 
 	void linkDown(long retryAt) {
 		this.up = false;
 		this.down = true;
-		this.owed.clear();
+		this.abandoned.clear();
 		this.pausedUntil = retryAt;
 	}
 
-	/**
-	 * Returns whether a lost link should be made again now.
-	 */
-	boolean retryDue(long now) {
+	boolean reconnectDue(long now) {
 		return this.down && now >= this.pausedUntil;
 	}
 
 	/**
-	 * Returns whether it may be asked for one more piece.
+	 * Returns whether one more chunk may be requested from the peer.
 	 */
-	boolean askable(long now, int perPeer) {
-		return ready(now) && this.asks.size() + this.begun.size() < perPeer;
+	boolean acceptsNewChunk(long now, int perPeer) {
+		return acceptsRequests(now) && this.pending.size() + this.partial.size() < perPeer;
 	}
 
 	/**
-	 * Returns whether it may be asked at all.
+	 * Returns whether the peer is connected and not in a backoff.
 	 */
-	boolean ready(long now) {
+	boolean acceptsRequests(long now) {
 		return this.up && now >= this.pausedUntil && now >= this.distrustedUntil;
 	}
 
 	/**
-	 * Returns whether others must not count on it.
+	 * Returns whether other VMs take over the chunks assigned to this peer.
 	 */
 	boolean failing(long now) {
-		boolean idle = this.idleSince != NEVER && now - this.idleSince > IDLE_NANOS;
-		return this.down || idle || this.strikes >= FAILING_STRIKES || slow(now) || now < this.distrustedUntil;
+		boolean idle = this.notFetchingSince != NEVER && now - this.notFetchingSince > NOT_FETCHING_GRACE_NANOS;
+		return this.down || idle || this.timeouts >= FAILING_TIMEOUTS || slow(now) || now < this.distrustedUntil;
 	}
 
 	private boolean slow(long now) {
-		return now - this.lateAt < SLOW_NANOS;
+		return now - this.lastLateAt < SLOW_PERIOD_NANOS;
 	}
 
-	/**
-	 * Notes that it has brought a part in time.
-	 */
-	void inTime() {
-		this.lateAt = LONG_AGO;
+	void recordOnTime() {
+		this.lastLateAt = LONG_AGO;
 	}
 
 	/**
-	 * Returns whether this was the silence that made it count as failing.
+	 * Records a timeout and returns whether it made the peer count as failing.
 	 */
-	boolean silent(long now, long deadlineNanos) {
-		this.strikes++;
-		this.lateAt = now;
-		this.pausedUntil = now + (deadlineNanos << Math.min(this.strikes, MOST_DOUBLINGS));
-		return this.strikes == FAILING_STRIKES;
+	boolean recordTimeout(long now, long deadlineNanos) {
+		this.timeouts++;
+		this.lastLateAt = now;
+		this.pausedUntil = now + (deadlineNanos << Math.min(this.timeouts, MAX_DOUBLINGS));
+		return this.timeouts == FAILING_TIMEOUTS;
 	}
 
-	void heard(long now) {
-		if (this.strikes > 0) {
-			this.strikes = 0;
+	void recordResponse(long now) {
+		if (this.timeouts > 0) {
+			this.timeouts = 0;
 			this.pausedUntil = now;
 		}
 	}
@@ -306,22 +298,22 @@
 		this.pausedUntil = Math.max(this.pausedUntil, untilNanos);
 	}
 
-	// A VM with bad memory gives wrong bytes again and again; each costs a chunk's time
-	// on the link. The doubled time keeps it out of this roll, and lets a VM whose one
-	// answer was hit on the way come back.
-	void corrupt(long now, long distrustNanos) {
-		this.distrustedUntil = now + (distrustNanos << Math.min(this.corruptions, MOST_DOUBLINGS));
+	// A VM with faulty memory sends corrupt chunks repeatedly, and each wastes a chunk's
+	// time on the link. The doubling backoff excludes it for the rest of the rollout,
+	// while a VM whose single response was damaged in transit returns.
+	void recordCorruption(long now, long distrustNanos) {
+		this.distrustedUntil = now + (distrustNanos << Math.min(this.corruptions, MAX_DOUBLINGS));
 		this.corruptions++;
 	}
 
 	/**
-	 * One request without an answer.
+	 * A request without a response.
 	 *
-	 * @param at when it was made
-	 * @param offset bytes that had come before
-	 * @param end bytes that will have come with its answer
+	 * @param sentAt when it was sent
+	 * @param offset bytes of the chunk received before
+	 * @param end bytes of the chunk received with its response
 	 */
-	record Ask(long at, int offset, int end) {
+	record PendingRequest(long sentAt, int offset, int end) {
 	}
 
 }
--- a/policy/src/main/java/org/wisteriapost/policy/transfer/Pieces.java
+++ b/policy/src/main/java/org/wisteriapost/policy/transfer/Pieces.java
@@ -10,7 +10,7 @@
 import org.wisteriapost.policy.bundle.WeightFile;
 
 /**
- * The chunks of several files under one numbering. Immutable.
+ * Numbers the chunks of several files consecutively. Immutable.
  */
 public final class Pieces {
 
@@ -41,40 +41,34 @@
 	}
 
 	/**
-	 * Returns the numbering of some files, in their order. A file that stands twice is
-	 * taken once.
+	 * Returns the numbering of some files, in their order. Duplicate files are included
+	 * once.
 	 */
 	public static Pieces of(List<WeightFile> files) {
-		Map<String, WeightFile> once = new HashMap<>();
-		return new Pieces(files.stream().filter((file) -> once.putIfAbsent(file.digest(), file) == null).toList());
+		Map<String, WeightFile> byDigest = new HashMap<>();
+		return new Pieces(files.stream().filter((file) -> byDigest.putIfAbsent(file.digest(), file) == null).toList());
 	}
 
-	/**
-	 * Returns how many pieces there are.
-	 */
 	public int count() {
 		return this.count;
 	}
 
 	/**
-	 * Returns the files, each once.
+	 * Returns the files without duplicates.
 	 */
 	public List<WeightFile> files() {
 		return this.files;
 	}
 
-	/**
-	 * Returns the file that a piece belongs to.
-	 */
-	public WeightFile file(int piece) {
-		return this.files.get(fileNumber(piece));
+	public WeightFile file(int chunk) {
+		return this.files.get(fileNumber(chunk));
 	}
 
 	/**
-	 * Returns the digest of the file that a piece belongs to.
+	 * Returns the digest of the file that a chunk belongs to.
 	 */
-	public String digest(int piece) {
-		return this.digests.get(fileNumber(piece));
+	public String digest(int chunk) {
+		return this.digests.get(fileNumber(chunk));
 	}
 
 	/**
@@ -85,29 +79,29 @@
 	}
 
 	/**
-	 * Returns a piece's index within its file.
+	 * Returns a chunk's index within its file.
 	 */
-	public int index(int piece) {
-		return piece - this.first[fileNumber(piece)];
+	public int index(int chunk) {
+		return chunk - this.first[fileNumber(chunk)];
 	}
 
 	/**
-	 * Returns a piece's SHA-256, lower-case hex.
+	 * Returns the SHA-256 of a chunk in lower-case hex.
 	 */
-	public String hash(int piece) {
-		return file(piece).chunks().get(index(piece));
+	public String hash(int chunk) {
+		return file(chunk).chunks().get(index(chunk));
 	}
 
 	/**
-	 * Returns a piece's length in bytes.
+	 * Returns the length of a chunk in bytes.
 	 */
-	public int length(int piece) {
-		return file(piece).chunkLength(index(piece));
+	public int length(int chunk) {
+		return file(chunk).chunkLength(index(chunk));
 	}
 
 	/**
-	 * Returns the piece at an index of the file with a digest; empty when it is not one
-	 * of these.
+	 * Returns the chunk at an index of the file with a digest, or empty when there is no
+	 * such chunk.
 	 */
 	public OptionalInt piece(String digest, int index) {
 		int number = this.digests.indexOf(digest);
@@ -118,44 +112,45 @@
 	}
 
 	/**
-	 * Returns the first piece of a file by its number in {@link #files()}.
+	 * Returns the first chunk of a file by its number in {@link #files()}.
 	 */
 	public int firstOf(int number) {
 		return this.first[number];
 	}
 
 	/**
-	 * Returns the pieces to fetch: one for each content.
+	 * Returns the chunks to fetch: one for each distinct content.
 	 */
 	public BitSet distinct() {
 		return (BitSet) this.distinct.clone();
 	}
 
 	/**
-	 * Returns the later pieces of the same content, copied locally once a piece is held.
+	 * Returns the later chunks with the same content, which are copied locally once this
+	 * one is held.
 	 */
-	public int[] twins(int piece) {
-		return this.twins.get(piece);
+	public int[] twins(int chunk) {
+		return this.twins.get(chunk);
 	}
 
 	private List<int[]> twins() {
 		Map<String, List<Integer>> byHash = new HashMap<>();
-		for (int piece = 0; piece < this.count; piece++) {
-			byHash.computeIfAbsent(hash(piece), (hash) -> new ArrayList<>(1)).add(piece);
+		for (int chunk = 0; chunk < this.count; chunk++) {
+			byHash.computeIfAbsent(hash(chunk), (hash) -> new ArrayList<>(1)).add(chunk);
 		}
 		List<int[]> later = new ArrayList<>(this.count);
-		for (int piece = 0; piece < this.count; piece++) {
-			List<Integer> same = byHash.get(hash(piece));
-			boolean leads = same.getFirst() == piece;
-			this.distinct.set(piece, leads);
-			later.add(leads ? same.stream().skip(1).mapToInt(Integer::intValue).toArray() : new int[0]);
+		for (int chunk = 0; chunk < this.count; chunk++) {
+			List<Integer> same = byHash.get(hash(chunk));
+			boolean isFirst = same.getFirst() == chunk;
+			this.distinct.set(chunk, isFirst);
+			later.add(isFirst ? same.stream().skip(1).mapToInt(Integer::intValue).toArray() : new int[0]);
 		}
 		return later;
 	}
 
-	private int fileNumber(int piece) {
+	private int fileNumber(int chunk) {
 		int number = this.first.length - 1;
-		while (this.first[number] > piece) {
+		while (this.first[number] > chunk) {
 			number--;
 		}
 		return number;
--- a/policy/src/main/java/org/wisteriapost/policy/transfer/RequestWindow.java
+++ b/policy/src/main/java/org/wisteriapost/policy/transfer/RequestWindow.java
@@ -3,46 +3,45 @@
 import java.time.Duration;
 
 /**
- * How many parts of pieces may be on their way to this VM at once.
+ * Limits how many parts of chunks may be in flight to this VM.
  *
- * Load: a VM's link carries a tenth of what it is declared to, while new weights come in.
- * Harm prevented: parts that were asked for queue up on the link for seconds, and the
- * requests of the engine beside it behind them; callers give up before the engine hears
- * of them. So weights yield by the delay that they cause, as LEDBAT does (RFC 6817): the
- * window grows while a part takes little longer than the quickest one has, and is halved
- * when two in a row take much longer. One quick part shows that the link is free, whoever
- * sent the slow ones.
+ * When the VM's link has far less capacity than declared, requested parts queue on it for
+ * seconds, requests to the engine on the same VM queue behind them, and callers time out.
+ * Weight transfers therefore yield by the queueing delay that they cause, like LEDBAT
+ * (RFC 6817): the window grows while a part takes little longer than the fastest one so
+ * far, and is halved when two in a row take much longer. One fast part shows that the
+ * local link is free, whichever peers sent the slow ones.
  */
 final class RequestWindow {
 
-	private static final int FIRST = 3;
+	private static final int INITIAL_SIZE = 3;
 
-	private static final int LEAST = 1;
+	private static final int MIN_SIZE = 1;
 
-	private static final int SLOW_IN_A_ROW = 2;
+	private static final int SHRINK_AFTER_SLOW = 2;
 
-	// Six parts by turns on a link that is full of weights alone take 0.08 s each.
-	private static final long QUICK_NANOS = Duration.ofMillis(150).toNanos();
+	// Six parts sent in turn take 0.08 s each on a link saturated by weights alone.
+	private static final long GROW_BELOW_NANOS = Duration.ofMillis(150).toNanos();
 
-	// What weights may hold up an engine's request for.
-	private static final long SLOW_NANOS = Duration.ofMillis(250).toNanos();
+	// The maximum delay that weight transfers may add to a request to the engine.
+	private static final long SHRINK_ABOVE_NANOS = Duration.ofMillis(250).toNanos();
 
-	// Parts that were asked for together come late together and count once.
-	private static final long ONCE_NANOS = Duration.ofMillis(200).toNanos();
+	// Parts requested together are late together and count once.
+	private static final long SHRINK_INTERVAL_NANOS = Duration.ofMillis(200).toNanos();
 
-	private final int most;
+	private final int maxSize;
 
 	private int size;
 
-	private int slow;
+	private int consecutiveSlow;
 
-	private long leastNanos = Long.MAX_VALUE;
+	private long minResponseNanos = Long.MAX_VALUE;
 
-	private long shrunkNanos = Long.MIN_VALUE / 2;
+	private long lastShrunkNanos = Long.MIN_VALUE / 2;
 
-	RequestWindow(int most) {
-		this.most = most;
-		this.size = Math.min(most, FIRST);
+	RequestWindow(int maxSize) {
+		this.maxSize = maxSize;
+		this.size = Math.min(maxSize, INITIAL_SIZE);
 	}
 
 	int size() {
@@ -50,36 +49,36 @@
 	}
 
 	/**
-	 * Returns whether the link has turned out to be narrow.
+	 * Returns whether the window has shrunk below its initial size.
 	 */
-	boolean narrow() {
-		return this.size < Math.min(this.most, FIRST);
+	boolean isLinkNarrow() {
+		return this.size < Math.min(this.maxSize, INITIAL_SIZE);
 	}
 
 	/**
-	 * Notes how long a part took from its request to its last byte.
+	 * Records the time from the request of a part to its last byte.
 	 */
-	void answered(long tookNanos, long nowNanos) {
-		this.leastNanos = Math.min(this.leastNanos, tookNanos);
-		long delay = tookNanos - this.leastNanos;
-		if (delay < QUICK_NANOS) {
-			this.slow = 0;
-			this.size = Math.min(this.most, this.size + 1);
+	void recordResponseTime(long responseNanos, long nowNanos) {
+		this.minResponseNanos = Math.min(this.minResponseNanos, responseNanos);
+		long delay = responseNanos - this.minResponseNanos;
+		if (delay < GROW_BELOW_NANOS) {
+			this.consecutiveSlow = 0;
+			this.size = Math.min(this.maxSize, this.size + 1);
 		}
-		else if (delay > SLOW_NANOS) {
-			late(nowNanos);
+		else if (delay > SHRINK_ABOVE_NANOS) {
+			recordLate(nowNanos);
 		}
 	}
 
 	/**
-	 * Notes that a part did not come in time.
+	 * Records that a part exceeded the acceptable delay or timed out.
 	 */
-	void late(long nowNanos) {
-		this.slow++;
-		if (this.slow >= SLOW_IN_A_ROW && nowNanos - this.shrunkNanos >= ONCE_NANOS) {
-			this.slow = 0;
-			this.shrunkNanos = nowNanos;
-			this.size = Math.max(LEAST, this.size / 2);
+	void recordLate(long nowNanos) {
+		this.consecutiveSlow++;
+		if (this.consecutiveSlow >= SHRINK_AFTER_SLOW && nowNanos - this.lastShrunkNanos >= SHRINK_INTERVAL_NANOS) {
+			this.consecutiveSlow = 0;
+			this.lastShrunkNanos = nowNanos;
+			this.size = Math.max(MIN_SIZE, this.size / 2);
 		}
 	}
 
--- a/policy/src/main/java/org/wisteriapost/policy/transfer/TransferEffect.java
+++ b/policy/src/main/java/org/wisteriapost/policy/transfer/TransferEffect.java
@@ -5,38 +5,38 @@
 import org.wisteriapost.kernel.Code;
 
 /**
- * Everything that the transfer decisions ask the I/O layer to do.
+ * The actions that the transfer state machine requests from the I/O layer.
  */
 public sealed interface TransferEffect {
 
 	/**
-	 * Make a link to a neighbour and ask for its pieces.
+	 * Connect to a peer and ask which chunks it holds.
 	 *
-	 * @param vm the neighbour
+	 * @param vm the peer
 	 */
 	record Connect(String vm) implements TransferEffect {
 	}
 
 	/**
-	 * Close the link to what is a neighbour no longer.
+	 * Close the link to a peer that is no longer selected.
 	 *
-	 * @param vm the former neighbour
+	 * @param vm the peer
 	 */
 	record Disconnect(String vm) implements TransferEffect {
 	}
 
 	/**
-	 * Ask a neighbour for a part of a piece.
+	 * Request a part of a chunk from a peer.
 	 *
-	 * @param vm the neighbour
-	 * @param piece which
+	 * @param vm the peer
+	 * @param piece the chunk
 	 * @param offset where the part begins
-	 * @param length of the part in bytes; 0 for all from the offset on
+	 * @param length length of the part in bytes; 0 for the rest of the chunk
 	 */
 	record Request(String vm, int piece, int offset, int length) implements TransferEffect {
 
 		/**
-		 * Asks for the whole piece.
+		 * Requests the whole chunk.
 		 */
 		public Request(String vm, int piece) {
 			this(vm, piece, 0, 0);
@@ -45,74 +45,77 @@
 	}
 
 	/**
-	 * Forget the parts of a piece that have come from a neighbour.
+	 * Discard the parts of a chunk received from a peer.
 	 *
-	 * @param vm the neighbour
-	 * @param piece which
+	 * @param vm the peer
+	 * @param piece the chunk
 	 */
 	record Drop(String vm, int piece) implements TransferEffect {
 	}
 
 	/**
-	 * Read a piece from the origin.
+	 * Read a chunk from the origin.
 	 *
-	 * @param piece which
+	 * @param piece the chunk
 	 */
 	record ReadOrigin(int piece) implements TransferEffect {
 	}
 
 	/**
-	 * Put a verified piece into the weight store.
+	 * Write a verified chunk to the weight store.
 	 *
-	 * @param piece which
+	 * @param piece the chunk
 	 */
 	record Store(int piece) implements TransferEffect {
 	}
 
 	/**
-	 * Copy a held piece within the weight store.
+	 * Copy a stored chunk within the weight store.
 	 *
-	 * @param from what is held
-	 * @param to a piece of the same content
+	 * @param from the stored chunk
+	 * @param to a chunk with the same content
 	 */
 	record Copy(int from, int to) implements TransferEffect {
 	}
 
 	/**
-	 * Tell every VM that asked about these files that this one now holds more.
+	 * Notify every VM that asked about these files that this one holds more chunks.
 	 *
-	 * @param pieces what has been added since the last time
+	 * @param pieces the chunks stored since the last announcement
 	 */
 	record Announce(BitSet pieces) implements TransferEffect {
 	}
 
-	/** Every piece is in the weight store. */
+	/**
+	 * Every chunk is in the weight store.
+	 */
 	record Complete() implements TransferEffect {
 	}
 
 	/**
-	 * The pinned version is gone from the origin: the fetch ends, nothing is mixed.
+	 * End the fetch because the origin no longer serves the pinned version; two versions
+	 * are never mixed.
 	 *
-	 * @param piece where it was found
+	 * @param piece the chunk whose read showed it
 	 */
 	record Changed(int piece) implements TransferEffect {
 	}
 
 	/**
-	 * The fetch cannot come true by waiting.
+	 * End the fetch because of an error that retries cannot resolve.
 	 *
-	 * @param code why
-	 * @param piece where it was found
+	 * @param code the error
+	 * @param piece the chunk in which it was found
 	 */
 	record Fail(Code code, int piece) implements TransferEffect {
 	}
 
 	/**
-	 * Something that an operator should be able to count and find.
+	 * Report a problem to operators as a log line and a metric.
 	 *
-	 * @param code what
-	 * @param source the neighbour or {@link TransferMachine#ORIGIN}
-	 * @param piece which
+	 * @param code the problem
+	 * @param source the peer or {@link TransferMachine#ORIGIN}
+	 * @param piece the chunk
 	 */
 	record Notice(Code code, String source, int piece) implements TransferEffect {
 	}
--- a/policy/src/main/java/org/wisteriapost/policy/transfer/TransferEvent.java
+++ b/policy/src/main/java/org/wisteriapost/policy/transfer/TransferEvent.java
@@ -4,12 +4,12 @@
 import java.util.List;
 
 /**
- * Everything that the transfer decisions learn.
+ * The inputs of the transfer state machine.
  */
 public sealed interface TransferEvent {
 
 	/**
-	 * The live VMs that need the same files, without this one.
+	 * The live VMs that fetch or hold the same files, without this one.
 	 *
 	 * @param peers all of them
 	 */
@@ -22,112 +22,112 @@
 	}
 
 	/**
-	 * The link to a neighbour is up.
+	 * A peer has been connected.
 	 *
-	 * @param vm the neighbour
+	 * @param vm the peer
 	 */
 	record LinkUp(String vm) implements TransferEvent {
 	}
 
 	/**
-	 * The link to a neighbour is gone, or could not be made.
+	 * A peer has been disconnected or could not be connected.
 	 *
-	 * @param vm the neighbour
+	 * @param vm the peer
 	 */
 	record LinkDown(String vm) implements TransferEvent {
 	}
 
 	/**
-	 * A neighbour does not fetch these files and holds nothing of them.
+	 * A peer neither fetches these files nor holds chunks of them.
 	 *
-	 * @param vm the neighbour
+	 * @param vm the peer
 	 */
 	record PeerIdle(String vm) implements TransferEvent {
 	}
 
 	/**
-	 * A neighbour holds these pieces, besides those it said before.
+	 * A peer holds these chunks, besides those reported before.
 	 *
-	 * @param vm the neighbour
-	 * @param pieces what it holds
+	 * @param vm the peer
+	 * @param pieces the chunks it holds
 	 */
 	record PeerHolds(String vm, BitSet pieces) implements TransferEvent {
 	}
 
 	/**
-	 * These pieces were found in the VM's weight store and their hashes are right.
+	 * These chunks were found in the VM's weight store and verified.
 	 *
-	 * @param pieces what is held
+	 * @param pieces the chunks held
 	 */
 	record Held(BitSet pieces) implements TransferEvent {
 	}
 
 	/**
-	 * A part of a piece that was asked for has come, and more of the piece is missing.
+	 * A requested part was received, and the chunk is not complete yet.
 	 *
-	 * @param piece which
-	 * @param vm the neighbour
-	 * @param end how many bytes of the piece have come from it
+	 * @param piece the chunk
+	 * @param vm the peer
+	 * @param end how many bytes of the chunk have been received from it
 	 */
 	record PartCame(int piece, String vm, int end) implements TransferEvent {
 	}
 
 	/**
-	 * A piece has come and its hash is right; it is not stored yet.
+	 * A chunk was received and its hash verified; it is not stored yet.
 	 *
-	 * @param piece which
-	 * @param source the neighbour or {@link TransferMachine#ORIGIN}
+	 * @param piece the chunk
+	 * @param source the peer or {@link TransferMachine#ORIGIN}
 	 */
 	record Verified(int piece, String source) implements TransferEvent {
 	}
 
 	/**
-	 * Bytes have come whose hash is wrong; they were dropped.
+	 * A chunk was received with a wrong hash and discarded.
 	 *
-	 * @param piece which was asked for
-	 * @param source the neighbour or {@link TransferMachine#ORIGIN}
+	 * @param piece the requested chunk
+	 * @param source the peer or {@link TransferMachine#ORIGIN}
 	 */
 	record Corrupt(int piece, String source) implements TransferEvent {
 	}
 
 	/**
-	 * A neighbour does not give a piece now.
+	 * A peer refused a request.
 	 *
-	 * @param piece which
-	 * @param vm the neighbour
-	 * @param busy whether it has too many uploads; false when it does not hold the piece
+	 * @param piece the chunk
+	 * @param vm the peer
+	 * @param busy whether it has too many uploads; false when it does not hold the chunk
 	 */
 	record Refused(int piece, String vm, boolean busy) implements TransferEvent {
 	}
 
 	/**
-	 * The origin did not give a piece.
+	 * A read from the origin failed.
 	 *
-	 * @param piece which
-	 * @param changed whether the pinned version is gone for good
+	 * @param piece the chunk
+	 * @param changed whether the origin no longer serves the pinned version
 	 */
 	record OriginFailed(int piece, boolean changed) implements TransferEvent {
 	}
 
 	/**
-	 * The weight store has taken a verified piece.
+	 * The weight store has written a verified chunk.
 	 *
-	 * @param piece which
+	 * @param piece the chunk
 	 */
 	record Stored(int piece) implements TransferEvent {
 	}
 
 	/**
-	 * The weight store did not take or no longer has a piece, or what it gave back was
-	 * wrong.
+	 * The weight store failed to write a chunk, no longer has it, or returned corrupt
+	 * bytes.
 	 *
-	 * @param piece which
+	 * @param piece the chunk
 	 */
 	record Lost(int piece) implements TransferEvent {
 	}
 
 	/**
-	 * How fast pieces may come in from now on.
+	 * The rate at which chunks may be received has changed.
 	 *
 	 * @param bytesPerSecond 0 for no limit
 	 */
--- a/policy/src/main/java/org/wisteriapost/policy/transfer/TransferLimits.java
+++ b/policy/src/main/java/org/wisteriapost/policy/transfer/TransferLimits.java
@@ -3,28 +3,30 @@
 import java.time.Duration;
 
 /**
- * What operators may set and measurements vary.
+ * The limits and variants of a transfer.
  *
- * @param design how pieces spread
- * @param originCopies how many VMs read each piece from the origin without waiting
- * @param originReads origin reads at once
- * @param neighbours the most links that this VM makes
- * @param outstanding pieces asked of peers at once; bounds the bytes in memory
- * @param perPeer pieces asked of one peer at once
- * @param progressDeadline the shortest time after which a request without an answer, or a
- * piece that nobody holds, is looked for elsewhere
- * @param announceInterval the shortest time between two announcements
- * @param rarestOf of how many open pieces, drawn by chance, the one that fewest
- * neighbours hold goes first; 1 for chance alone
- * @param samePlaceFirst whether a holder in the same place goes before one less asked
- * @param placeReaders whether each piece is brought into a place by one VM there
+ * @param design how chunks spread
+ * @param originCopies how many VMs read each chunk from the origin without waiting
+ * @param originReads maximum concurrent origin reads
+ * @param neighbours maximum number of peers selected for connections
+ * @param outstanding maximum number of chunks being requested from peers; bounds the
+ * memory used
+ * @param perPeer maximum number of chunks being requested from one peer
+ * @param progressDeadline minimum timeout after which an unanswered request is made
+ * elsewhere, or a chunk without a holder is read by the next VM
+ * @param announceInterval minimum time between two announcements
+ * @param rarestOf size of the random sample of requestable chunks of which the one with
+ * the fewest holders comes first; 1 for a random order
+ * @param samePlaceFirst whether a holder in the same failure domain is preferred to a
+ * slightly less loaded one elsewhere
+ * @param placeReaders whether each chunk is fetched into a failure domain by one VM there
  */
 public record TransferLimits(Design design, int originCopies, int originReads, int neighbours, int outstanding,
 		int perPeer, Duration progressDeadline, Duration announceInterval, int rarestOf, boolean samePlaceFirst,
 		boolean placeReaders) {
 
 	/**
-	 * Returns limits under which any VM may ask any other.
+	 * Creates limits under which any VM may request chunks from any other.
 	 */
 	public TransferLimits(Design design, int originCopies, int originReads, int neighbours, int outstanding,
 			int perPeer, Duration progressDeadline, Duration announceInterval, int rarestOf, boolean samePlaceFirst) {
@@ -33,7 +35,7 @@
 	}
 
 	/**
-	 * Returns the values chosen by measurement, docs/design/weights.md.
+	 * Returns the default limits, described in docs/design/weights.md.
 	 */
 	public static TransferLimits standard() {
 		return new TransferLimits(Design.SWARM, 1, 2, 12, 12, 2, Duration.ofMillis(500), Duration.ofMillis(200), 16,
@@ -41,15 +43,15 @@
 	}
 
 	/**
-	 * How pieces spread.
+	 * How chunks spread from the origin.
 	 */
 	public enum Design {
 
 		/** Every VM reads everything from the origin. */
 		NAIVE,
-		/** One VM reads from the origin, each other from the one before it. */
+		/** One VM reads from the origin, and each other VM from its predecessor. */
 		CHAIN,
-		/** Each piece has one reader, all others ask their neighbours. */
+		/** Each chunk is read from the origin by one VM and exchanged between peers. */
 		SWARM
 
 	}
--- a/policy/src/main/java/org/wisteriapost/policy/transfer/TransferMachine.java
+++ b/policy/src/main/java/org/wisteriapost/policy/transfer/TransferMachine.java
@@ -15,8 +15,8 @@
 import org.wisteriapost.kernel.Invariants;
 
 /**
- * Returns for each event of one fetch the effects that the I/O layer must carry out. Used
- * by one thread.
+ * The state machine of one fetch: computes for each event the effects that the I/O layer
+ * must carry out. Used by one thread.
  */
 public final class TransferMachine {
 
@@ -32,32 +32,32 @@
 	public static final Code PEER_STALLED = Code.warning("peer-stalled",
 			"A peer's link is open but its answers do not come; its chunks are fetched elsewhere.");
 
-	/** The source of what was read from the origin. */
+	/** The source name of chunks that were read from the origin. */
 	public static final String ORIGIN = "";
 
-	private static final long DISTRUST_NANOS = Duration.ofSeconds(30).toNanos();
+	private static final long CORRUPTION_BACKOFF_NANOS = Duration.ofSeconds(30).toNanos();
 
-	private static final int ORIGIN_ATTEMPTS = 3;
+	private static final int MAX_ORIGIN_CORRUPTIONS = 3;
 
-	private final Pieces pieces;
+	private final Pieces chunks;
 
 	private final TransferLimits limits;
 
 	private final Invariants invariants;
 
-	private final Holdings holdings;
+	private final LocalChunks localChunks;
 
-	private final Neighbourhood neighbours;
+	private final PeerConnections connections;
 
-	private final Map<Integer, Integer> originStrikes = new HashMap<>();
+	private final Map<Integer, Integer> originCorruptions = new HashMap<>();
 
-	private final PieceChoice choice;
+	private final ChunkSelector selector;
 
-	private final PlaceReaders readers;
+	private final CrossDomainRequests crossDomain;
 
-	private final OriginDuty origin;
+	private final OriginReadScheduler originReads;
 
-	private final Deadline deadline;
+	private final RequestTimeout timeout;
 
 	private final PeerRequests requests;
 
@@ -69,190 +69,191 @@
 
 	private boolean started;
 
-	private boolean informed;
+	private boolean peersReported;
 
 	private long startedAt;
 
-	private long tickedAt;
+	private long lastTickAt;
 
 	private boolean ended;
 
 	private boolean complete;
 
-	private TransferMachine(Pieces pieces, Peer self, TransferLimits limits, UniformRandomProvider random,
+	private TransferMachine(Pieces chunks, Peer self, TransferLimits limits, UniformRandomProvider random,
 			Invariants invariants) {
-		this.pieces = pieces;
+		this.chunks = chunks;
 		this.limits = limits;
 		this.invariants = invariants;
-		this.holdings = new Holdings(pieces);
-		this.choice = new PieceChoice(pieces.count(), limits, random);
-		this.neighbours = new Neighbourhood(self, limits, this.choice);
-		this.readers = new PlaceReaders(pieces, self);
-		this.deadline = new Deadline(limits.progressDeadline());
-		this.requests = new PeerRequests(pieces, limits, invariants, this.holdings, this.neighbours, this.choice,
-				this.deadline, this::reopen);
-		int cursor = (pieces.count() > 0) ? random.nextInt(pieces.count()) : 0;
-		this.origin = new OriginDuty(pieces, limits, new OriginRank(pieces, self), this.choice, cursor);
+		this.localChunks = new LocalChunks(chunks);
+		this.selector = new ChunkSelector(chunks.count(), limits, random);
+		this.connections = new PeerConnections(self, limits, this.selector);
+		this.crossDomain = new CrossDomainRequests(chunks, self);
+		this.timeout = new RequestTimeout(limits.progressDeadline());
+		this.requests = new PeerRequests(chunks, limits, invariants, this.localChunks, this.connections, this.selector,
+				this.timeout, this::makeRequestable);
+		int firstChunk = (chunks.count() > 0) ? random.nextInt(chunks.count()) : 0;
+		this.originReads = new OriginReadScheduler(chunks, limits, new RendezvousRanking(chunks, self), this.selector,
+				firstChunk);
 	}
 
 	/**
 	 * Returns a machine that waits for {@link TransferEvent.Held}.
-	 * @param random decides among equals
-	 * @param invariants counts promises found broken
+	 * @param random breaks ties between chunks and between peers
+	 * @param invariants counts invariant violations
 	 */
-	public static TransferMachine create(Pieces pieces, Peer self, TransferLimits limits, UniformRandomProvider random,
+	public static TransferMachine create(Pieces chunks, Peer self, TransferLimits limits, UniformRandomProvider random,
 			Invariants invariants) {
-		return new TransferMachine(pieces, self, limits, random, invariants);
+		return new TransferMachine(chunks, self, limits, random, invariants);
 	}
 
 	/**
-	 * Returns how many pieces are verified and stored.
+	 * Returns how many chunks are verified and stored.
 	 */
 	public int verified() {
-		return this.holdings.have().cardinality();
+		return this.localChunks.held().cardinality();
 	}
 
 	/**
-	 * Returns which pieces are verified and stored.
+	 * Returns the chunks that are verified and stored.
 	 */
 	public BitSet held() {
-		return (BitSet) this.holdings.have().clone();
+		return (BitSet) this.localChunks.held().clone();
 	}
 
 	/**
-	 * Applies one event.
-	 * @param now the monotonic clock, in nanos
+	 * Applies one event and returns the resulting effects.
+	 * @param now the monotonic clock in nanoseconds
 	 */
 	public List<TransferEffect> apply(TransferEvent event, long now) {
 		List<TransferEffect> effects = new ArrayList<>();
 		switch (event) {
-			case TransferEvent.PeersSeen seen -> meet(seen.peers(), now, effects);
+			case TransferEvent.PeersSeen seen -> onPeersChanged(seen.peers(), now, effects);
 			case TransferEvent.LinkUp up ->
-				this.neighbours.peer(up.vm()).ifPresent((peer) -> this.neighbours.greet(peer, now));
-			case TransferEvent.LinkDown down -> this.neighbours.peer(down.vm())
-				.ifPresent((peer) -> this.neighbours.lose(peer, now).forEach(this::reopen));
+				this.connections.peer(up.vm()).ifPresent((peer) -> this.connections.linkUp(peer, now));
+			case TransferEvent.LinkDown down -> this.connections.peer(down.vm())
+				.ifPresent((peer) -> this.connections.linkDown(peer, now).forEach(this::makeRequestable));
 			case TransferEvent.PeerHolds holds ->
-				this.neighbours.peer(holds.vm()).ifPresent((peer) -> learn(peer, holds.pieces(), now));
-			case TransferEvent.PeerIdle idle -> this.neighbours.peer(idle.vm()).ifPresent((peer) -> {
-				peer.greeted(true);
-				peer.idle(now);
+				this.connections.peer(holds.vm()).ifPresent((peer) -> onPeerHolds(peer, holds.pieces(), now));
+			case TransferEvent.PeerIdle idle -> this.connections.peer(idle.vm()).ifPresent((peer) -> {
+				peer.reported(true);
+				peer.markNotFetching(now);
 			});
-			case TransferEvent.Held held -> start(held.pieces(), now, effects);
-			case TransferEvent.PartCame part ->
-				this.neighbours.peer(part.vm()).ifPresent((peer) -> this.requests.partCame(peer, part, now, effects));
-			case TransferEvent.Verified verified -> take(verified.piece(), verified.source(), now, effects);
-			case TransferEvent.Corrupt corrupt -> reject(corrupt.piece(), corrupt.source(), now, effects);
-			case TransferEvent.Refused refused -> this.neighbours.peer(refused.vm())
-				.ifPresent((peer) -> this.requests.refused(peer, refused, now, effects));
-			case TransferEvent.OriginFailed failed -> originFailed(failed, now, effects);
-			case TransferEvent.Stored stored -> stored(stored.piece(), effects);
-			case TransferEvent.Lost lost -> lost(lost.piece());
-			case TransferEvent.RateSet rate -> this.requests.rate(rate.bytesPerSecond(), now);
-			case TransferEvent.Tick tick -> tick(now, effects);
+			case TransferEvent.Held held -> onStoreScanned(held.pieces(), now, effects);
+			case TransferEvent.PartCame part -> this.connections.peer(part.vm())
+				.ifPresent((peer) -> this.requests.onPartReceived(peer, part, now, effects));
+			case TransferEvent.Verified verified -> onVerified(verified.piece(), verified.source(), now, effects);
+			case TransferEvent.Corrupt corrupt -> onCorrupt(corrupt.piece(), corrupt.source(), now, effects);
+			case TransferEvent.Refused refused -> this.connections.peer(refused.vm())
+				.ifPresent((peer) -> this.requests.onRefused(peer, refused, now, effects));
+			case TransferEvent.OriginFailed failed -> onOriginFailed(failed, now, effects);
+			case TransferEvent.Stored stored -> onStored(stored.piece(), effects);
+			case TransferEvent.Lost lost -> onLost(lost.piece());
+			case TransferEvent.RateSet rate -> this.requests.setRate(rate.bytesPerSecond(), now);
+			case TransferEvent.Tick tick -> onTick(now, effects);
 		}
-		rank(now);
-		fill(now, effects);
+		updateRanks(now);
+		sendRequests(now, effects);
 		announce(now, effects);
 		return effects;
 	}
 
-	private void meet(List<Peer> seen, long now, List<TransferEffect> effects) {
+	private void onPeersChanged(List<Peer> seen, long now, List<TransferEffect> effects) {
 		this.peers = seen;
 		this.failing = Set.of();
-		this.origin.rank(this.peers, this.failing);
-		this.readers.update(this.peers, this.failing);
-		this.neighbours.meet(seen, watched(), now, effects).forEach(this::reopen);
+		this.originReads.updateRanks(this.peers, this.failing);
+		this.crossDomain.update(this.peers, this.failing);
+		this.connections.updatePeers(seen, precedingReaders(), now, effects).forEach(this::makeRequestable);
 	}
 
-	// Load: some of the VMs that are believed to be there are gone, or fetch something
-	// else. Harm prevented: the pieces that they were to read appear only after nothing
-	// else does, and everybody waits for these: 2.0 to 2.3 times S/L with one in ten
-	// gone, in virtual time. The second in rank has a link to the first, so it sees at
-	// once that it can't be had: 1.4 to 1.6 times S/L.
-	private Set<String> watched() {
+	// Some VMs of a stale list may be gone or fetch other files. The chunks assigned to
+	// them would be read only after no other chunk appears, and delay the whole fetch. A
+	// VM that ranks second for a chunk therefore connects to the first-ranked VM, so
+	// that it notices at once when that VM is unreachable.
+	private Set<String> precedingReaders() {
 		if (this.limits.design() != TransferLimits.Design.SWARM) {
 			return Set.of();
 		}
-		Set<String> watched = new HashSet<>(this.origin.readersBefore());
+		Set<String> additional = new HashSet<>(this.originReads.precedingReaders());
 		if (this.limits.placeReaders()) {
-			watched.addAll(this.readers.readersBefore());
+			additional.addAll(this.crossDomain.precedingReaders());
 		}
-		return watched;
+		return additional;
 	}
 
-	private void reopen(int piece) {
-		if (!this.origin.reads().containsKey(piece) && this.neighbours.askedOf(piece) == 0) {
-			this.holdings.reopen(piece);
+	private void makeRequestable(int chunk) {
+		if (!this.originReads.pendingReads().containsKey(chunk) && this.connections.sourceCount(chunk) == 0) {
+			this.localChunks.makeRequestable(chunk);
 		}
 	}
 
-	private void learn(PeerState peer, BitSet pieces, long now) {
+	private void onPeerHolds(PeerState peer, BitSet chunks, long now) {
 		if (!peer.up()) {
 			return;
 		}
-		peer.heard(now);
-		BitSet added = this.neighbours.learn(peer, pieces);
-		boolean news = added.stream().anyMatch((piece) -> this.choice.holders(piece) == 1 && !this.holdings.has(piece));
-		if (news) {
-			this.origin.news(now);
+		peer.recordResponse(now);
+		BitSet added = this.connections.addHeld(peer, chunks);
+		boolean progress = added.stream()
+			.anyMatch((chunk) -> this.selector.holders(chunk) == 1 && !this.localChunks.holds(chunk));
+		if (progress) {
+			this.originReads.recordProgress(now);
 		}
 	}
 
-	private void start(BitSet held, long now, List<TransferEffect> effects) {
+	private void onStoreScanned(BitSet held, long now, List<TransferEffect> effects) {
 		this.started = true;
 		this.startedAt = now;
-		this.origin.news(now);
-		this.holdings.found(held);
-		held.stream().forEach((piece) -> copy(piece, effects));
-		finishIfWhole(effects);
+		this.originReads.recordProgress(now);
+		this.localChunks.addHeld(held);
+		held.stream().forEach((chunk) -> copyToDuplicates(chunk, effects));
+		completeIfAllStored(effects);
 	}
 
-	private void take(int piece, String source, long now, List<TransferEffect> effects) {
-		answered(piece, source, now);
-		if (!this.holdings.missing(piece)) {
+	private void onVerified(int chunk, String source, long now, List<TransferEffect> effects) {
+		recordResponse(chunk, source, now);
+		if (!this.localChunks.missing(chunk)) {
 			return;
 		}
-		if (this.choice.holders(piece) == 0) {
-			this.origin.news(now);
+		if (this.selector.holders(chunk) == 0) {
+			this.originReads.recordProgress(now);
 		}
-		this.holdings.storing(piece);
-		effects.add(new TransferEffect.Store(piece));
-		this.requests.drop(piece, effects);
+		this.localChunks.storing(chunk);
+		effects.add(new TransferEffect.Store(chunk));
+		this.requests.discardParts(chunk, effects);
 	}
 
-	private void answered(int piece, String source, long now) {
+	private void recordResponse(int chunk, String source, long now) {
 		if (source.equals(ORIGIN)) {
-			this.origin.succeeded(piece);
+			this.originReads.recordSuccess(chunk);
 			return;
 		}
-		this.neighbours.peer(source).ifPresent((peer) -> {
-			peer.heard(now);
-			peer.answered(piece).ifPresent((ask) -> this.requests.took(peer, ask, now));
+		this.connections.peer(source).ifPresent((peer) -> {
+			peer.recordResponse(now);
+			peer.removePending(chunk).ifPresent((request) -> this.requests.recordResponseTime(peer, request, now));
 		});
 	}
 
-	private void reject(int piece, String source, long now, List<TransferEffect> effects) {
+	private void onCorrupt(int chunk, String source, long now, List<TransferEffect> effects) {
 		if (source.equals(ORIGIN)) {
-			this.origin.failed(piece, now);
-			if (this.originStrikes.merge(piece, 1, Integer::sum) >= ORIGIN_ATTEMPTS) {
-				end(new TransferEffect.Fail(ORIGIN_CORRUPT, piece), effects);
+			this.originReads.recordFailure(chunk, now);
+			if (this.originCorruptions.merge(chunk, 1, Integer::sum) >= MAX_ORIGIN_CORRUPTIONS) {
+				end(new TransferEffect.Fail(ORIGIN_CORRUPT, chunk), effects);
 			}
-			reopen(piece);
+			makeRequestable(chunk);
 			return;
 		}
-		effects.add(new TransferEffect.Notice(PEER_CORRUPT, source, piece));
-		this.neighbours.peer(source).ifPresent((peer) -> {
-			this.neighbours.discount(peer);
-			peer.corrupt(now, DISTRUST_NANOS);
-			peer.answered(piece);
-			reopen(piece);
-			this.requests.release(peer, effects);
+		effects.add(new TransferEffect.Notice(PEER_CORRUPT, source, chunk));
+		this.connections.peer(source).ifPresent((peer) -> {
+			this.connections.stopCounting(peer);
+			peer.recordCorruption(now, CORRUPTION_BACKOFF_NANOS);
+			peer.removePending(chunk);
+			makeRequestable(chunk);
+			this.requests.abandonRequests(peer, effects);
 		});
 	}
 
-	private void originFailed(TransferEvent.OriginFailed failed, long now, List<TransferEffect> effects) {
-		this.origin.failed(failed.piece(), now);
-		reopen(failed.piece());
+	private void onOriginFailed(TransferEvent.OriginFailed failed, long now, List<TransferEffect> effects) {
+		this.originReads.recordFailure(failed.piece(), now);
+		makeRequestable(failed.piece());
 		if (failed.changed()) {
 			end(new TransferEffect.Changed(failed.piece()), effects);
 		}
@@ -265,120 +266,121 @@
 		}
 	}
 
-	private void stored(int piece, List<TransferEffect> effects) {
-		this.invariants.holds(!this.holdings.has(piece), "piece-stored-once", "piece " + piece);
-		this.holdings.stored(piece);
-		copy(piece, effects);
-		finishIfWhole(effects);
+	private void onStored(int chunk, List<TransferEffect> effects) {
+		this.invariants.holds(!this.localChunks.holds(chunk), "piece-stored-once", "chunk " + chunk);
+		this.localChunks.markStored(chunk);
+		copyToDuplicates(chunk, effects);
+		completeIfAllStored(effects);
 	}
 
-	private void copy(int piece, List<TransferEffect> effects) {
-		for (int twin : this.pieces.twins(piece)) {
-			if (!this.holdings.has(twin)) {
-				effects.add(new TransferEffect.Copy(piece, twin));
+	private void copyToDuplicates(int chunk, List<TransferEffect> effects) {
+		for (int duplicate : this.chunks.twins(chunk)) {
+			if (!this.localChunks.holds(duplicate)) {
+				effects.add(new TransferEffect.Copy(chunk, duplicate));
 			}
 		}
 	}
 
-	private void finishIfWhole(List<TransferEffect> effects) {
-		if (!this.complete && this.started && this.holdings.whole()) {
+	private void completeIfAllStored(List<TransferEffect> effects) {
+		if (!this.complete && this.started && this.localChunks.complete()) {
 			this.complete = true;
 			effects.add(new TransferEffect.Complete());
 		}
 	}
 
-	private void lost(int piece) {
+	private void onLost(int chunk) {
 		this.complete = false;
-		this.holdings.lost(piece);
-		reopen(piece);
+		this.localChunks.markLost(chunk);
+		makeRequestable(chunk);
 	}
 
-	private void tick(long now, List<TransferEffect> effects) {
-		this.neighbours.tick(now, effects);
-		long limit = this.deadline.nanos();
-		if (now - this.tickedAt > limit / 2) {
-			excuse(now);
+	private void onTick(long now, List<TransferEffect> effects) {
+		this.connections.tick(now, effects);
+		long limit = this.timeout.timeoutNanos();
+		if (now - this.lastTickAt > limit / 2) {
+			restartTimers(now);
 		}
-		this.tickedAt = now;
+		this.lastTickAt = now;
 		this.requests.tick(now, effects);
-		this.origin.reads().forEach((piece, since) -> reopenIfHeld(piece, now - since > limit));
-		// Before the start there is no news to miss: taken for a stall, it would make
-		// every VM read what others are to read.
+		this.originReads.pendingReads().forEach((chunk, since) -> makeRequestableIfHeld(chunk, now - since > limit));
+		// Before the start no chunk can appear. Taken for a stall, this would make every
+		// VM read chunks assigned to others.
 		if (this.started) {
-			this.origin.tick(this.holdings.open(), now, limit);
-			this.readers.tick(this.holdings.open(), this.choice, now, limit);
+			this.originReads.tick(this.localChunks.requestable(), now, limit);
+			this.crossDomain.tick(this.localChunks.requestable(), this.selector, now, limit);
 		}
 	}
 
-	// A process that was paused finds all its requests late at once. Taken for silence of
-	// its peers, that would make it pass over all of them and turn to the origin.
-	private void excuse(long now) {
-		this.neighbours.all().forEach((peer) -> peer.excuse(now));
-		this.origin.news(now);
+	// After a pause of this process all requests appear to have timed out. Without
+	// restarting them, all peers would be taken for stalled and their chunks read from
+	// the origin.
+	private void restartTimers(long now) {
+		this.connections.all().forEach((peer) -> peer.restartTimers(now));
+		this.originReads.recordProgress(now);
 	}
 
-	// An origin read may hang for longer than it takes a peer to come by the same piece.
-	private void reopenIfHeld(int piece, boolean late) {
-		if (late && this.neighbours.askedOf(piece) == 0 && this.choice.holders(piece) > 0) {
-			this.holdings.reopen(piece);
+	// An origin read may take longer than it takes a peer to obtain the same chunk.
+	private void makeRequestableIfHeld(int chunk, boolean late) {
+		if (late && this.connections.sourceCount(chunk) == 0 && this.selector.holders(chunk) > 0) {
+			this.localChunks.makeRequestable(chunk);
 		}
 	}
 
-	private void rank(long now) {
-		Set<String> current = this.neighbours.failing(now);
+	private void updateRanks(long now) {
+		Set<String> current = this.connections.failingPeers(now);
 		if (!current.equals(this.failing)) {
 			this.failing = current;
-			this.origin.rank(this.peers, current);
-			this.readers.update(this.peers, current);
+			this.originReads.updateRanks(this.peers, current);
+			this.crossDomain.update(this.peers, current);
 		}
 	}
 
-	private void fill(long now, List<TransferEffect> effects) {
-		if (!this.started || this.ended || this.holdings.whole()) {
+	private void sendRequests(long now, List<TransferEffect> effects) {
+		if (!this.started || this.ended || this.localChunks.complete()) {
 			return;
 		}
-		OptionalInt read = nextRead(now);
-		while (read.isPresent()) {
-			this.holdings.asked(read.getAsInt());
-			this.requests.others(this.pieces.length(read.getAsInt()));
-			effects.add(new TransferEffect.ReadOrigin(read.getAsInt()));
-			read = nextRead(now);
+		OptionalInt chunk = nextOriginRead(now);
+		while (chunk.isPresent()) {
+			this.localChunks.markRequested(chunk.getAsInt());
+			this.requests.countOriginBytes(this.chunks.length(chunk.getAsInt()));
+			effects.add(new TransferEffect.ReadOrigin(chunk.getAsInt()));
+			chunk = nextOriginRead(now);
 		}
-		this.requests.fill(this.readers.allowed(), now, effects);
+		this.requests.sendRequests(this.crossDomain.allowed(), now, effects);
 	}
 
-	// A VM that joins late, or again after a restart, would read its share of the origin
-	// though its neighbours hold it all. So it first hears what they hold; a neighbour
-	// that is silent holds it up for no longer than the deadline.
-	private boolean informed(long now) {
-		if (!this.informed) {
-			this.informed = this.neighbours.greeted()
+	// A VM that joins late or restarts would read its share from the origin although its
+	// peers hold all chunks. It therefore waits for their reports, but no longer than
+	// the progress deadline for an unresponsive peer.
+	private boolean peersReported(long now) {
+		if (!this.peersReported) {
+			this.peersReported = this.connections.allReported()
 					|| now - this.startedAt > this.limits.progressDeadline().toNanos();
 		}
-		return this.informed;
+		return this.peersReported;
 	}
 
-	private OptionalInt nextRead(long now) {
-		if (!informed(now) || this.requests.delayNanos(now) > 0
-				|| this.holdings.beingStored() >= this.limits.outstanding()) {
+	private OptionalInt nextOriginRead(long now) {
+		if (!peersReported(now) || this.requests.delayNanos(now) > 0
+				|| this.localChunks.storingCount() >= this.limits.outstanding()) {
 			return OptionalInt.empty();
 		}
-		// The origin sends whole pieces only.
-		if (this.requests.narrow() && !this.origin.reads().isEmpty()) {
+		// The origin sends whole chunks only, which would occupy a narrow link for long.
+		if (this.requests.isLinkNarrow() && !this.originReads.pendingReads().isEmpty()) {
 			return OptionalInt.empty();
 		}
-		return this.origin.next(this.holdings.open(), now, this.deadline.nanos());
+		return this.originReads.next(this.localChunks.requestable(), now, this.timeout.timeoutNanos());
 	}
 
-	// Bounded in rate: 810 VMs that told each of their neighbours of every piece at once
-	// would spend more on the telling than control may cost.
+	// The rate is bounded: 810 VMs that announced each chunk to every peer at once would
+	// exceed the budget for control traffic.
 	private void announce(long now, List<TransferEffect> effects) {
-		// The last pieces are told at once: this fetch ends here, and a neighbour that
-		// never heard of them would wait for their reader.
+		// The last chunks are announced at once, since the fetch ends here and peers
+		// would otherwise never learn of them.
 		boolean due = this.complete || now - this.announcedAt >= this.limits.announceInterval().toNanos();
-		if (due && this.holdings.news()) {
+		if (due && this.localChunks.hasUnannounced()) {
 			this.announcedAt = now;
-			effects.add(new TransferEffect.Announce(this.holdings.takeNews()));
+			effects.add(new TransferEffect.Announce(this.localChunks.takeUnannounced()));
 		}
 	}
 
--- a/policy/src/main/java/org/wisteriapost/policy/transfer/Uploads.java
+++ b/policy/src/main/java/org/wisteriapost/policy/transfer/Uploads.java
@@ -8,77 +8,78 @@
 import java.util.Optional;
 
 /**
- * Which peer's request is served next. Used by one thread.
+ * A bounded queue of upload requests that serves peers in turn. Used by one thread.
  *
- * Made for the first seconds of a roll, when many peers want the few pieces that this VM
- * holds. Bounded, so that a peer is sent on to another holder at once instead of waiting
- * past its deadline, and so that memory does not grow; peers take turns, so that none can
- * take the whole link.
+ * When new weights begin to spread, many peers request the few chunks that this VM holds.
+ * The queue is bounded, so that a rejected peer tries another holder at once instead of
+ * waiting until its request times out, and so that memory is bounded. Peers are served
+ * round-robin, so that none can take the whole link.
  *
  * @param <R> a request
  */
 public final class Uploads<R> {
 
-	private final int limit;
+	private final int maxQueued;
 
-	private final int perPeer;
+	private final int maxPerPeer;
 
-	private final Map<Object, Deque<R>> waiting = new LinkedHashMap<>();
+	private final Map<Object, Deque<R>> queues = new LinkedHashMap<>();
 
 	private int size;
 
-	private Uploads(int limit, int perPeer) {
-		this.limit = limit;
-		this.perPeer = perPeer;
+	private Uploads(int maxQueued, int maxPerPeer) {
+		this.maxQueued = maxQueued;
+		this.maxPerPeer = maxPerPeer;
 	}
 
 	/**
 	 * Returns an empty queue.
-	 * @param limit requests that may wait in all
-	 * @param perPeer requests of one peer that may wait
+	 * @param maxQueued maximum number of queued requests
+	 * @param maxPerPeer maximum number of queued requests of one peer
 	 */
-	public static <R> Uploads<R> create(int limit, int perPeer) {
-		return new Uploads<>(limit, perPeer);
+	public static <R> Uploads<R> create(int maxQueued, int maxPerPeer) {
+		return new Uploads<>(maxQueued, maxPerPeer);
 	}
 
 	/**
-	 * Returns whether the request was taken; false means to answer busy.
+	 * Queues a request and returns whether it was accepted; a rejected peer is to be
+	 * answered busy.
 	 */
 	public boolean offer(Object peer, R request) {
-		Deque<R> own = this.waiting.get(peer);
-		int before = (own != null) ? own.size() : 0;
-		if (this.size >= this.limit || before >= this.perPeer) {
+		Deque<R> queue = this.queues.get(peer);
+		int before = (queue != null) ? queue.size() : 0;
+		if (this.size >= this.maxQueued || before >= this.maxPerPeer) {
 			return false;
 		}
-		this.waiting.computeIfAbsent(peer, (key) -> new ArrayDeque<>()).add(request);
+		this.queues.computeIfAbsent(peer, (key) -> new ArrayDeque<>()).add(request);
 		this.size++;
 		return true;
 	}
 
 	/**
-	 * Returns the request to serve next.
+	 * Removes and returns the request to serve next.
 	 */
 	public Optional<R> next() {
-		Iterator<Map.Entry<Object, Deque<R>>> turns = this.waiting.entrySet().iterator();
-		if (!turns.hasNext()) {
+		Iterator<Map.Entry<Object, Deque<R>>> entries = this.queues.entrySet().iterator();
+		if (!entries.hasNext()) {
 			return Optional.empty();
 		}
-		Map.Entry<Object, Deque<R>> turn = turns.next();
-		turns.remove();
-		R request = turn.getValue().poll();
+		Map.Entry<Object, Deque<R>> entry = entries.next();
+		entries.remove();
+		R request = entry.getValue().poll();
 		this.size--;
-		if (!turn.getValue().isEmpty()) {
-			this.waiting.put(turn.getKey(), turn.getValue());
+		if (!entry.getValue().isEmpty()) {
+			this.queues.put(entry.getKey(), entry.getValue());
 		}
 		return Optional.of(request);
 	}
 
 	/**
-	 * Drops what waits for a peer that is gone.
+	 * Removes the requests of a disconnected peer.
 	 */
 	public void drop(Object peer) {
-		Deque<R> own = this.waiting.remove(peer);
-		this.size -= (own != null) ? own.size() : 0;
+		Deque<R> queue = this.queues.remove(peer);
+		this.size -= (queue != null) ? queue.size() : 0;
 	}
 
 }
--- a/policy/src/main/java/org/wisteriapost/policy/transfer/package-info.java
+++ b/policy/src/main/java/org/wisteriapost/policy/transfer/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Which chunk comes next from whom while new weights spread, decided without a
- * coordinator. A piece is one chunk of one file, numbered through all files of a fetch.
+ * Decides which chunk of new weights to fetch next and from where, without a coordinator.
+ * Chunks are numbered consecutively through all files of a fetch.
  */
 package org.wisteriapost.policy.transfer;
--- a/policy/src/test/java/org/wisteriapost/policy/transfer/BusyPeerTests.java
+++ b/policy/src/test/java/org/wisteriapost/policy/transfer/BusyPeerTests.java
@@ -28,90 +28,89 @@
 
 	private static final Peer THIRD = new Peer("third", "place");
 
-	private final Pieces pieces = Pieces.of(List.of(new WeightFile("model", "1", "model", "etag", 40L * CHUNK, CHUNK,
+	private final Pieces chunks = Pieces.of(List.of(new WeightFile("model", "1", "model", "etag", 40L * CHUNK, CHUNK,
 			IntStream.range(0, 40).mapToObj((index) -> "hash-" + index).toList())));
 
-	private final TransferMachine machine = TransferMachine.create(this.pieces, new Peer("self", "place"),
+	private final TransferMachine machine = TransferMachine.create(this.chunks, new Peer("self", "place"),
 			TransferLimits.standard(), RandomSource.XO_RO_SHI_RO_128_PP.create(7), Invariants.create());
 
 	private long now = Duration.ofHours(5).toNanos();
 
-	// A peer has given the first part of a piece and is busy from then on: a dozen fetch
-	// from it over a narrow link. Another neighbour holds the same piece and is idle.
+	// A peer sends the first part of a chunk and then answers busy to every further
+	// request, while another holder is idle.
 	@Test
-	void aBegunPieceDoesNotWaitForABusyPeerWithoutEnd() {
+	void partialChunkIsRequestedElsewhereWhenItsPeerStaysBusy() {
 		apply(new TransferEvent.RateSet(300_000));
 		apply(new TransferEvent.PeersSeen(List.of(OTHER, THIRD)));
 		apply(new TransferEvent.LinkUp(OTHER.vm()));
 		apply(new TransferEvent.LinkUp(THIRD.vm()));
 		apply(new TransferEvent.Held(new BitSet()));
-		BitSet one = new BitSet();
-		one.set(23);
-		apply(new TransferEvent.PeerHolds(OTHER.vm(), one));
+		BitSet held = new BitSet();
+		held.set(23);
+		apply(new TransferEvent.PeerHolds(OTHER.vm(), held));
 		this.now += 200 * MILLI;
-		List<TransferEffect.Request> open = of(OTHER, apply(new TransferEvent.Tick()));
+		List<TransferEffect.Request> open = requestsTo(OTHER, apply(new TransferEvent.Tick()));
 		assertThat(open.size(), is(1));
 		List<TransferEffect> effects = new ArrayList<>(
 				apply(new TransferEvent.PartCame(23, OTHER.vm(), open.getFirst().length())));
-		effects.addAll(apply(new TransferEvent.PeerHolds(THIRD.vm(), one)));
-		open = new ArrayList<>(of(OTHER, effects));
+		effects.addAll(apply(new TransferEvent.PeerHolds(THIRD.vm(), held)));
+		open = new ArrayList<>(requestsTo(OTHER, effects));
 		int busy = 0;
 		for (int tick = 0; tick < 1500; tick++) {
 			this.now += 20 * MILLI;
-			List<TransferEffect> fresh = new ArrayList<>(apply(new TransferEvent.Tick()));
+			List<TransferEffect> next = new ArrayList<>(apply(new TransferEvent.Tick()));
 			for (TransferEffect.Request request : open) {
 				busy++;
-				fresh.addAll(apply(new TransferEvent.Refused(request.piece(), OTHER.vm(), true)));
+				next.addAll(apply(new TransferEvent.Refused(request.piece(), OTHER.vm(), true)));
 			}
-			open = of(OTHER, fresh);
-			effects.addAll(fresh);
+			open = requestsTo(OTHER, next);
+			effects.addAll(next);
 		}
-		assertThat("busy " + busy + " times in 30 s; asked of the idle one",
-				of(THIRD, effects).stream().map(TransferEffect.Request::piece).toList(), hasItem(23));
+		assertThat("busy " + busy + " times in 30 s; requests to the idle peer",
+				requestsTo(THIRD, effects).stream().map(TransferEffect.Request::piece).toList(), hasItem(23));
 	}
 
-	// Weights are fetched, as on a site, of eight peers that hold all. Six are beside
-	// engines whose links are squeezed: they give the first part of each piece and are
-	// busy whenever more is asked for. Two are idle and give every part at once; all
-	// pieces can be had from them.
+	// All eight peers hold every chunk. Six of them send the first part of each chunk
+	// and then mostly answer busy; two are idle. The fetch must complete from the idle
+	// ones.
 	@ParameterizedTest
 	@ValueSource(ints = { 50, 80, 95, 100 })
-	void busyPeersDoNotStopWhatComesFromIdleOnes(int busyOfHundred) {
-		Random chance = new Random(busyOfHundred);
-		TransferLimits site = new TransferLimits(TransferLimits.Design.SWARM, 1, 2, 8, 6, 1, Duration.ofMillis(600),
+	void busyPeersDoNotBlockRequestsToIdlePeers(int busyPercent) {
+		Random random = new Random(busyPercent);
+		TransferLimits limits = new TransferLimits(TransferLimits.Design.SWARM, 1, 2, 8, 6, 1, Duration.ofMillis(600),
 				Duration.ofMillis(80), 16, true, true);
-		TransferMachine fetch = TransferMachine.create(this.pieces, new Peer("self", "place"), site,
+		TransferMachine machine = TransferMachine.create(this.chunks, new Peer("self", "place"), limits,
 				RandomSource.XO_RO_SHI_RO_128_PP.create(7), Invariants.create());
 		List<Peer> peers = IntStream.range(0, 8).mapToObj((index) -> new Peer("peer-" + index, "place")).toList();
-		fetch.apply(new TransferEvent.RateSet(565_000), this.now);
-		fetch.apply(new TransferEvent.PeersSeen(peers), this.now);
+		machine.apply(new TransferEvent.RateSet(565_000), this.now);
+		machine.apply(new TransferEvent.PeersSeen(peers), this.now);
 		BitSet all = new BitSet();
-		all.set(0, this.pieces.count());
+		all.set(0, this.chunks.count());
 		List<TransferEffect> effects = new ArrayList<>();
 		for (Peer peer : peers) {
-			effects.addAll(fetch.apply(new TransferEvent.LinkUp(peer.vm()), this.now));
-			effects.addAll(fetch.apply(new TransferEvent.PeerHolds(peer.vm(), all), this.now));
+			effects.addAll(machine.apply(new TransferEvent.LinkUp(peer.vm()), this.now));
+			effects.addAll(machine.apply(new TransferEvent.PeerHolds(peer.vm(), all), this.now));
 		}
-		effects.addAll(fetch.apply(new TransferEvent.Held(new BitSet()), this.now));
-		int asksOfIdle = 0;
+		effects.addAll(machine.apply(new TransferEvent.Held(new BitSet()), this.now));
+		int idleRequests = 0;
 		for (int tick = 0; tick < 1500; tick++) {
 			this.now += 20 * MILLI;
-			List<TransferEffect> before = effects;
+			List<TransferEffect> previous = effects;
 			effects = new ArrayList<>();
-			for (TransferEffect effect : before) {
+			for (TransferEffect effect : previous) {
 				if (effect instanceof TransferEffect.Store store) {
-					effects.addAll(fetch.apply(new TransferEvent.Stored(store.piece()), this.now));
+					effects.addAll(machine.apply(new TransferEvent.Stored(store.piece()), this.now));
 				}
 				else if (effect instanceof TransferEffect.Request request) {
 					boolean idle = request.vm().compareTo("peer-6") >= 0;
-					asksOfIdle += (idle && tick >= 500) ? 1 : 0;
+					idleRequests += (idle && tick >= 500) ? 1 : 0;
 					effects
-						.addAll(fetch.apply(answer(request, idle || chance.nextInt(100) >= busyOfHundred), this.now));
+						.addAll(machine.apply(answer(request, idle || random.nextInt(100) >= busyPercent), this.now));
 				}
 			}
-			effects.addAll(fetch.apply(new TransferEvent.Tick(), this.now));
+			effects.addAll(machine.apply(new TransferEvent.Tick(), this.now));
 		}
-		assertThat("pieces after 30 s, asked of the idle ones in the last 20 s: " + asksOfIdle, fetch.verified(),
+		assertThat("chunks after 30 s; requests to idle peers in the last 20 s: " + idleRequests, machine.verified(),
 				is(40));
 	}
 
@@ -128,7 +127,7 @@
 		return this.machine.apply(event, this.now);
 	}
 
-	private static List<TransferEffect.Request> of(Peer peer, List<TransferEffect> effects) {
+	private static List<TransferEffect.Request> requestsTo(Peer peer, List<TransferEffect> effects) {
 		return effects.stream()
 			.filter(TransferEffect.Request.class::isInstance)
 			.map(TransferEffect.Request.class::cast)
--- a/policy/src/test/java/org/wisteriapost/policy/transfer/LinkPacingTests.java
+++ b/policy/src/test/java/org/wisteriapost/policy/transfer/LinkPacingTests.java
@@ -16,24 +16,24 @@
 
 	@ParameterizedTest
 	@CsvSource({ "0, 800", "0.5, 500", "1, 200", "7, 200", "-1, 800" })
-	void shareSinksWithLatenessAndNeverToNothing(double lateness, double rate) {
+	void rateFallsWithLatenessButNeverToZero(double lateness, double rate) {
 		assertThat(new LinkShare(1000, 0.8, 0.2).rate(lateness), is(closeTo(rate, 1e-6)));
 	}
 
 	@Test
-	void shareWhileLateIsNeverMoreThanTheCalmOne() {
+	void shareWhileLateNeverExceedsTheNormalShare() {
 		assertThat(new LinkShare(1000, 0.3, 0.9).rate(1), is(300.0));
 	}
 
-	// An engine that has just started holds no weights and answers nothing: there is
-	// nothing to leave the link to, and each tenth of it is 0.4 s until it can answer.
+	// An engine that has just started holds no weights and receives no requests, so each
+	// unused tenth of its link delays its first response.
 	@Test
-	void nearlyAllOfTheLinkIsForWeightsWhileNothingElseUsesIt() {
+	void idleRateUsesNearlyTheWholeLink() {
 		assertThat(new LinkShare(1000, 0.85, 0.3).idleRate(), is(closeTo(970, 1e-6)));
 	}
 
 	@Test
-	void bytesInASecondStayUnderTheRateAndItsBurst() {
+	void averageRateStaysWithinTheLimitAndBurst() {
 		Pacer pacer = Pacer.create(0.1);
 		pacer.rate(1000, 0);
 		int sent = 0;
@@ -48,14 +48,14 @@
 	}
 
 	@Test
-	void withoutARateNothingWaits() {
+	void noDelayWithoutARate() {
 		Pacer pacer = Pacer.create(0.1);
 		pacer.take(1_000_000);
 		assertThat(pacer.delayNanos(1), is(0L));
 	}
 
 	@Test
-	void longPauseIsNotMadeUpFor() {
+	void burstIsBoundedAfterALongPause() {
 		Pacer pacer = Pacer.create(0.1);
 		pacer.rate(1000, 0);
 		assertThat(pacer.delayNanos(3600 * SECOND), is(0L));
--- a/policy/src/test/java/org/wisteriapost/policy/transfer/SqueezedLinkTests.java
+++ b/policy/src/test/java/org/wisteriapost/policy/transfer/NarrowLinkTests.java
@@ -20,43 +20,43 @@
 import static org.junit.jupiter.api.Assertions.assertAll;
 
 /**
- * The link of a VM beside an engine narrows while weights come in over it, in virtual
+ * A VM's link loses most of its capacity while weights are received over it, in virtual
  * time.
  */
-class SqueezedLinkTests {
+class NarrowLinkTests {
 
-	private static final double DECLARED = 665_000;
+	private static final double DECLARED_RATE = 665_000;
 
 	private static final int CHUNK = 32_768;
 
 	private final Invariants invariants = Invariants.create();
 
-	private final Pieces pieces = Pieces.of(List.of(new WeightFile("model", "1", "model", "etag", 64L * CHUNK, CHUNK,
+	private final Pieces chunks = Pieces.of(List.of(new WeightFile("model", "1", "model", "etag", 64L * CHUNK, CHUNK,
 			IntStream.range(0, 64).mapToObj((index) -> "hash-" + index).toList())));
 
-	// Callers are answered late or not at all by the engine beside, and what an entry has
-	// given up begins there seconds later. The link carries a tenth or less of what it is
-	// declared to; what was asked for waits on it, counts as stalled and is asked for
-	// again elsewhere while it still comes, so the link is never empty again.
+	// Requested parts queue on a link with a tenth of its declared capacity, time out
+	// and are requested again elsewhere while they still arrive. That must not keep the
+	// link saturated and delay requests to the engine.
 	@ParameterizedTest
 	@CsvSource({ "44000, 1", "44000, 2", "44000, 3", "62500, 1", "118000, 1" })
-	void requestsOfTheEngineWaitLittleBehindWeights(double squeezed, long seed) {
-		SqueezedLink link = link(seed);
+	void requestsToTheEngineAreNotDelayedByWeights(double narrow, long seed) {
+		SimulatedLink link = link(seed);
 		link.run(0, 0.8);
-		link.carries(squeezed);
-		double most = link.run(0.8, 3);
-		double later = link.run(3, 8);
-		assertAll(() -> assertThat("seconds, at first", most, is(lessThan(1.5))),
-				() -> assertThat("seconds, once it is known", later, is(lessThan(0.6))),
-				() -> assertThat("pieces that came twice", link.doubled(), is(0)));
+		link.setRate(narrow);
+		double initialDelay = link.run(0.8, 3);
+		double laterDelay = link.run(3, 8);
+		assertAll(
+				() -> assertThat("maximum delay in seconds while the window shrinks", initialDelay, is(lessThan(1.5))),
+				() -> assertThat("maximum delay in seconds afterwards", laterDelay, is(lessThan(0.6))),
+				() -> assertThat("chunks received twice", link.duplicateChunks(), is(0)));
 	}
 
-	// A fetch that stands still would keep engines on the old version without end.
+	// A stopped fetch would keep the engine on the old version indefinitely.
 	@Test
-	void weightsGoOnComingOverASqueezedLink() {
-		SqueezedLink link = link(1);
+	void weightsKeepArrivingOverANarrowLink() {
+		SimulatedLink link = link(1);
 		link.run(0, 0.8);
-		link.carries(44_000);
+		link.setRate(44_000);
 		link.run(0.8, 3);
 		int before = link.verified();
 		link.run(3, 8);
@@ -64,29 +64,29 @@
 	}
 
 	@Test
-	void aLinkThatIsWideAgainIsUsedWhole() {
-		SqueezedLink link = link(1);
+	void recoveredLinkIsFullyUsedAgain() {
+		SimulatedLink link = link(1);
 		link.run(0, 0.8);
-		link.carries(44_000);
+		link.setRate(44_000);
 		link.run(0.8, 3);
-		link.carries(DECLARED);
+		link.setRate(DECLARED_RATE);
 		link.run(3, 3.8);
 		int before = link.verified();
 		link.run(3.8, 4.8);
-		assertThat((link.verified() - before) * (double) CHUNK, is(greaterThan(0.7 * 0.85 * DECLARED)));
+		assertThat((link.verified() - before) * (double) CHUNK, is(greaterThan(0.7 * 0.85 * DECLARED_RATE)));
 	}
 
-	private SqueezedLink link(long seed) {
+	private SimulatedLink link(long seed) {
 		TransferLimits limits = new TransferLimits(TransferLimits.Design.SWARM, 1, 2, 8, 6, 1, Duration.ofMillis(600),
 				Duration.ofMillis(80), 16, true, true);
-		TransferMachine machine = TransferMachine.create(this.pieces, new Peer("self", "place"), limits,
+		TransferMachine machine = TransferMachine.create(this.chunks, new Peer("self", "place"), limits,
 				RandomSource.XO_RO_SHI_RO_128_PP.create(seed), this.invariants);
 		List<Peer> peers = IntStream.range(0, 8).mapToObj((index) -> new Peer("peer-" + index, "place")).toList();
-		SqueezedLink link = new SqueezedLink(machine, this.pieces, DECLARED, 0.85 * DECLARED);
-		link.apply(new TransferEvent.RateSet(0.85 * DECLARED));
+		SimulatedLink link = new SimulatedLink(machine, this.chunks, DECLARED_RATE, 0.85 * DECLARED_RATE);
+		link.apply(new TransferEvent.RateSet(0.85 * DECLARED_RATE));
 		link.apply(new TransferEvent.PeersSeen(peers));
 		BitSet all = new BitSet();
-		all.set(0, this.pieces.count());
+		all.set(0, this.chunks.count());
 		for (Peer peer : peers) {
 			link.apply(new TransferEvent.LinkUp(peer.vm()));
 			link.apply(new TransferEvent.PeerHolds(peer.vm(), all));
--- a/policy/src/test/java/org/wisteriapost/policy/transfer/NeighboursTests.java
+++ b/policy/src/test/java/org/wisteriapost/policy/transfer/PeerSelectionTests.java
@@ -19,17 +19,17 @@
 import static org.hamcrest.Matchers.lessThanOrEqualTo;
 import static org.hamcrest.Matchers.not;
 
-class NeighboursTests {
+class PeerSelectionTests {
 
 	private static final TransferLimits LIMITS = TransferLimits.standard();
 
 	@ParameterizedTest
 	@ValueSource(ints = { 1, 2, 3, 12, 48, 810 })
-	void linksAreBoundedAndEveryVmIsReached(int size) {
+	void connectionsAreBoundedAndReachEveryVm(int size) {
 		List<Peer> all = fleet(size);
 		Map<String, Set<String>> chosen = new HashMap<>();
 		for (Peer self : all) {
-			Set<String> links = Neighbours.choose(self, without(all, self), LIMITS);
+			Set<String> links = PeerSelection.choose(self, without(all, self), LIMITS);
 			assertThat(links.size(), is(lessThanOrEqualTo(LIMITS.neighbours())));
 			assertThat(links, not(hasItem(self.vm())));
 			chosen.put(self.vm(), links);
@@ -41,46 +41,46 @@
 	void smallFleetIsAFullMesh() {
 		List<Peer> all = fleet(LIMITS.neighbours() + 1);
 		Peer self = all.getFirst();
-		assertThat(Neighbours.choose(self, without(all, self), LIMITS).size(), is(LIMITS.neighbours()));
+		assertThat(PeerSelection.choose(self, without(all, self), LIMITS).size(), is(LIMITS.neighbours()));
 	}
 
 	@Test
-	void eachPieceHasExactlyOneFirstReader() {
+	void eachChunkHasExactlyOneVmRankedFirst() {
 		List<Peer> all = fleet(20);
-		Pieces pieces = Pieces.of(List.of(Weights.file("model", "a", "b", "c", "d", "e", "f", "g", "h")));
-		int[] firsts = new int[pieces.count()];
+		Pieces chunks = Pieces.of(List.of(Weights.file("model", "a", "b", "c", "d", "e", "f", "g", "h")));
+		int[] firsts = new int[chunks.count()];
 		for (Peer self : all) {
-			OriginRank rank = new OriginRank(pieces, self);
+			RendezvousRanking rank = new RendezvousRanking(chunks, self);
 			rank.update(without(all, self), Set.of(), TransferLimits.Design.SWARM);
-			for (int piece = 0; piece < firsts.length; piece++) {
-				firsts[piece] += (rank.of(piece) == 0) ? 1 : 0;
+			for (int chunk = 0; chunk < firsts.length; chunk++) {
+				firsts[chunk] += (rank.rankOf(chunk) == 0) ? 1 : 0;
 			}
 		}
 		assertThat(firsts, is(new int[] { 1, 1, 1, 1, 1, 1, 1, 1 }));
 	}
 
 	@Test
-	void failingReaderIsReplacedByTheNextInRank() {
+	void failingVmIsReplacedByTheNextInRank() {
 		List<Peer> all = fleet(2);
-		Pieces pieces = Pieces.of(List.of(Weights.file("model", "a", "b", "c", "d", "e", "f", "g", "h")));
-		OriginRank rank = new OriginRank(pieces, all.get(0));
+		Pieces chunks = Pieces.of(List.of(Weights.file("model", "a", "b", "c", "d", "e", "f", "g", "h")));
+		RendezvousRanking rank = new RendezvousRanking(chunks, all.get(0));
 		rank.update(List.of(all.get(1)), Set.of(all.get(1).vm()), TransferLimits.Design.SWARM);
-		for (int piece = 0; piece < pieces.count(); piece++) {
-			assertThat(rank.of(piece), is(0));
+		for (int chunk = 0; chunk < chunks.count(); chunk++) {
+			assertThat(rank.rankOf(chunk), is(0));
 		}
 	}
 
 	private static Set<String> reached(String from, Map<String, Set<String>> links) {
-		Set<String> seen = new HashSet<>(Set.of(from));
-		Deque<String> open = new ArrayDeque<>(seen);
-		while (!open.isEmpty()) {
-			for (String next : links.get(open.poll())) {
-				if (seen.add(next)) {
-					open.add(next);
+		Set<String> visited = new HashSet<>(Set.of(from));
+		Deque<String> queue = new ArrayDeque<>(visited);
+		while (!queue.isEmpty()) {
+			for (String next : links.get(queue.poll())) {
+				if (visited.add(next)) {
+					queue.add(next);
 				}
 			}
 		}
-		return seen;
+		return visited;
 	}
 
 	private static List<Peer> fleet(int size) {
--- a/policy/src/test/java/org/wisteriapost/policy/transfer/PiecesTests.java
+++ b/policy/src/test/java/org/wisteriapost/policy/transfer/PiecesTests.java
@@ -18,28 +18,28 @@
 	private static final WeightFile ADAPTER = Weights.file("adapter", "c", "b");
 
 	@Test
-	void piecesRunThroughAllFiles() {
-		Pieces pieces = Pieces.of(List.of(MODEL, ADAPTER));
-		assertThat(pieces.count(), is(5));
-		assertThat(pieces.hash(3), is("c"));
-		assertThat(pieces.index(4), is(1));
-		assertThat(pieces.piece(ADAPTER.digest(), 1), is(OptionalInt.of(4)));
+	void chunksAreNumberedThroughAllFiles() {
+		Pieces chunks = Pieces.of(List.of(MODEL, ADAPTER));
+		assertThat(chunks.count(), is(5));
+		assertThat(chunks.hash(3), is("c"));
+		assertThat(chunks.index(4), is(1));
+		assertThat(chunks.piece(ADAPTER.digest(), 1), is(OptionalInt.of(4)));
 	}
 
 	@Test
-	void indexOutsideItsFileOrAnUnknownFileIsNoPiece() {
-		Pieces pieces = Pieces.of(List.of(MODEL, ADAPTER));
-		assertThat(pieces.piece(ADAPTER.digest(), 2), is(OptionalInt.empty()));
-		assertThat(pieces.piece("other", 0), is(OptionalInt.empty()));
+	void unknownFileOrIndexOutsideItsFileHasNoChunk() {
+		Pieces chunks = Pieces.of(List.of(MODEL, ADAPTER));
+		assertThat(chunks.piece(ADAPTER.digest(), 2), is(OptionalInt.empty()));
+		assertThat(chunks.piece("other", 0), is(OptionalInt.empty()));
 	}
 
 	@Test
 	void sameContentIsFetchedOnce() {
-		Pieces pieces = Pieces.of(List.of(MODEL, ADAPTER, MODEL));
-		assertThat(pieces.count(), is(5));
-		assertThat(pieces.distinct(), is(bits(0, 1, 3)));
-		assertThat(pieces.twins(0), is(new int[] { 2 }));
-		assertThat(pieces.twins(1), is(new int[] { 4 }));
+		Pieces chunks = Pieces.of(List.of(MODEL, ADAPTER, MODEL));
+		assertThat(chunks.count(), is(5));
+		assertThat(chunks.distinct(), is(bits(0, 1, 3)));
+		assertThat(chunks.twins(0), is(new int[] { 2 }));
+		assertThat(chunks.twins(1), is(new int[] { 4 }));
 	}
 
 	@Test
@@ -51,7 +51,7 @@
 	}
 
 	@Test
-	void nothingIsCopiedThatIsNotHeldOrAlreadyThere() {
+	void chunksNotHeldElsewhereOrAlreadyPresentAreNotCopied() {
 		Pieces wanted = Pieces.of(List.of(Weights.file("model-2", "a", "x", "b")));
 		LocalCopies.HeldFile held = new LocalCopies.HeldFile(MODEL, "old", bits(0));
 		assertThat(LocalCopies.plan(wanted, List.of(held), bits(0)), is(empty()));
--- a/policy/src/test/java/org/wisteriapost/policy/transfer/RequestWindowTests.java
+++ b/policy/src/test/java/org/wisteriapost/policy/transfer/RequestWindowTests.java
@@ -18,46 +18,45 @@
 
 	private final RequestWindow window = new RequestWindow(8);
 
-	// All that is asked for shares the VM's link. On one that carries what it is declared
-	// to the window opens; on one that carries a fifth of it at most four parts of 8 KB
-	// are on their way, so that a request of the engine waits for a quarter of a second
-	// behind them and not for two, and on one that carries less a single part.
+	// At its declared capacity the window opens fully. At a fifth of it at most four
+	// parts are in flight, so that a request to the engine waits a quarter of a second
+	// behind them instead of two; below that, a single part.
 	@ParameterizedTest
 	@CsvSource({ "665000,8,8", "118000,1,4", "44000,1,1" })
-	void theWindowFollowsTheLink(double bytesPerSecond, int least, int most) {
+	void windowFollowsTheLinkCapacity(double bytesPerSecond, int min, int max) {
 		long part = (long) (PART_BYTES / 665_000 * 1000 * MILLI);
-		this.window.answered(part, 0);
-		long each = (long) (PART_BYTES / bytesPerSecond * 1000 * MILLI);
-		Deque<Long> asked = new ArrayDeque<>();
+		this.window.recordResponseTime(part, 0);
+		long interval = (long) (PART_BYTES / bytesPerSecond * 1000 * MILLI);
+		Deque<Long> sent = new ArrayDeque<>();
 		long now = 0;
 		for (int answer = 0; answer < 80; answer++) {
-			while (asked.size() < Math.max(1, this.window.size())) {
-				asked.add(now);
+			while (sent.size() < Math.max(1, this.window.size())) {
+				sent.add(now);
 			}
-			now += each;
-			this.window.answered(now - asked.remove(), now);
+			now += interval;
+			this.window.recordResponseTime(now - sent.remove(), now);
 		}
 		assertThat(this.window.size(),
-				Matchers.allOf(Matchers.greaterThanOrEqualTo(least), Matchers.lessThanOrEqualTo(most)));
+				Matchers.allOf(Matchers.greaterThanOrEqualTo(min), Matchers.lessThanOrEqualTo(max)));
 	}
 
-	// One of several peers has a link of its own that is full. What comes quickly from
-	// the others shows that this VM's link is not.
+	// A peer's own link is saturated, while fast responses of the others show that the
+	// local link is not.
 	@Test
-	void onePeerThatIsSlowNarrowsNothing() {
+	void oneSlowPeerDoesNotShrinkTheWindow() {
 		for (int answer = 0; answer < 40; answer++) {
-			this.window.answered((answer % 3 == 0) ? 1500 * MILLI : 60 * MILLI, answer * 100 * MILLI);
+			this.window.recordResponseTime((answer % 3 == 0) ? 1500 * MILLI : 60 * MILLI, answer * 100 * MILLI);
 		}
 		assertThat(this.window.size(), Matchers.equalTo(8));
 	}
 
 	@Test
-	void piecesThatAreLateTogetherCountOnce() {
-		for (int piece = 0; piece < 6; piece++) {
-			this.window.answered(100 * MILLI, piece);
+	void partsThatAreLateTogetherCountOnce() {
+		for (int chunk = 0; chunk < 6; chunk++) {
+			this.window.recordResponseTime(100 * MILLI, chunk);
 		}
-		for (int piece = 0; piece < 8; piece++) {
-			this.window.late(1000 * MILLI + piece);
+		for (int chunk = 0; chunk < 8; chunk++) {
+			this.window.recordLate(1000 * MILLI + chunk);
 		}
 		assertThat(this.window.size(), Matchers.equalTo(4));
 	}
--- a/policy/src/test/java/org/wisteriapost/policy/transfer/SqueezedLink.java
+++ b/policy/src/test/java/org/wisteriapost/policy/transfer/SimulatedLink.java
@@ -6,12 +6,11 @@
 import java.util.PriorityQueue;
 
 /**
- * One machine and the link over which its pieces come, in virtual time. Peers hold all,
- * are busy with others as well, and send what is asked for in parts, each at its share of
- * their own link; the parts wait for one another, and for the requests of the engine
- * beside, on the link to this VM.
+ * Simulates the link of one VM in virtual time. Peers hold all chunks, serve several
+ * fetches in turn, and send each chunk in parts at their own upload rate; parts and
+ * requests to the engine queue on the link to this VM.
  */
-final class SqueezedLink {
+final class SimulatedLink {
 
 	private static final long MILLI = 1_000_000;
 
@@ -19,27 +18,27 @@
 
 	private static final double PART_SECONDS = 0.012;
 
-	// Fetches that a peer serves by turns.
-	private static final int TURNS = 6;
+	// Fetches that a peer serves in turn.
+	private static final int CONCURRENT_UPLOADS = 6;
 
 	private static final long LATENCY = MILLI / 2;
 
 	private static final long TICK = 20 * MILLI;
 
-	private static final long REQUEST_EACH = 100 * MILLI;
+	private static final long REQUEST_INTERVAL = 100 * MILLI;
 
 	private static final int REQUEST_BYTES = 1_100;
 
 	private final TransferMachine machine;
 
-	private final Pieces pieces;
+	private final Pieces chunks;
 
 	private final double uploadRate;
 
 	private final PriorityQueue<Step> steps = new PriorityQueue<>(
 			Comparator.comparingLong(Step::at).thenComparingLong(Step::number));
 
-	private final Map<Integer, Integer> came = new HashMap<>();
+	private final Map<Integer, Integer> received = new HashMap<>();
 
 	private double rate;
 
@@ -47,29 +46,29 @@
 
 	private long sequence;
 
-	private long freeAt;
+	private long idleAt;
 
-	SqueezedLink(TransferMachine machine, Pieces pieces, double rate, double uploadRate) {
+	SimulatedLink(TransferMachine machine, Pieces chunks, double rate, double uploadRate) {
 		this.machine = machine;
-		this.pieces = pieces;
+		this.chunks = chunks;
 		this.rate = rate;
 		this.uploadRate = uploadRate;
 		schedule(TICK, this::tick);
-		schedule(REQUEST_EACH, this::request);
+		schedule(REQUEST_INTERVAL, this::request);
 	}
 
 	/**
-	 * Sets the bytes per second that the link carries from now on.
+	 * Sets the capacity of the link in bytes per second.
 	 */
-	void carries(double bytesPerSecond) {
-		long left = Math.max(0, this.freeAt - this.now);
-		this.freeAt = this.now + (long) (left * this.rate / bytesPerSecond);
+	void setRate(double bytesPerSecond) {
+		long remaining = Math.max(0, this.idleAt - this.now);
+		this.idleAt = this.now + (long) (remaining * this.rate / bytesPerSecond);
 		this.rate = bytesPerSecond;
 	}
 
 	/**
-	 * Plays until a time and returns the longest wait on the link from another, both in
-	 * seconds.
+	 * Runs until a time and returns the longest queueing delay after another; both times
+	 * and the delay are in seconds.
 	 */
 	double run(double from, double until) {
 		long longest = 0;
@@ -77,7 +76,7 @@
 			Step step = this.steps.poll();
 			this.now = step.at();
 			step.action().run();
-			longest = (this.now >= (long) (from * SECOND)) ? Math.max(longest, this.freeAt - this.now) : 0;
+			longest = (this.now >= (long) (from * SECOND)) ? Math.max(longest, this.idleAt - this.now) : 0;
 		}
 		this.now = (long) (until * SECOND);
 		return longest / SECOND;
@@ -92,10 +91,10 @@
 	}
 
 	/**
-	 * Returns how many pieces came more than once.
+	 * Returns how many chunks were received more than once.
 	 */
-	int doubled() {
-		return (int) this.came.values().stream().filter((times) -> times > 1).count();
+	int duplicateChunks() {
+		return (int) this.received.values().stream().filter((times) -> times > 1).count();
 	}
 
 	private void tick() {
@@ -104,12 +103,12 @@
 	}
 
 	private void request() {
-		enter(REQUEST_BYTES);
-		schedule(REQUEST_EACH, this::request);
+		enqueue(REQUEST_BYTES);
+		schedule(REQUEST_INTERVAL, this::request);
 	}
 
-	private void enter(int bytes) {
-		this.freeAt = Math.max(this.now, this.freeAt) + (long) (bytes / this.rate * SECOND);
+	private void enqueue(int bytes) {
+		this.idleAt = Math.max(this.now, this.idleAt) + (long) (bytes / this.rate * SECOND);
 	}
 
 	private void carryOut(TransferEffect effect) {
@@ -122,16 +121,16 @@
 	}
 
 	private void send(TransferEffect.Request request, int offset) {
-		int whole = this.pieces.length(request.piece());
-		int asked = (request.length() > 0) ? request.offset() + request.length() : whole;
-		int length = Math.min((int) (this.uploadRate * PART_SECONDS), asked - offset);
-		long sending = (long) (length / this.uploadRate * TURNS * SECOND);
+		int chunkBytes = this.chunks.length(request.piece());
+		int requestedEnd = (request.length() > 0) ? request.offset() + request.length() : chunkBytes;
+		int length = Math.min((int) (this.uploadRate * PART_SECONDS), requestedEnd - offset);
+		long sendNanos = (long) (length / this.uploadRate * CONCURRENT_UPLOADS * SECOND);
 		int end = offset + length;
-		schedule(sending, () -> {
-			boolean last = end == asked;
-			enter(length);
+		schedule(sendNanos, () -> {
+			boolean last = end == requestedEnd;
+			enqueue(length);
 			if (last) {
-				schedule(this.freeAt - this.now + LATENCY, () -> arrive(request, asked));
+				schedule(this.idleAt - this.now + LATENCY, () -> arrive(request, requestedEnd));
 				return;
 			}
 			send(request, end);
@@ -139,11 +138,11 @@
 	}
 
 	private void arrive(TransferEffect.Request request, int end) {
-		if (end < this.pieces.length(request.piece())) {
+		if (end < this.chunks.length(request.piece())) {
 			apply(new TransferEvent.PartCame(request.piece(), request.vm(), end));
 			return;
 		}
-		this.came.merge(request.piece(), 1, Integer::sum);
+		this.received.merge(request.piece(), 1, Integer::sum);
 		apply(new TransferEvent.Verified(request.piece(), request.vm()));
 	}
 
--- a/policy/src/test/java/org/wisteriapost/policy/transfer/TransferMachineTests.java
+++ b/policy/src/test/java/org/wisteriapost/policy/transfer/TransferMachineTests.java
@@ -29,12 +29,12 @@
 
 	private static final Peer THIRD = new Peer("third", "place");
 
-	private final Pieces pieces = Pieces
+	private final Pieces chunks = Pieces
 		.of(List.of(Weights.file("model", IntStream.range(0, 40).mapToObj((i) -> "hash-" + i).toArray(String[]::new))));
 
 	private final Invariants invariants = Invariants.create();
 
-	private final TransferMachine machine = TransferMachine.create(this.pieces, new Peer("self", "place"),
+	private final TransferMachine machine = TransferMachine.create(this.chunks, new Peer("self", "place"),
 			TransferLimits.standard(), RandomSource.XO_RO_SHI_RO_128_PP.create(7), this.invariants);
 
 	private long now = Duration.ofHours(5).toNanos();
@@ -45,24 +45,23 @@
 	}
 
 	@Test
-	void alonePiecesAreReadFromTheOriginAndStoredOnlyOnceVerified() {
+	void chunksWithoutPeersAreReadFromTheOriginAndStoredOnceVerified() {
 		apply(new TransferEvent.PeersSeen(List.of()));
-		List<Integer> asked = reads(apply(new TransferEvent.Held(new BitSet())));
-		assertThat(asked.size(), is(TransferLimits.standard().originReads()));
-		int piece = asked.getFirst();
-		assertThat(apply(new TransferEvent.Verified(piece, TransferMachine.ORIGIN)),
-				hasItem(new TransferEffect.Store(piece)));
-		assertThat(this.machine.held().get(piece), is(false));
-		apply(new TransferEvent.Stored(piece));
-		assertThat(this.machine.held().get(piece), is(true));
-	}
-
-	// A version is named, and this VM is the first to begin: its peers know nothing of
-	// the file yet. It reads its own pieces and not theirs, or each would read a copy.
-	// One that still knows nothing after a second fetches something else, and its pieces
-	// are read here.
+		List<Integer> requested = reads(apply(new TransferEvent.Held(new BitSet())));
+		assertThat(requested.size(), is(TransferLimits.standard().originReads()));
+		int chunk = requested.getFirst();
+		assertThat(apply(new TransferEvent.Verified(chunk, TransferMachine.ORIGIN)),
+				hasItem(new TransferEffect.Store(chunk)));
+		assertThat(this.machine.held().get(chunk), is(false));
+		apply(new TransferEvent.Stored(chunk));
+		assertThat(this.machine.held().get(chunk), is(true));
+	}
+
+	// The first VM to start a fetch reads its own chunks but not those of peers that are
+	// about to start too. A peer that has not started after the grace period fetches
+	// something else, and its chunks are read by this VM.
 	@Test
-	void onlyWhoKnowsNothingForLongIsNotWaitedFor() {
+	void peerThatDoesNotFetchIsReplacedAfterTheGracePeriod() {
 		apply(new TransferEvent.PeersSeen(List.of(OTHER, THIRD)));
 		for (Peer peer : List.of(OTHER, THIRD)) {
 			apply(new TransferEvent.LinkUp(peer.vm()));
@@ -76,15 +75,14 @@
 		assertThat(this.machine.held().cardinality(), is(40));
 	}
 
-	// A chunk that went bad in a peer's memory looks like any other on the wire. It must
-	// neither be stored nor told to others; its sender is left alone, and the piece is
-	// fetched elsewhere.
+	// A chunk corrupted in a peer's memory must neither be stored nor announced; the
+	// peer is avoided and the chunk fetched elsewhere.
 	@Test
-	void corruptPieceIsNeverStoredAndItsSenderIsLeftAlone() {
-		int piece = askedOfOther();
-		List<TransferEffect> effects = apply(new TransferEvent.Corrupt(piece, OTHER.vm()));
+	void corruptChunkIsNeverStoredAndItsSenderIsAvoided() {
+		int chunk = requestFromOther();
+		List<TransferEffect> effects = apply(new TransferEvent.Corrupt(chunk, OTHER.vm()));
 		assertThat(effects, not(hasItem(instanceOf(TransferEffect.Store.class))));
-		assertThat(effects, hasItem(new TransferEffect.Notice(TransferMachine.PEER_CORRUPT, OTHER.vm(), piece)));
+		assertThat(effects, hasItem(new TransferEffect.Notice(TransferMachine.PEER_CORRUPT, OTHER.vm(), chunk)));
 		assertThat(requests(effects, OTHER), is(empty()));
 		this.now += Duration.ofSeconds(29).toNanos();
 		assertThat(requests(apply(new TransferEvent.Tick()), OTHER), is(empty()));
@@ -95,9 +93,9 @@
 	@Test
 	void corruptOriginIsTriedThreeTimesThenTheFetchFails() {
 		apply(new TransferEvent.PeersSeen(List.of()));
-		int piece = reads(apply(new TransferEvent.Held(new BitSet()))).getFirst();
-		TransferEvent corrupt = new TransferEvent.Corrupt(piece, TransferMachine.ORIGIN);
-		TransferEffect failed = new TransferEffect.Fail(TransferMachine.ORIGIN_CORRUPT, piece);
+		int chunk = reads(apply(new TransferEvent.Held(new BitSet()))).getFirst();
+		TransferEvent corrupt = new TransferEvent.Corrupt(chunk, TransferMachine.ORIGIN);
+		TransferEffect failed = new TransferEffect.Fail(TransferMachine.ORIGIN_CORRUPT, chunk);
 		assertThat(apply(corrupt), not(hasItem(failed)));
 		assertThat(apply(corrupt), not(hasItem(failed)));
 		assertThat(apply(corrupt), hasItem(failed));
@@ -106,68 +104,67 @@
 	@Test
 	void changedVersionEndsTheFetch() {
 		apply(new TransferEvent.PeersSeen(List.of()));
-		int piece = reads(apply(new TransferEvent.Held(new BitSet()))).getFirst();
-		assertThat(apply(new TransferEvent.OriginFailed(piece, true)), is(List.of(new TransferEffect.Changed(piece))));
+		int chunk = reads(apply(new TransferEvent.Held(new BitSet()))).getFirst();
+		assertThat(apply(new TransferEvent.OriginFailed(chunk, true)), is(List.of(new TransferEffect.Changed(chunk))));
 		this.now += DEADLINE * 10;
 		assertThat(reads(apply(new TransferEvent.Tick())), is(empty()));
 	}
 
 	@Test
-	void originThatIsAwayForAWhileIsAskedAgainLater() {
+	void unreachableOriginIsRetriedLater() {
 		apply(new TransferEvent.PeersSeen(List.of()));
-		for (int piece : reads(apply(new TransferEvent.Held(new BitSet())))) {
-			assertThat(reads(apply(new TransferEvent.OriginFailed(piece, false))), is(empty()));
+		for (int chunk : reads(apply(new TransferEvent.Held(new BitSet())))) {
+			assertThat(reads(apply(new TransferEvent.OriginFailed(chunk, false))), is(empty()));
 		}
 		this.now += Duration.ofSeconds(1).toNanos();
 		assertThat(reads(apply(new TransferEvent.Tick())), is(not(empty())));
 	}
 
-	// Weights are named and the origin crashes with a part of its copy unread. For 6 s
-	// each read fails. Then it is back, and it is read within half a second: engines
-	// that wait longer have no weights that may be answered from.
+	// An origin that recovers after an outage is read within half a second, or engines
+	// get the weights too late for their activation.
 	@Test
-	void originIsReadSoonAfterItsReturnHoweverLongItWasAway() {
+	void originBackoffStaysShortDuringALongOutage() {
 		apply(new TransferEvent.PeersSeen(List.of()));
-		List<Integer> asked = reads(apply(new TransferEvent.Held(new BitSet())));
+		List<Integer> requested = reads(apply(new TransferEvent.Held(new BitSet())));
 		for (int tick = 0; tick < 300; tick++) {
-			asked.forEach((piece) -> apply(new TransferEvent.OriginFailed(piece, false)));
+			requested.forEach((chunk) -> apply(new TransferEvent.OriginFailed(chunk, false)));
 			this.now += 20 * MILLI;
-			asked = reads(apply(new TransferEvent.Tick()));
+			requested = reads(apply(new TransferEvent.Tick()));
 		}
-		asked.forEach((piece) -> apply(new TransferEvent.OriginFailed(piece, false)));
+		requested.forEach((chunk) -> apply(new TransferEvent.OriginFailed(chunk, false)));
 		this.now += Duration.ofMillis(500).toNanos();
 		assertThat(reads(apply(new TransferEvent.Tick())), is(not(empty())));
 	}
 
-	// The first in rank for a piece has died with the list still naming it, or its link
-	// stalls. Nothing new appears, so the next in rank reads the piece; while others'
-	// pieces keep appearing the origin is only slow, and nobody does.
+	// When the first-ranked VM for a chunk is dead or stalled and no chunk appears, the
+	// next in rank reads it. While chunks keep appearing the origin is merely slow, and
+	// no VM takes over.
 	@Test
-	void secondInRankStepsInOnlyWhenNothingNewAppears() {
-		joinTwo();
+	void nextInRankReadsOnlyWhenNoChunkAppears() {
+		connectTwoPeers();
 		BitSet own = readAll(apply(new TransferEvent.Held(new BitSet())));
-		assertThat(own.cardinality() < this.pieces.count(), is(true));
+		assertThat(own.cardinality() < this.chunks.count(), is(true));
 		apply(new TransferEvent.Tick());
-		assertThat(reads(pass(DEADLINE - MILLI)), is(empty()));
-		assertThat(reads(pass(DEADLINE)), is(not(empty())));
+		assertThat(reads(advance(DEADLINE - MILLI)), is(empty()));
+		assertThat(reads(advance(DEADLINE)), is(not(empty())));
 	}
 
-	// A VM is replaced while all others hold everything. It is first in rank for some
-	// pieces, but reads none of them before its neighbours have told what they hold.
+	// A replaced VM must not read its share from the origin when its peers hold all
+	// chunks.
 	@Test
-	void lateVmAsksItsNeighboursBeforeItReadsItsShareOfTheOrigin() {
+	void lateVmWaitsForReportsOfPeersBeforeItReadsTheOrigin() {
 		apply(new TransferEvent.PeersSeen(List.of(OTHER)));
 		assertThat(reads(apply(new TransferEvent.Held(new BitSet()))), is(empty()));
 		assertThat(reads(apply(new TransferEvent.LinkUp(OTHER.vm()))), is(empty()));
 		BitSet all = new BitSet();
-		all.set(0, this.pieces.count());
+		all.set(0, this.chunks.count());
 		List<TransferEffect> effects = apply(new TransferEvent.PeerHolds(OTHER.vm(), all));
 		assertThat(reads(effects), is(empty()));
 		assertThat(requests(effects, OTHER), is(not(empty())));
 	}
 
 	@Test
-	void silentNeighbourHoldsUpTheFirstReadForOneDeadlineOnly() {
+	void unresponsivePeerDelaysTheFirstReadByOneTimeout() {
 		apply(new TransferEvent.PeersSeen(List.of(OTHER)));
 		apply(new TransferEvent.LinkUp(OTHER.vm()));
 		assertThat(reads(apply(new TransferEvent.Held(new BitSet()))), is(empty()));
@@ -175,102 +172,100 @@
 		assertThat(reads(apply(new TransferEvent.Tick())), is(not(empty())));
 	}
 
-	// Reading back the store takes long at a restart, and ticks come meanwhile.
+	// Scanning the store may take long after a restart, and ticks arrive meanwhile.
 	@Test
-	void timeBeforeTheStartIsNotSilence() {
-		joinTwo();
+	void timeBeforeTheStartIsNotAStall() {
+		connectTwoPeers();
 		this.now += DEADLINE * 100;
 		apply(new TransferEvent.Tick());
 		List<Integer> started = reads(apply(new TransferEvent.Held(new BitSet())));
-		OriginRank rank = new OriginRank(this.pieces, new Peer("self", "place"));
+		RendezvousRanking rank = new RendezvousRanking(this.chunks, new Peer("self", "place"));
 		rank.update(List.of(OTHER, THIRD), java.util.Set.of(), TransferLimits.Design.SWARM);
-		for (int piece : started) {
-			assertThat(rank.of(piece), is(0));
+		for (int chunk : started) {
+			assertThat(rank.rankOf(chunk), is(0));
 		}
 	}
 
 	@Test
-	void lostLinkMakesTheNextInRankReadAtOnce() {
-		joinTwo();
+	void disconnectedPeerIsReplacedByTheNextInRankAtOnce() {
+		connectTwoPeers();
 		apply(new TransferEvent.LinkDown(OTHER.vm()));
 		apply(new TransferEvent.LinkDown(THIRD.vm()));
 		BitSet own = readAll(apply(new TransferEvent.Held(new BitSet())));
-		assertThat(own.cardinality(), is(this.pieces.count()));
+		assertThat(own.cardinality(), is(this.chunks.count()));
 	}
 
-	// The link stays open and nothing comes: no close, no error. The sign is the request
-	// that passes its deadline; the piece is asked of another holder.
+	// A stalled link neither closes nor reports an error; only the timeout reveals it.
 	@Test
-	void stalledPeersPiecesAreAskedElsewhere() {
-		int piece = askedOfOther();
+	void chunksOfAStalledPeerAreRequestedElsewhere() {
+		int chunk = requestFromOther();
 		apply(new TransferEvent.PeersSeen(List.of(OTHER, THIRD)));
 		apply(new TransferEvent.LinkUp(THIRD.vm()));
-		BitSet one = new BitSet();
-		one.set(piece);
-		List<TransferEffect> early = apply(new TransferEvent.PeerHolds(THIRD.vm(), one));
-		assertThat(early, not(hasItem(new TransferEffect.Request(THIRD.vm(), piece))));
-		List<TransferEffect> late = pass(DEADLINE * 2);
-		assertThat(late, hasItem(new TransferEffect.Request(THIRD.vm(), piece)));
-		assertThat(late, hasItem(new TransferEffect.Notice(TransferMachine.PEER_STALLED, OTHER.vm(), 0)));
-	}
-
-	// A part takes longer than the deadline: the link of this VM has narrowed, and the
-	// part was on it all the time. When it comes after all, its piece is gone on with
-	// where it stopped, and nothing of it has to come twice.
+		BitSet held = new BitSet();
+		held.set(chunk);
+		List<TransferEffect> beforeTimeout = apply(new TransferEvent.PeerHolds(THIRD.vm(), held));
+		assertThat(beforeTimeout, not(hasItem(new TransferEffect.Request(THIRD.vm(), chunk))));
+		List<TransferEffect> afterTimeout = advance(DEADLINE * 2);
+		assertThat(afterTimeout, hasItem(new TransferEffect.Request(THIRD.vm(), chunk)));
+		assertThat(afterTimeout, hasItem(new TransferEffect.Notice(TransferMachine.PEER_STALLED, OTHER.vm(), 0)));
+	}
+
+	// A part exceeds its timeout since the local link is slow. When it arrives, the
+	// chunk continues from there and no byte is transferred twice.
 	@Test
-	void aPartThatComesLateIsGoneOnWith() {
-		int piece = askedOfOther();
-		assertThat(pass(DEADLINE * 2), not(hasItem(new TransferEffect.Drop(OTHER.vm(), piece))));
-		assertThat(apply(new TransferEvent.PartCame(piece, OTHER.vm(), 60)),
-				hasItem(new TransferEffect.Request(OTHER.vm(), piece, 60, 0)));
+	void chunkContinuesAfterALatePart() {
+		int chunk = requestFromOther();
+		assertThat(advance(DEADLINE * 2), not(hasItem(new TransferEffect.Drop(OTHER.vm(), chunk))));
+		assertThat(apply(new TransferEvent.PartCame(chunk, OTHER.vm(), 60)),
+				hasItem(new TransferEffect.Request(OTHER.vm(), chunk, 60, 0)));
 	}
 
-	// The same, but meanwhile the piece has come from another holder.
+	// A late part arrives after the chunk was received from another holder.
 	@Test
-	void aPartThatComesAfterItsPieceIsForgotten() {
-		int piece = askedOfOther();
-		pass(DEADLINE * 2);
-		apply(new TransferEvent.Verified(piece, TransferMachine.ORIGIN));
-		apply(new TransferEvent.Stored(piece));
-		assertThat(apply(new TransferEvent.PartCame(piece, OTHER.vm(), 60)),
-				hasItem(new TransferEffect.Drop(OTHER.vm(), piece)));
+	void partReceivedAfterItsChunkIsDiscarded() {
+		int chunk = requestFromOther();
+		advance(DEADLINE * 2);
+		apply(new TransferEvent.Verified(chunk, TransferMachine.ORIGIN));
+		apply(new TransferEvent.Stored(chunk));
+		assertThat(apply(new TransferEvent.PartCame(chunk, OTHER.vm(), 60)),
+				hasItem(new TransferEffect.Drop(OTHER.vm(), chunk)));
 	}
 
 	@Test
-	void busyPeerIsAskedAgainAfterAPause() {
-		int piece = askedOfOther();
-		List<TransferEffect> effects = apply(new TransferEvent.Refused(piece, OTHER.vm(), true));
+	void busyPeerIsRetriedAfterABackoff() {
+		int chunk = requestFromOther();
+		List<TransferEffect> effects = apply(new TransferEvent.Refused(chunk, OTHER.vm(), true));
 		assertThat(requests(effects, OTHER), is(empty()));
 		this.now += DEADLINE;
 		assertThat(requests(apply(new TransferEvent.Tick()), OTHER), is(not(empty())));
 	}
 
 	@Test
-	void pieceThatAPeerNoLongerHoldsIsNotAskedOfItAgain() {
+	void chunkThatAPeerNoLongerHoldsIsNotRequestedFromItAgain() {
 		apply(new TransferEvent.PeersSeen(List.of(OTHER)));
 		apply(new TransferEvent.LinkUp(OTHER.vm()));
 		apply(new TransferEvent.Held(new BitSet()));
-		BitSet one = new BitSet();
-		one.set(23);
-		int piece = requests(apply(new TransferEvent.PeerHolds(OTHER.vm(), one)), OTHER).getFirst();
-		List<TransferEffect> effects = apply(new TransferEvent.Refused(piece, OTHER.vm(), false));
-		assertThat(effects, not(hasItem(new TransferEffect.Request(OTHER.vm(), piece))));
+		BitSet held = new BitSet();
+		held.set(23);
+		int chunk = requests(apply(new TransferEvent.PeerHolds(OTHER.vm(), held)), OTHER).getFirst();
+		List<TransferEffect> effects = apply(new TransferEvent.Refused(chunk, OTHER.vm(), false));
+		assertThat(effects, not(hasItem(new TransferEffect.Request(OTHER.vm(), chunk))));
 		this.now += DEADLINE;
-		assertThat(apply(new TransferEvent.Tick()), not(hasItem(new TransferEffect.Request(OTHER.vm(), piece))));
+		assertThat(apply(new TransferEvent.Tick()), not(hasItem(new TransferEffect.Request(OTHER.vm(), chunk))));
 	}
 
 	@Test
 	void requestsInFlightAreBounded() {
-		joinTwo();
+		connectTwoPeers();
 		apply(new TransferEvent.Held(new BitSet()));
 		BitSet all = new BitSet();
-		all.set(0, this.pieces.count());
-		List<Integer> asked = requests(apply(new TransferEvent.PeerHolds(OTHER.vm(), all)), OTHER);
-		assertThat(asked.size(), is(TransferLimits.standard().perPeer()));
+		all.set(0, this.chunks.count());
+		List<Integer> requested = requests(apply(new TransferEvent.PeerHolds(OTHER.vm(), all)), OTHER);
+		assertThat(requested.size(), is(TransferLimits.standard().perPeer()));
 	}
 
 	@Test
-	void originIsNotReadBeforeTheNeighboursHaveSaidWhatTheyHold() {
+	void originIsNotReadBeforePeersHaveReported() {
 		apply(new TransferEvent.PeersSeen(List.of(OTHER)));
 		assertThat(reads(apply(new TransferEvent.Held(new BitSet()))), is(empty()));
 		apply(new TransferEvent.LinkUp(OTHER.vm()));
@@ -278,7 +273,7 @@
 	}
 
 	@Test
-	void silentNeighbourHoldsUpTheOriginNoLongerThanTheDeadline() {
+	void unresponsivePeerDelaysOriginReadsNoLongerThanTheTimeout() {
 		apply(new TransferEvent.PeersSeen(List.of(OTHER)));
 		apply(new TransferEvent.Held(new BitSet()));
 		this.now += DEADLINE + MILLI;
@@ -286,10 +281,10 @@
 	}
 
 	@Test
-	void restartFetchesOnlyWhatIsNotHeldAnyMore() {
+	void restartFetchesOnlyMissingChunks() {
 		apply(new TransferEvent.PeersSeen(List.of()));
 		BitSet held = new BitSet();
-		held.set(0, this.pieces.count());
+		held.set(0, this.chunks.count());
 		held.clear(17);
 		assertThat(reads(apply(new TransferEvent.Held(held))), is(List.of(17)));
 		apply(new TransferEvent.Verified(17, TransferMachine.ORIGIN));
@@ -297,16 +292,16 @@
 	}
 
 	@Test
-	void chunkThatTheStoreLostIsFetchedAgain() {
+	void chunkLostByTheStoreIsFetchedAgain() {
 		apply(new TransferEvent.PeersSeen(List.of()));
 		BitSet held = new BitSet();
-		held.set(0, this.pieces.count());
+		held.set(0, this.chunks.count());
 		assertThat(apply(new TransferEvent.Held(held)), hasItem(new TransferEffect.Complete()));
 		assertThat(reads(apply(new TransferEvent.Lost(3))), is(List.of(3)));
 	}
 
 	@Test
-	void announcementsAreBoundedInRate() {
+	void announcementRateIsBounded() {
 		apply(new TransferEvent.PeersSeen(List.of()));
 		BitSet held = new BitSet();
 		held.set(0, 10);
@@ -319,10 +314,10 @@
 	}
 
 	@Test
-	void lastPiecesAreAnnouncedWithTheEndOfTheFetch() {
+	void lastChunksAreAnnouncedWhenTheFetchCompletes() {
 		apply(new TransferEvent.PeersSeen(List.of()));
 		BitSet held = new BitSet();
-		held.set(0, this.pieces.count() - 1);
+		held.set(0, this.chunks.count() - 1);
 		int last = reads(apply(new TransferEvent.Held(held))).getFirst();
 		apply(new TransferEvent.Verified(last, TransferMachine.ORIGIN));
 		List<TransferEffect> effects = apply(new TransferEvent.Stored(last));
@@ -330,20 +325,20 @@
 		assertThat(effects, hasItem(instanceOf(TransferEffect.Announce.class)));
 	}
 
-	// The process is paused for longer than the deadline, the answers wait in its
-	// sockets. Its first tick comes before them: no peer was silent.
+	// After a pause of this process its first tick precedes the responses that wait in
+	// its sockets.
 	@Test
-	void ownPauseIsNotTakenForThePeersSilence() {
-		askedOfOther();
-		pass(MILLI);
+	void pauseOfThisProcessIsNotTakenForAStalledPeer() {
+		requestFromOther();
+		advance(MILLI);
 		this.now += DEADLINE * 3;
 		assertThat(apply(new TransferEvent.Tick()), not(hasItem(instanceOf(TransferEffect.Notice.class))));
 	}
 
 	/**
-	 * Lets time pass with ticks and returns what they brought.
+	 * Advances the time in ticks and returns their effects.
 	 */
-	private List<TransferEffect> pass(long nanos) {
+	private List<TransferEffect> advance(long nanos) {
 		List<TransferEffect> effects = new ArrayList<>();
 		long end = this.now + nanos;
 		while (this.now < end) {
@@ -357,24 +352,24 @@
 		BitSet read = new BitSet();
 		List<Integer> open = new ArrayList<>(reads(effects));
 		while (!open.isEmpty()) {
-			int piece = open.removeFirst();
-			read.set(piece);
-			open.addAll(reads(apply(new TransferEvent.Verified(piece, TransferMachine.ORIGIN))));
-			open.addAll(reads(apply(new TransferEvent.Stored(piece))));
+			int chunk = open.removeFirst();
+			read.set(chunk);
+			open.addAll(reads(apply(new TransferEvent.Verified(chunk, TransferMachine.ORIGIN))));
+			open.addAll(reads(apply(new TransferEvent.Stored(chunk))));
 		}
 		return read;
 	}
 
-	private int askedOfOther() {
+	private int requestFromOther() {
 		apply(new TransferEvent.PeersSeen(List.of(OTHER)));
 		apply(new TransferEvent.LinkUp(OTHER.vm()));
 		apply(new TransferEvent.Held(new BitSet()));
 		BitSet all = new BitSet();
-		all.set(0, this.pieces.count());
+		all.set(0, this.chunks.count());
 		return requests(apply(new TransferEvent.PeerHolds(OTHER.vm(), all)), OTHER).getFirst();
 	}
 
-	private void joinTwo() {
+	private void connectTwoPeers() {
 		apply(new TransferEvent.PeersSeen(List.of(OTHER, THIRD)));
 		apply(new TransferEvent.LinkUp(OTHER.vm()));
 		apply(new TransferEvent.LinkUp(THIRD.vm()));
--- a/policy/src/test/java/org/wisteriapost/policy/transfer/UploadsTests.java
+++ b/policy/src/test/java/org/wisteriapost/policy/transfer/UploadsTests.java
@@ -12,7 +12,7 @@
 	private final Uploads<String> uploads = Uploads.create(4, 2);
 
 	@Test
-	void peersTakeTurns() {
+	void peersAreServedInTurn() {
 		this.uploads.offer("a", "a1");
 		this.uploads.offer("a", "a2");
 		this.uploads.offer("b", "b1");
@@ -31,7 +31,7 @@
 	}
 
 	@Test
-	void queueIsBoundedAndRoomComesBack() {
+	void queueIsBoundedAndRemovedRequestsFreeCapacity() {
 		for (String peer : new String[] { "a", "b" }) {
 			this.uploads.offer(peer, "1");
 			this.uploads.offer(peer, "2");
