--- a/policy/src/main/java/org/wisteriapost/policy/rollout/Rollout.java
+++ b/policy/src/main/java/org/wisteriapost/policy/rollout/Rollout.java
@@ -12,78 +12,80 @@
 import org.wisteriapost.policy.fleet.RunnerStart;
 
 /**
- * Brings one engine to the named weights, step by step: fetch, wait for its turn, check
- * what is staged, order, watch.
+ * The state machine that brings one engine to the target weights version: fetch, wait for
+ * the scheduled switch, verify the staged weights, order the switch, and monitor it.
  *
- * The engine serves its older weights until the order, and the check comes shortly before
- * the order: what is staged may go bad at any time, and an engine that takes a spoilt
- * piece answers from it.
+ * The engine serves its current weights until the order. The staged weights are verified
+ * shortly before it, since they may be corrupted at any time and the engine would serve
+ * from corrupt weights.
  *
- * Load: an engine that is ordered ends what it runs before it takes weights, and takes
- * nothing new meanwhile. Harm prevented: one with sixteen streams under way stands mostly
- * idle until its longest has ended. So its turn is announced ahead, and entries give it
- * until then what will have ended.
+ * An engine finishes its running requests before it switches and accepts no new ones
+ * meanwhile, so one with sixteen open streams would be mostly idle until the longest
+ * ends. Its switch is therefore announced ahead, and until then entries send it only
+ * requests that will have ended.
  *
- * A newer version that is named during a fetch waits for it when the fetch is more than
- * half done, or when another whole one would end after the older version has to be in
- * force: with versions named faster than links carry them, agents that always began anew
- * would never finish one, and the entries would run out of engines that may answer.
+ * When a newer version becomes the target during a fetch, the fetch is finished if it is
+ * more than half done, or if another full fetch would end after the older version becomes
+ * active. Otherwise, with versions published faster than links can carry them, agents
+ * would restart forever and no engine could serve an active version.
  */
 public final class Rollout {
 
-	// Entries hear of it over a link within a few milliseconds; requests on their way to
-	// the engine have arrived by then.
-	private static final long QUIET_NANOS = Duration.ofMillis(80).toNanos();
+	// Entries receive the closed status within a few milliseconds; requests already sent
+	// to the engine arrive within this time.
+	private static final long CLOSE_GRACE_NANOS = Duration.ofMillis(80).toNanos();
 
-	private static final long TAKE_NANOS = Duration.ofSeconds(6).toNanos();
+	private static final long TAKE_TIMEOUT_NANOS = Duration.ofSeconds(6).toNanos();
 
-	private static final long AGAIN_NANOS = Duration.ofMillis(400).toNanos();
+	private static final long RETRY_DELAY_NANOS = Duration.ofMillis(400).toNanos();
 
-	// A turn is announced during the fetch, since what runs when it comes began up to two
-	// seconds before. From this part on the fetch's end is known to within some 200 ms.
-	private static final double FORESEEN = 0.4;
+	// Requests that run at the time of a switch start up to two seconds before, so it is
+	// announced during the fetch. From this share on, the end of the fetch is known to
+	// within some 200 ms.
+	private static final double ANNOUNCE_SHARE = 0.4;
 
-	// From this part on a fetch is finished whatever is named.
-	private static final double MOSTLY_DONE = 0.5;
+	// From this share on, a fetch is finished even if a newer version is published.
+	private static final double FINISH_SHARE = 0.5;
 
-	// Until then what has come says nothing of how long the whole will take.
-	private static final Duration TELLING = Duration.ofSeconds(1);
+	// Before this, progress does not allow an estimate of the total duration.
+	private static final Duration MIN_OBSERVATION = Duration.ofSeconds(1);
 
-	private static final double LEAST_SHARE = 0.02;
+	private static final double MIN_SHARE = 0.02;
 
-	// What entries are told of a turn is this exact; each change is a message to each.
-	private static final long RETOLD_NANOS = Duration.ofMillis(150).toNanos();
+	// Smaller changes of an announced switch are not published, since each change is a
+	// message to every entry.
+	private static final long ANNOUNCE_TOLERANCE_NANOS = Duration.ofMillis(150).toNanos();
 
-	// The check reads all staged pieces back, which takes some 200 ms on a busy VM. Done
-	// ahead, the engine does not stand idle for it. What goes bad afterwards is found by
-	// the check of a later turn only, so an order follows its check within FRESH.
-	private static final Duration CHECK_AHEAD = Duration.ofMillis(400);
+	// Verification reads all staged chunks back, which takes some 200 ms on a busy VM,
+	// and is done ahead so that the engine does not idle for it. Corruption after it
+	// would go unnoticed, so the order must follow within MAX_VERIFICATION_AGE.
+	private static final Duration VERIFY_LEAD = Duration.ofMillis(400);
 
-	private static final Duration FRESH = Duration.ofMillis(1500);
+	private static final Duration MAX_VERIFICATION_AGE = Duration.ofMillis(1500);
 
-	private final Turns turns;
+	private final SwitchSchedule schedule;
 
 	private final List<RolloutEffect> effects = new ArrayList<>();
 
-	private OptionalInt wanted = OptionalInt.empty();
+	private OptionalInt targetVersion = OptionalInt.empty();
 
-	private final Namings namings = new Namings();
+	private final PendingVersions pendingVersions = new PendingVersions();
 
 	private OptionalInt held = OptionalInt.empty();
 
-	private boolean engineSeen;
+	private boolean engineReachable;
 
 	private OptionalInt staged = OptionalInt.empty();
 
 	private Step step = Step.IDLE;
 
-	private int target;
+	private int stepVersion;
 
 	private long stepNanos;
 
-	private long turnNanos;
+	private long switchNanos;
 
-	private long checkedNanos;
+	private long verifiedNanos;
 
 	private OptionalInt taking = OptionalInt.empty();
 
@@ -91,30 +93,31 @@
 
 	private double fetchedShare;
 
-	private boolean busy;
+	private boolean engineBusy;
 
-	private long sequence;
+	private long acceptedOrders;
 
-	private RunnerStart start = RunnerStart.UNKNOWN;
+	private RunnerStart incarnation = RunnerStart.UNKNOWN;
 
-	private final ReportReads reads = new ReportReads();
+	private final ReportPolling polling = new ReportPolling();
 
-	private RolloutEffect.Tell told;
+	private RolloutEffect.Tell lastStatus;
 
-	private Rollout(Duration inForce) {
-		this.turns = new Turns(inForce);
+	private Rollout(Duration activation) {
+		this.schedule = new SwitchSchedule(activation);
 	}
 
 	/**
-	 * Returns a rollout that knows nothing yet.
-	 * @param inForce from naming weights until no request may start on older ones
+	 * Returns a rollout without a target version.
+	 * @param activation time from the publication of a target version until no request
+	 * may start on older ones
 	 */
-	public static Rollout create(Duration inForce) {
-		return new Rollout(inForce);
+	public static Rollout create(Duration activation) {
+		return new Rollout(activation);
 	}
 
 	/**
-	 * Returns what is to be done since the last call, in order.
+	 * Returns the effects since the last call, in order.
 	 */
 	public List<RolloutEffect> drain() {
 		List<RolloutEffect> drained = List.copyOf(this.effects);
@@ -123,327 +126,317 @@
 	}
 
 	/**
-	 * Hears which version is named. Versions only move up.
+	 * Sets the target version. Lower versions are ignored.
 	 */
 	public void named(int version, long nowNanos) {
-		if (this.wanted.isPresent() && this.wanted.getAsInt() >= version) {
+		if (this.targetVersion.isPresent() && this.targetVersion.getAsInt() >= version) {
 			return;
 		}
-		this.wanted = OptionalInt.of(version);
-		this.namings.named(version, nowNanos);
-		if (this.step == Step.TURN) {
-			plan(nowNanos);
+		this.targetVersion = OptionalInt.of(version);
+		this.pendingVersions.add(version, nowNanos);
+		if (this.step == Step.AWAITING_SWITCH) {
+			planSwitch(nowNanos);
 		}
-		if (this.step == Step.FETCHING && this.target != version && !worthFinishing(nowNanos)) {
-			this.effects.add(new RolloutEffect.Abandon(this.target));
-			idle(nowNanos);
+		if (this.step == Step.FETCHING && this.stepVersion != version && !worthFinishing(nowNanos)) {
+			this.effects.add(new RolloutEffect.Abandon(this.stepVersion));
+			enterIdle(nowNanos);
 		}
-		decide(nowNanos);
+		advance(nowNanos);
 	}
 
 	private boolean worthFinishing(long nowNanos) {
-		long gone = nowNanos - this.stepNanos;
-		if (this.fetchedShare > MOSTLY_DONE) {
+		long elapsed = nowNanos - this.stepNanos;
+		if (this.fetchedShare > FINISH_SHARE) {
 			return true;
 		}
-		if (gone < TELLING.toNanos()) {
+		if (elapsed < MIN_OBSERVATION.toNanos()) {
 			return false;
 		}
-		double another = gone / Math.max(LEAST_SHARE, this.fetchedShare);
-		return nowNanos + another > this.turns.latest(this.namings.oldest(this.stepNanos));
+		double fullFetch = elapsed / Math.max(MIN_SHARE, this.fetchedShare);
+		return nowNanos + fullFetch > this.schedule.latestNanos(this.pendingVersions.oldestNanos(this.stepNanos));
 	}
 
 	/**
-	 * Hears this engine's place among all that change over, from 0 to below 1.
+	 * Sets this engine's position among all engines that switch, from 0 to below 1.
 	 */
 	public void turn(double position) {
-		this.turns.position(position);
+		this.schedule.position(position);
 	}
 
 	/**
-	 * Hears how much of the fetch is done, from 0 to 1.
+	 * Records the progress of the fetch, from 0 to 1.
 	 */
 	public void fetching(double share, long nowNanos) {
 		this.fetchedShare = share;
-		if (this.step != Step.FETCHING || share < FORESEEN) {
+		if (this.step != Step.FETCHING || share < ANNOUNCE_SHARE) {
 			return;
 		}
-		long left = (long) ((nowNanos - this.stepNanos) * (1 - share) / share);
-		long turn = turnAfter(nowNanos + left);
-		if (Math.abs(turn - this.turnNanos) > RETOLD_NANOS) {
-			this.turnNanos = turn;
+		long remaining = (long) ((nowNanos - this.stepNanos) * (1 - share) / share);
+		long candidate = switchTimeAfter(nowNanos + remaining);
+		if (Math.abs(candidate - this.switchNanos) > ANNOUNCE_TOLERANCE_NANOS) {
+			this.switchNanos = candidate;
 		}
 	}
 
 	/**
-	 * Hears that the fetch ended.
-	 * @param whole whether every piece is staged
+	 * Handles the end of the fetch.
+	 * @param complete whether every chunk is staged
 	 */
-	public void fetched(int version, boolean whole, long nowNanos) {
-		if (this.step != Step.FETCHING || this.target != version) {
+	public void fetched(int version, boolean complete, long nowNanos) {
+		if (this.step != Step.FETCHING || this.stepVersion != version) {
 			return;
 		}
-		this.staged = whole ? OptionalInt.of(version) : OptionalInt.empty();
-		if (whole && inForce(version)) {
-			idle(nowNanos);
+		this.staged = complete ? OptionalInt.of(version) : OptionalInt.empty();
+		if (complete && isHeldOrTaking(version)) {
+			enterIdle(nowNanos);
 		}
-		else if (whole && this.held.isEmpty() && !this.busy && this.taking.isEmpty()
-				&& nowNanos - this.stepNanos < FRESH.toNanos()) {
-			// Every piece was checked within this fetch, and nothing is answered
-			// meanwhile.
-			this.checkedNanos = this.stepNanos;
-			go(Step.CHECKED, nowNanos);
+		else if (complete && this.held.isEmpty() && !this.engineBusy && this.taking.isEmpty()
+				&& nowNanos - this.stepNanos < MAX_VERIFICATION_AGE.toNanos()) {
+			// This fetch verified every chunk, and no requests are served meanwhile.
+			this.verifiedNanos = this.stepNanos;
+			enter(Step.VERIFIED, nowNanos);
 		}
-		else if (whole) {
-			await(nowNanos);
+		else if (complete) {
+			awaitSwitch(nowNanos);
 		}
 		else {
-			go(Step.PAUSE, nowNanos);
+			enter(Step.RETRY_DELAY, nowNanos);
 		}
-		decide(nowNanos);
+		advance(nowNanos);
 	}
 
-	/**
-	 * Hears whether what is staged is whole and good.
-	 */
-	public void verified(int version, boolean good, long nowNanos) {
-		if (this.step != Step.VERIFYING || this.target != version) {
+	public void verified(int version, boolean valid, long nowNanos) {
+		if (this.step != Step.VERIFYING || this.stepVersion != version) {
 			return;
 		}
-		if (!good) {
+		if (!valid) {
 			this.staged = OptionalInt.empty();
-			idle(nowNanos);
-			decide(nowNanos);
+			enterIdle(nowNanos);
+			advance(nowNanos);
 			return;
 		}
-		this.checkedNanos = nowNanos;
-		go(Step.CHECKED, nowNanos);
-		decide(nowNanos);
+		this.verifiedNanos = nowNanos;
+		enter(Step.VERIFIED, nowNanos);
+		advance(nowNanos);
 	}
 
-	/**
-	 * Hears whether the engine has begun to take the weights.
-	 */
-	public void ordered(boolean begun, long nowNanos) {
+	public void ordered(boolean accepted, long nowNanos) {
 		if (this.step != Step.ORDERING) {
 			return;
 		}
-		if (begun) {
-			// The engine has its own copy from here on, so the next fetch may begin.
-			this.taking = OptionalInt.of(this.target);
+		if (accepted) {
+			// The engine has copied the staged weights, so the next fetch may begin.
+			this.taking = OptionalInt.of(this.stepVersion);
 			this.takingNanos = nowNanos;
-			this.busy = true;
-			idle(nowNanos);
+			this.engineBusy = true;
+			enterIdle(nowNanos);
 		}
 		else {
-			go(Step.PAUSE, nowNanos);
+			enter(Step.RETRY_DELAY, nowNanos);
 		}
-		read(nowNanos);
-		decide(nowNanos);
+		readReport(nowNanos);
+		advance(nowNanos);
 	}
 
 	/**
-	 * Hears the engine's report.
+	 * Handles the engine's report.
 	 *
-	 * Load: an engine crashes while it takes weights. Harm prevented: its order is waited
-	 * for until {@link #TAKE_NANOS} have passed, although it died with the engine. A
-	 * later start is known by its time, else by fewer orders than were accepted before.
+	 * If the engine crashes during a switch, the order is lost with it. Without detecting
+	 * this the rollout would wait until {@link #TAKE_TIMEOUT_NANOS} have passed. A new
+	 * incarnation is detected by its start time, or else by an order count that has
+	 * fallen.
 	 */
-	public void reported(OptionalInt version, boolean underWay, long orders, RunnerStart from, long nowNanos) {
-		this.reads.ended();
-		if (from.before(this.start)) {
+	public void reported(OptionalInt version, boolean busy, long orderCount, RunnerStart reportedBy, long nowNanos) {
+		this.polling.ended();
+		if (reportedBy.before(this.incarnation)) {
 			return;
 		}
-		if (this.start.before(from) || orders < this.sequence) {
+		if (this.incarnation.before(reportedBy) || orderCount < this.acceptedOrders) {
 			this.taking = OptionalInt.empty();
 		}
-		this.start = from;
-		this.engineSeen = true;
+		this.incarnation = reportedBy;
+		this.engineReachable = true;
 		this.held = version;
-		this.namings.held(version);
-		this.busy = underWay;
-		this.sequence = orders;
-		if (!underWay && this.taking.isPresent() && version.equals(this.taking)) {
+		this.pendingVersions.removeUpTo(version);
+		this.engineBusy = busy;
+		this.acceptedOrders = orderCount;
+		if (!busy && this.taking.isPresent() && version.equals(this.taking)) {
 			this.taking = OptionalInt.empty();
 		}
-		decide(nowNanos);
+		advance(nowNanos);
 	}
 
-	/**
-	 * Hears that the engine did not report.
-	 */
 	public void silent(long nowNanos) {
-		this.reads.ended();
-		this.engineSeen = false;
-		decide(nowNanos);
+		this.polling.ended();
+		this.engineReachable = false;
+		advance(nowNanos);
 	}
 
-	/**
-	 * Looks at what time has brought.
-	 */
 	public void tick(long nowNanos) {
-		long gone = nowNanos - this.stepNanos;
-		if (this.step == Step.PAUSE && gone > AGAIN_NANOS) {
-			idle(nowNanos);
+		long elapsed = nowNanos - this.stepNanos;
+		if (this.step == Step.RETRY_DELAY && elapsed > RETRY_DELAY_NANOS) {
+			enterIdle(nowNanos);
 		}
-		if (this.taking.isPresent() && nowNanos - this.takingNanos > TAKE_NANOS) {
+		if (this.taking.isPresent() && nowNanos - this.takingNanos > TAKE_TIMEOUT_NANOS) {
 			this.taking = OptionalInt.empty();
 		}
-		decide(nowNanos);
-		if (this.reads.due(calm(), nowNanos)) {
-			read(nowNanos);
+		advance(nowNanos);
+		if (this.polling.due(isSettled(), nowNanos)) {
+			readReport(nowNanos);
 		}
 	}
 
 	/**
-	 * Returns when to look at time next if nothing is heard until then.
+	 * Returns when {@link #tick} is due next if no other event occurs before.
 	 */
 	public long nextNanos(long nowNanos) {
-		long next = this.reads.nextNanos(calm(), nowNanos);
+		long next = this.polling.nextNanos(isSettled(), nowNanos);
 		if (this.taking.isPresent()) {
-			next = Math.min(next, this.takingNanos + TAKE_NANOS);
+			next = Math.min(next, this.takingNanos + TAKE_TIMEOUT_NANOS);
 		}
 		return Math.min(next, switch (this.step) {
-			case PAUSE -> this.stepNanos + AGAIN_NANOS;
-			case TURN, VERIFYING, CHECKED -> nextOfTurnNanos(nowNanos);
+			case RETRY_DELAY -> this.stepNanos + RETRY_DELAY_NANOS;
+			case AWAITING_SWITCH, VERIFYING, VERIFIED -> nextSwitchStepNanos(nowNanos);
 			case IDLE, FETCHING, ORDERING -> Long.MAX_VALUE;
 		});
 	}
 
-	private boolean calm() {
-		return this.step == Step.IDLE && this.taking.isEmpty() && this.held.equals(this.wanted);
+	private boolean isSettled() {
+		return this.step == Step.IDLE && this.taking.isEmpty() && this.held.equals(this.targetVersion);
 	}
 
-	private long nextOfTurnNanos(long nowNanos) {
-		return LongStream.of(this.turnNanos - CHECK_AHEAD.toNanos(), this.turnNanos, this.turnNanos + QUIET_NANOS)
-			.filter((moment) -> moment > nowNanos)
+	private long nextSwitchStepNanos(long nowNanos) {
+		return LongStream
+			.of(this.switchNanos - VERIFY_LEAD.toNanos(), this.switchNanos, this.switchNanos + CLOSE_GRACE_NANOS)
+			.filter((time) -> time > nowNanos)
 			.findFirst()
 			.orElse(Long.MAX_VALUE);
 	}
 
 	/**
-	 * Returns the latest word to the entries, for one that has just come.
+	 * Returns the last published status, for an entry that has just connected.
 	 */
 	public Optional<RolloutEffect.Tell> latest() {
-		return Optional.ofNullable(this.told);
+		return Optional.ofNullable(this.lastStatus);
 	}
 
-	private void decide(long nowNanos) {
+	private void advance(long nowNanos) {
 		switch (this.step) {
-			case IDLE -> begin(nowNanos);
-			case TURN -> turn(nowNanos);
-			case CHECKED -> checked(nowNanos);
-			case FETCHING, VERIFYING, ORDERING, PAUSE -> {
-				// Goes on when what is under way ends.
+			case IDLE -> startFetch(nowNanos);
+			case AWAITING_SWITCH -> verifyWhenDue(nowNanos);
+			case VERIFIED -> orderWhenDue(nowNanos);
+			case FETCHING, VERIFYING, ORDERING, RETRY_DELAY -> {
+				// Continues when the pending operation ends or the delay has passed.
 			}
 		}
-		tell(nowNanos);
+		publishStatus(nowNanos);
 	}
 
-	// An engine that holds the named weights already is fetched for too: what is staged
-	// there is read back, and peers that start without weights get it from here and not
-	// from the origin.
-	private void begin(long nowNanos) {
-		if (this.wanted.isEmpty() || !this.engineSeen) {
+	// Weights that the engine already holds are fetched too: they are verified, and
+	// peers that start without weights fetch them from here instead of the origin.
+	private void startFetch(long nowNanos) {
+		if (this.targetVersion.isEmpty() || !this.engineReachable) {
 			return;
 		}
-		boolean there = this.staged.equals(this.wanted);
-		if (there && (inForce(this.wanted.getAsInt()) || this.busy)) {
+		boolean alreadyStaged = this.staged.equals(this.targetVersion);
+		if (alreadyStaged && (isHeldOrTaking(this.targetVersion.getAsInt()) || this.engineBusy)) {
 			return;
 		}
-		this.target = this.wanted.getAsInt();
-		if (there) {
-			await(nowNanos);
-			turn(nowNanos);
+		this.stepVersion = this.targetVersion.getAsInt();
+		if (alreadyStaged) {
+			awaitSwitch(nowNanos);
+			verifyWhenDue(nowNanos);
 			return;
 		}
-		go(Step.FETCHING, nowNanos);
+		enter(Step.FETCHING, nowNanos);
 		this.fetchedShare = 0;
 		this.staged = OptionalInt.empty();
-		this.effects.add(new RolloutEffect.Fetch(this.target));
+		this.effects.add(new RolloutEffect.Fetch(this.stepVersion));
 	}
 
-	private boolean inForce(int version) {
+	private boolean isHeldOrTaking(int version) {
 		OptionalInt one = OptionalInt.of(version);
 		return this.held.equals(one) || this.taking.equals(one);
 	}
 
-	private void await(long nowNanos) {
-		go(Step.TURN, nowNanos);
-		plan(nowNanos);
+	private void awaitSwitch(long nowNanos) {
+		enter(Step.AWAITING_SWITCH, nowNanos);
+		planSwitch(nowNanos);
 	}
 
-	// An engine without weights answers nothing, so it waits for nobody. A turn that was
-	// announced stays, unless it can't be kept.
-	private void plan(long nowNanos) {
-		long turn = turnAfter(nowNanos);
-		boolean near = Math.abs(turn - this.turnNanos) <= RETOLD_NANOS;
-		boolean kept = near && this.turnNanos >= nowNanos + Turns.LEAD.toNanos();
-		this.turnNanos = kept ? this.turnNanos : turn;
+	// An engine without weights serves no requests and need not wait. An announced
+	// switch is kept unless it is no longer possible.
+	private void planSwitch(long nowNanos) {
+		long candidate = switchTimeAfter(nowNanos);
+		boolean closeEnough = Math.abs(candidate - this.switchNanos) <= ANNOUNCE_TOLERANCE_NANOS;
+		boolean kept = closeEnough && this.switchNanos >= nowNanos + SwitchSchedule.LEAD.toNanos();
+		this.switchNanos = kept ? this.switchNanos : candidate;
 		if (this.held.isEmpty()) {
-			this.turnNanos = nowNanos;
+			this.switchNanos = nowNanos;
 		}
 	}
 
-	private long turnAfter(long fetchedNanos) {
-		boolean newest = this.wanted.equals(OptionalInt.of(this.target));
-		return this.turns.after(fetchedNanos, this.namings.oldest(this.stepNanos), newest);
+	private long switchTimeAfter(long fetchedNanos) {
+		boolean newest = this.targetVersion.equals(OptionalInt.of(this.stepVersion));
+		return this.schedule.switchNanos(fetchedNanos, this.pendingVersions.oldestNanos(this.stepNanos), newest);
 	}
 
-	private void turn(long nowNanos) {
-		if (this.busy || this.taking.isPresent() || nowNanos < this.turnNanos - CHECK_AHEAD.toNanos()) {
+	private void verifyWhenDue(long nowNanos) {
+		if (this.engineBusy || this.taking.isPresent() || nowNanos < this.switchNanos - VERIFY_LEAD.toNanos()) {
 			return;
 		}
-		go(Step.VERIFYING, nowNanos);
-		this.effects.add(new RolloutEffect.Verify(this.target));
+		enter(Step.VERIFYING, nowNanos);
+		this.effects.add(new RolloutEffect.Verify(this.stepVersion));
 	}
 
-	private void checked(long nowNanos) {
-		if (this.held.isPresent() && nowNanos < this.turnNanos + QUIET_NANOS) {
+	private void orderWhenDue(long nowNanos) {
+		if (this.held.isPresent() && nowNanos < this.switchNanos + CLOSE_GRACE_NANOS) {
 			return;
 		}
-		if (nowNanos - this.checkedNanos > FRESH.toNanos()) {
-			go(Step.VERIFYING, nowNanos);
-			this.effects.add(new RolloutEffect.Verify(this.target));
+		if (nowNanos - this.verifiedNanos > MAX_VERIFICATION_AGE.toNanos()) {
+			enter(Step.VERIFYING, nowNanos);
+			this.effects.add(new RolloutEffect.Verify(this.stepVersion));
 			return;
 		}
-		go(Step.ORDERING, nowNanos);
-		this.effects.add(new RolloutEffect.Take(this.target, this.sequence));
+		enter(Step.ORDERING, nowNanos);
+		this.effects.add(new RolloutEffect.Take(this.stepVersion, this.acceptedOrders));
 	}
 
-	private void read(long nowNanos) {
-		this.reads.begun(nowNanos);
+	private void readReport(long nowNanos) {
+		this.polling.started(nowNanos);
 		this.effects.add(new RolloutEffect.ReadReport());
 	}
 
-	private void tell(long nowNanos) {
-		boolean planned = switch (this.step) {
-			case FETCHING -> this.held.isPresent() && !inForce(this.target) && this.fetchedShare >= FORESEEN;
-			case TURN, VERIFYING, CHECKED -> this.held.isPresent();
-			case IDLE, ORDERING, PAUSE -> false;
+	private void publishStatus(long nowNanos) {
+		boolean announced = switch (this.step) {
+			case FETCHING ->
+				this.held.isPresent() && !isHeldOrTaking(this.stepVersion) && this.fetchedShare >= ANNOUNCE_SHARE;
+			case AWAITING_SWITCH, VERIFYING, VERIFIED -> this.held.isPresent();
+			case IDLE, ORDERING, RETRY_DELAY -> false;
 		};
-		boolean closed = planned && this.step != Step.FETCHING && nowNanos >= this.turnNanos;
+		boolean closed = announced && this.step != Step.FETCHING && nowNanos >= this.switchNanos;
 		boolean switching = closed || this.step == Step.ORDERING || this.taking.isPresent();
-		OptionalLong closes = (planned && !switching) ? OptionalLong.of(this.turnNanos) : OptionalLong.empty();
-		RolloutEffect.Tell now = new RolloutEffect.Tell(new EngineWord(this.held, switching, closes, this.start));
-		if (this.engineSeen && !now.equals(this.told)) {
-			this.told = now;
-			this.effects.add(now);
+		OptionalLong closes = (announced && !switching) ? OptionalLong.of(this.switchNanos) : OptionalLong.empty();
+		RolloutEffect.Tell status = new RolloutEffect.Tell(
+				new EngineWord(this.held, switching, closes, this.incarnation));
+		if (this.engineReachable && !status.equals(this.lastStatus)) {
+			this.lastStatus = status;
+			this.effects.add(status);
 		}
 	}
 
-	private void idle(long nowNanos) {
-		go(Step.IDLE, nowNanos);
+	private void enterIdle(long nowNanos) {
+		enter(Step.IDLE, nowNanos);
 	}
 
-	private void go(Step next, long nowNanos) {
+	private void enter(Step next, long nowNanos) {
 		this.step = next;
 		this.stepNanos = nowNanos;
 	}
 
 	private enum Step {
 
-		IDLE, FETCHING, TURN, VERIFYING, CHECKED, ORDERING, PAUSE
+		IDLE, FETCHING, AWAITING_SWITCH, VERIFYING, VERIFIED, ORDERING, RETRY_DELAY
 
 	}
 
--- a/policy/src/main/java/org/wisteriapost/policy/rollout/RolloutEffect.java
+++ b/policy/src/main/java/org/wisteriapost/policy/rollout/RolloutEffect.java
@@ -3,7 +3,7 @@
 import org.wisteriapost.policy.dispatch.EngineWord;
 
 /**
- * What an agent is to do.
+ * The actions that a {@link Rollout} requests from the agent.
  */
 public sealed interface RolloutEffect {
 
@@ -12,42 +12,42 @@
 	}
 
 	/**
-	 * Bring a version's pieces into the engine's memory for staged weights.
+	 * Fetch the chunks of a version into the staging memory of the engine.
 	 *
-	 * @param version which
+	 * @param version the version
 	 */
 	record Fetch(int version) implements RolloutEffect {
 	}
 
 	/**
-	 * Give up the fetch under way.
+	 * Abandon the fetch in progress.
 	 *
-	 * @param version which
+	 * @param version the version
 	 */
 	record Abandon(int version) implements RolloutEffect {
 	}
 
 	/**
-	 * Read every staged piece back and check it.
+	 * Read back and verify every staged chunk.
 	 *
-	 * @param version which
+	 * @param version the version
 	 */
 	record Verify(int version) implements RolloutEffect {
 	}
 
 	/**
-	 * Order the engine to take what is staged.
+	 * Order the engine to switch to the staged weights.
 	 *
-	 * @param version which
-	 * @param sequence orders that the engine must have accepted so far
+	 * @param version the version
+	 * @param sequence number of orders that the engine must have accepted before
 	 */
 	record Take(int version, long sequence) implements RolloutEffect {
 	}
 
 	/**
-	 * Tell the entries how the engine is.
+	 * Publish the status of the engine to the entries.
 	 *
-	 * @param word what is said of it
+	 * @param word the status
 	 */
 	record Tell(EngineWord word) implements RolloutEffect {
 	}
--- a/policy/src/main/java/org/wisteriapost/policy/rollout/package-info.java
+++ b/policy/src/main/java/org/wisteriapost/policy/rollout/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Decides how the agent beside one engine brings it to the named weights. No input,
- * output, threads or clock.
+ * Decides how the agent of one engine brings it to the target weights version. Performs
+ * no I/O and uses neither threads nor a clock.
  */
 package org.wisteriapost.policy.rollout;
