--- a/policy/src/main/java/org/wisteriapost/policy/bundle/Approvals.java
+++ b/policy/src/main/java/org/wisteriapost/policy/bundle/Approvals.java
@@ -17,8 +17,8 @@
 import org.wisteriapost.kernel.CodedException;
 
 /**
- * Signs and verifies operators' approvals: Ed25519 over the ASCII bytes of a bundle's
- * digest.
+ * Signs and verifies operators' approvals: Ed25519 signatures of the ASCII bytes of a
+ * bundle's digest.
  */
 public final class Approvals {
 
@@ -31,7 +31,7 @@
 
 	/**
 	 * Returns the signature of a digest.
-	 * @param privateKey base64 of the PKCS#8 form
+	 * @param privateKey the private key in PKCS#8 form, base64
 	 */
 	public static byte[] sign(String digest, String privateKey) {
 		try {
@@ -48,9 +48,9 @@
 	}
 
 	/**
-	 * Returns whether a signature of a digest was made with the private half of a key. A
-	 * malformed signature or key is simply not valid.
-	 * @param publicKey base64 of the X.509 form
+	 * Returns whether a signature of a digest was made with the private key that belongs
+	 * to a public key. Returns false for a malformed signature or key.
+	 * @param publicKey the public key in X.509 form, base64
 	 */
 	public static boolean valid(String digest, byte[] signature, String publicKey) {
 		try {
@@ -67,10 +67,10 @@
 	}
 
 	/**
-	 * Returns the operators whose approval of a digest counts. Operators that share one
-	 * key count once: otherwise one person with two names could approve alone.
-	 * @param signatures by operator
-	 * @param publicKeys of the configured operators, base64, by name
+	 * Returns the operators whose approval of a digest counts. Operators with the same
+	 * key count once; otherwise one person with two names could approve alone.
+	 * @param signatures the signatures by operator
+	 * @param publicKeys the base64 public keys of the configured operators, by name
 	 */
 	public static Set<String> counted(String digest, Map<String, byte[]> signatures, Map<String, String> publicKeys) {
 		Set<String> keys = new HashSet<>();
--- a/policy/src/main/java/org/wisteriapost/policy/bundle/Bundle.java
+++ b/policy/src/main/java/org/wisteriapost/policy/bundle/Bundle.java
@@ -6,12 +6,12 @@
 import java.util.stream.Collectors;
 
 /**
- * One immutable declaration of models, adapters, versions and where they run.
+ * An immutable declaration of services with their models, adapters, versions and VMs.
  *
- * @param name what operators call it
- * @param version the operators' version of it
- * @param services what runs where
- * @param weights the models and adapters that the services name
+ * @param name the name given by the operators
+ * @param version the version given by the operators
+ * @param services the services and where they run
+ * @param weights the models and adapters that the services refer to
  */
 public record Bundle(String name, String version, List<ServiceSpec> services, List<WeightFile> weights) {
 
@@ -20,9 +20,6 @@
 		weights = List.copyOf(weights);
 	}
 
-	/**
-	 * Returns a service by name.
-	 */
 	public Optional<ServiceSpec> service(String name) {
 		return this.services.stream().filter((spec) -> spec.name().equals(name)).findFirst();
 	}
@@ -35,7 +32,7 @@
 	}
 
 	/**
-	 * Returns the files a runner of a service needs: the model first, then its adapters.
+	 * Returns the files that a runner of a service needs: the model, then its adapters.
 	 */
 	public List<WeightFile> filesOf(ServiceSpec spec) {
 		List<WeightFile> files = new ArrayList<>();
@@ -47,8 +44,8 @@
 	}
 
 	/**
-	 * Returns the digest that an answer of a service must have been computed with, empty
-	 * for a plain service. Two bundles that serve the same content share it.
+	 * Returns the digest of the weights that serve a service; empty for a plain service.
+	 * Equal content in two bundles has the same digest.
 	 */
 	public String weightsDigest(ServiceSpec spec) {
 		if (spec.kind() == ServiceSpec.Kind.PLAIN) {
--- a/policy/src/main/java/org/wisteriapost/policy/bundle/BundleCodec.java
+++ b/policy/src/main/java/org/wisteriapost/policy/bundle/BundleCodec.java
@@ -11,8 +11,8 @@
 import org.wisteriapost.kernel.CodedException;
 
 /**
- * The canonical form of what is kept in the platform: JSON with sorted keys and no white
- * space. A bundle's digest is the hash of exactly these bytes.
+ * Encodes and decodes the canonical form of stored objects: JSON with sorted keys and no
+ * white space. A bundle's digest is the hash of exactly these bytes.
  */
 public final class BundleCodec {
 
@@ -28,9 +28,6 @@
 	private BundleCodec() {
 	}
 
-	/**
-	 * Returns the canonical bytes of a bundle, head or status.
-	 */
 	public static byte[] encode(Record value) {
 		try {
 			return MAPPER.writeValueAsBytes(value);
@@ -40,30 +37,18 @@
 		}
 	}
 
-	/**
-	 * Returns the bundle in some bytes.
-	 */
 	public static Bundle bundle(byte[] bytes) {
 		return decode(bytes, Bundle.class);
 	}
 
-	/**
-	 * Returns the head in some bytes.
-	 */
 	public static Head head(byte[] bytes) {
 		return decode(bytes, Head.class);
 	}
 
-	/**
-	 * Returns the agent's status in some bytes.
-	 */
 	public static VmStatus status(byte[] bytes) {
 		return decode(bytes, VmStatus.class);
 	}
 
-	/**
-	 * Returns the record of a type in some bytes.
-	 */
 	public static <T> T decode(byte[] bytes, Class<T> type) {
 		try {
 			return MAPPER.readValue(bytes, type);
--- a/policy/src/main/java/org/wisteriapost/policy/bundle/Digests.java
+++ b/policy/src/main/java/org/wisteriapost/policy/bundle/Digests.java
@@ -6,7 +6,7 @@
 import java.util.HexFormat;
 
 /**
- * SHA-256 in the one form used throughout: lower-case hex.
+ * Computes SHA-256 digests in lower-case hex.
  */
 public final class Digests {
 
@@ -14,15 +14,12 @@
 	}
 
 	/**
-	 * Returns the hash of a text's UTF-8 bytes.
+	 * Returns the hash of the UTF-8 bytes of a text.
 	 */
 	public static String sha256(String text) {
 		return sha256(text.getBytes(StandardCharsets.UTF_8));
 	}
 
-	/**
-	 * Returns the hash of some bytes.
-	 */
 	public static String sha256(byte[] bytes) {
 		try {
 			return HexFormat.of().formatHex(MessageDigest.getInstance("SHA-256").digest(bytes));
--- a/policy/src/main/java/org/wisteriapost/policy/bundle/HeadMove.java
+++ b/policy/src/main/java/org/wisteriapost/policy/bundle/HeadMove.java
@@ -3,8 +3,8 @@
 import java.util.Optional;
 
 /**
- * Judges a roll: whether the head may move, and what became of a write that was or was
- * not confirmed.
+ * Decides whether the head may move to the next generation, and determines the outcome of
+ * a write whose response was lost.
  */
 public final class HeadMove {
 
@@ -12,9 +12,8 @@
 	}
 
 	/**
-	 * Returns the head that a roll writes, or empty when the head is not at the
-	 * generation that the operator looked at: what that operator decided on is not what
-	 * is in force any more.
+	 * Returns the head to write, or empty when the current head is not at the generation
+	 * that the operator based the decision on.
 	 */
 	public static Optional<Head> next(Head current, long basedOn, String digest, String author, long atMillis,
 			String nonce) {
@@ -25,11 +24,12 @@
 	}
 
 	/**
-	 * Returns what became of a write after its confirmation was lost.
+	 * Returns the outcome of a write whose response was lost.
 	 *
-	 * The head alone does not tell: our write may have taken effect and have been rolled
-	 * over since. So every roll first records the head it replaces under its generation,
-	 * and that record decides.
+	 * The current head alone does not suffice, since the write may have succeeded and
+	 * been superseded. Therefore every write first records the head that it replaces
+	 * under its generation, and that record decides.
+	 * @param written the head that was written
 	 * @param read the head as read back
 	 * @param recorded the record of the written generation, when the head is past it
 	 */
@@ -48,17 +48,17 @@
 	}
 
 	/**
-	 * What became of a write.
+	 * The outcome of a write.
 	 */
 	public enum Fate {
 
-		/** It took effect. */
+		/** The write succeeded. */
 		WON,
-		/** Another operator's roll took its generation. */
+		/** Another write won the generation. */
 		LOST,
-		/** It has not taken effect; the same write may be sent again. */
+		/** The write has not been applied; it may be retried. */
 		NOT_WRITTEN,
-		/** The record that would tell is not there yet; read again. */
+		/** The record of the generation is not available yet; read again. */
 		UNDECIDED
 
 	}
--- a/policy/src/main/java/org/wisteriapost/policy/bundle/ServiceSpec.java
+++ b/policy/src/main/java/org/wisteriapost/policy/bundle/ServiceSpec.java
@@ -3,16 +3,17 @@
 import java.util.List;
 
 /**
- * One service of a bundle: what it serves and where it runs.
+ * A service of a bundle: what it serves and where it runs.
  *
- * @param name the service as callers and agents' settings name it
- * @param kind whether engines or plain processes answer it
- * @param model the weight file's name; empty for a plain service
- * @param adapters names of adapter weight files on top of the model, sorted
- * @param places where it runs
- * @param vms the VMs that serve it; empty means every VM of the places whose agent is set
- * to the service
- * @param minReady runners in each place that must keep serving while others switch
+ * @param name the service name used by callers and in agents' settings
+ * @param kind whether model engines or plain services run it
+ * @param model name of the model's weight file; empty for a plain service
+ * @param adapters names of the adapters' weight files, sorted
+ * @param places the failure domains in which it runs
+ * @param vms the VMs that run it; empty for every VM of these failure domains whose agent
+ * is configured for the service
+ * @param minReady runners in each failure domain that must stay available while others
+ * switch
  */
 public record ServiceSpec(String name, Kind kind, String model, List<String> adapters, List<String> places,
 		List<String> vms, int minReady) {
@@ -24,20 +25,20 @@
 	}
 
 	/**
-	 * Returns whether a VM in a place serves this service.
+	 * Returns whether a VM of a failure domain runs this service.
 	 */
-	public boolean runsOn(String vm, String place) {
-		return this.places.contains(place) && (this.vms.isEmpty() || this.vms.contains(vm));
+	public boolean runsOn(String vm, String failureDomain) {
+		return this.places.contains(failureDomain) && (this.vms.isEmpty() || this.vms.contains(vm));
 	}
 
 	/**
-	 * What answers a service's calls.
+	 * The kind of runner of a service.
 	 */
 	public enum Kind {
 
-		/** A model engine that serves weights. */
+		/** A model engine with weights. */
 		MODEL,
-		/** A process without weights. */
+		/** A plain service without weights. */
 		PLAIN
 
 	}
--- a/policy/src/main/java/org/wisteriapost/policy/bundle/package-info.java
+++ b/policy/src/main/java/org/wisteriapost/policy/bundle/package-info.java
@@ -1,4 +1,4 @@
 /**
- * What a bundle says and when its head may move.
+ * The format of bundles, their approvals, and the rules by which the head moves.
  */
 package org.wisteriapost.policy.bundle;
--- a/policy/src/test/java/org/wisteriapost/policy/bundle/ApprovalsTests.java
+++ b/policy/src/test/java/org/wisteriapost/policy/bundle/ApprovalsTests.java
@@ -28,7 +28,7 @@
 	}
 
 	@Test
-	void oneKeyUnderTwoNamesCountsOnce() {
+	void operatorsWithTheSameKeyCountOnce() {
 		Set<String> counted = Approvals.counted(DIGEST, Map.of("a", sign(this.one), "b", sign(this.one)),
 				Map.of("a", key(this.one), "b", key(this.one)));
 		assertThat(counted.size(), is(1));
