--- a/agent/src/main/java/org/wisteriapost/agent/AgentLinks.java
+++ b/agent/src/main/java/org/wisteriapost/agent/AgentLinks.java
@@ -7,7 +7,7 @@
 import org.wisteriapost.agent.transfer.Transfer;
 import org.wisteriapost.policy.agent.AgentEvent;
 import org.wisteriapost.policy.agent.AgentIdentity;
-import org.wisteriapost.policy.agent.AgentView;
+import org.wisteriapost.policy.agent.AgentStatus;
 import org.wisteriapost.protocol.link.Link;
 import org.wisteriapost.protocol.link.LinkHandler;
 import org.wisteriapost.protocol.wire.Frame;
@@ -59,7 +59,7 @@
 	Hello hello() {
 		return Hello.newBuilder()
 			.setVm(this.self.vm())
-			.setPlace(this.self.place())
+			.setPlace(this.self.failureDomain())
 			.setRole(Role.AGENT)
 			.setService(this.self.service())
 			.setEpoch(this.loop.view().epoch())
@@ -157,7 +157,7 @@
 	 * Sets right whoever is behind, once a generation and link.
 	 */
 	private void compare(Link link, Peer peer, Frame frame) {
-		AgentView view = this.loop.view();
+		AgentStatus view = this.loop.view();
 		boolean aboutHead = frame.hasHead() || frame.hasHello();
 		if (frame.getGeneration() > view.headGeneration() && frame.getGeneration() > peer.asked && !aboutHead) {
 			peer.asked = frame.getGeneration();
@@ -170,38 +170,38 @@
 	}
 
 	private void head(Head head) {
-		this.loop.post(new AgentEvent.HeadHeard(head.getGeneration(), head.getDigest(), head.getConfirmed(),
+		this.loop.post(new AgentEvent.HeadReceived(head.getGeneration(), head.getDigest(), head.getConfirmed(),
 				head.getConfirmedAgeMillis()));
 	}
 
 	private void leaving(Leaving leaving) {
 		if (leaving.getVm().equals(this.self.vm())) {
-			this.loop.post(new AgentEvent.LeaveAsked());
+			this.loop.post(new AgentEvent.LeaveRequested());
 		}
 	}
 
 	private Head currentHead() {
-		AgentView view = this.loop.view();
+		AgentStatus view = this.loop.view();
 		return Head.newBuilder().setGeneration(view.headGeneration()).setDigest(view.headDigest()).build();
 	}
 
 	private Report currentReport() {
-		AgentView view = this.loop.view();
+		AgentStatus view = this.loop.view();
 		return Report.newBuilder()
 			.setVm(this.self.vm())
-			.setPlace(this.self.place())
+			.setPlace(this.self.failureDomain())
 			.setService(this.self.service())
-			.setPlain(this.self.plain())
+			.setPlain(this.self.plainService())
 			.setAdmitting(view.admitting())
 			.setLeaving(view.leaving())
 			.setWeightsDigest(view.weightsDigest())
-			.setBundleGeneration(view.generation())
-			.setRunning(view.running())
+			.setBundleGeneration(view.bundleGeneration())
+			.setRunning(view.runningCalls())
 			.setCapacity(view.capacity())
-			.setQueued(view.queued())
-			.setChunksVerified(view.verified())
-			.setChunksTotal(view.total())
-			.setFailing(view.failing())
+			.setQueued(view.queuedCalls())
+			.setChunksVerified(view.verifiedChunks())
+			.setChunksTotal(view.totalChunks())
+			.setFailing(view.failureCode())
 			.addAllPrefixes(this.engine.prefixes())
 			.setEpoch(view.epoch())
 			.build();
--- a/agent/src/main/java/org/wisteriapost/agent/AgentLoop.java
+++ b/agent/src/main/java/org/wisteriapost/agent/AgentLoop.java
@@ -7,8 +7,8 @@
 import org.wisteriapost.kernel.EventLoop;
 import org.wisteriapost.policy.agent.AgentEffect;
 import org.wisteriapost.policy.agent.AgentEvent;
-import org.wisteriapost.policy.agent.AgentMachine;
-import org.wisteriapost.policy.agent.AgentView;
+import org.wisteriapost.policy.agent.AgentStateMachine;
+import org.wisteriapost.policy.agent.AgentStatus;
 
 /**
  * The one thread that applies events to the agent's decisions.
@@ -17,7 +17,7 @@
 
 	private static final int RING_EVENTS = 4096;
 
-	private final AgentMachine machine;
+	private final AgentStateMachine machine;
 
 	private final Consumer<AgentEffect> effects;
 
@@ -29,9 +29,9 @@
 
 	private volatile Thread thread;
 
-	private volatile AgentView view = AgentView.STARTING;
+	private volatile AgentStatus view = AgentStatus.INITIAL;
 
-	AgentLoop(AgentMachine machine, Consumer<AgentEffect> effects) {
+	AgentLoop(AgentStateMachine machine, Consumer<AgentEffect> effects) {
 		this.machine = machine;
 		this.effects = effects;
 	}
@@ -48,7 +48,7 @@
 		return System.nanoTime() - this.base;
 	}
 
-	AgentView view() {
+	AgentStatus view() {
 		return this.view;
 	}
 
@@ -86,7 +86,7 @@
 
 	private void apply(AgentEvent event) {
 		var decided = this.machine.apply(event, now());
-		this.view = this.machine.view();
+		this.view = this.machine.status();
 		decided.forEach(this.effects);
 	}
 
--- a/agent/src/main/java/org/wisteriapost/agent/AgentProcess.java
+++ b/agent/src/main/java/org/wisteriapost/agent/AgentProcess.java
@@ -24,8 +24,8 @@
 import org.wisteriapost.policy.agent.AgentEffect;
 import org.wisteriapost.policy.agent.AgentEvent;
 import org.wisteriapost.policy.agent.AgentIdentity;
-import org.wisteriapost.policy.agent.AgentMachine;
-import org.wisteriapost.policy.agent.AgentView;
+import org.wisteriapost.policy.agent.AgentStateMachine;
+import org.wisteriapost.policy.agent.AgentStatus;
 import org.wisteriapost.protocol.admin.AdminServer;
 import org.wisteriapost.protocol.link.LinkServer;
 import org.wisteriapost.protocol.link.Links;
@@ -90,7 +90,7 @@
 		this.outside = outside;
 		this.links = TlsSettings.links(settings, LINK_THREADS);
 		this.self = AgentSettings.identity(settings, UUID.randomUUID().toString());
-		AgentMachine machine = AgentMachine.create(this.self, AgentSettings.limits(settings),
+		AgentStateMachine machine = AgentStateMachine.create(this.self, AgentSettings.limits(settings),
 				AgentSettings.operators(settings), this.invariants, RandomSource.XO_RO_SHI_RO_128_PP.create());
 		this.loop = new AgentLoop(machine, this::carryOut);
 		this.peers = new AgentLinks(this.self, this.loop);
@@ -122,7 +122,7 @@
 		return this.server.port();
 	}
 
-	AgentView view() {
+	AgentStatus view() {
 		return this.loop.view();
 	}
 
@@ -134,7 +134,7 @@
 	 * Asks to drain and stop.
 	 */
 	void leave() {
-		this.loop.post(new AgentEvent.LeaveAsked());
+		this.loop.post(new AgentEvent.LeaveRequested());
 	}
 
 	/**
@@ -184,22 +184,22 @@
 
 	private void carryOut(AgentEffect effect) {
 		switch (effect) {
-			case AgentEffect.Wake wake -> this.timer.schedule(() -> this.loop.post(new AgentEvent.Tick()),
+			case AgentEffect.ScheduleTick wake -> this.timer.schedule(() -> this.loop.post(new AgentEvent.Tick()),
 					wake.delayNanos(), TimeUnit.NANOSECONDS);
 			case AgentEffect.ReadObject read -> this.platform.read(read.key());
 			case AgentEffect.WriteObject write -> this.platform.write(write);
 			case AgentEffect.FetchBundle bundle -> this.bundles.fetch(bundle.digest());
 			case AgentEffect.FetchWeights weights -> fetch(weights);
-			case AgentEffect.DropWeights drop -> drop.files().forEach(this::drop);
+			case AgentEffect.DeleteWeights drop -> drop.files().forEach(this::drop);
 			case AgentEffect.ReadEngine read -> this.engine.read();
 			case AgentEffect.SendOrder order -> this.engine.order(order);
 			case AgentEffect.StartCall call -> this.calls.start(call.call());
 			case AgentEffect.RefuseCall refuse ->
 				this.calls.refuse(refuse.call(), refuse.code(), refuse.retryAfterMillis());
 			case AgentEffect.CancelCall cancel -> this.calls.cancel(cancel.call());
-			case AgentEffect.ReportNow report -> this.peers.report();
-			case AgentEffect.SayLeaving leaving -> this.peers.leaving();
-			case AgentEffect.SlowTransfer slow -> this.transfer.busy(slow.share());
+			case AgentEffect.SendReport report -> this.peers.report();
+			case AgentEffect.AnnounceLeaving leaving -> this.peers.leaving();
+			case AgentEffect.ThrottleTransfer slow -> this.transfer.busy(slow.lateShare());
 			case AgentEffect.Stop stop -> {
 				LOG.log(Level.INFO, "agent-stopped: " + (stop.code().isEmpty() ? "drained" : stop.code()));
 				this.stopped.complete(stop.code());
@@ -227,7 +227,7 @@
 			}
 			else if (!next.isCancelled()) {
 				LOG.log(Level.ERROR, "fetch-failed: " + failure.getMessage());
-				this.loop.post(new AgentEvent.WeightsFailed(weights.weightsDigest(), codeOf(failure)));
+				this.loop.post(new AgentEvent.WeightsFetchFailed(weights.weightsDigest(), codeOf(failure)));
 			}
 		});
 	}
@@ -242,7 +242,7 @@
 		String name = AgentSettings.transferPolicy(this.settings);
 		TransferProvider provider = Plugins.find(TransferProvider.class, (one) -> one.name().equals(name))
 			.orElseThrow(() -> CodedException.of(POLICY_UNKNOWN, name));
-		return provider.create(new TransferContext(this.settings, this.self.vm(), this.self.place(), this.links,
+		return provider.create(new TransferContext(this.settings, this.self.vm(), this.self.failureDomain(), this.links,
 				this.peers::hello, this.peers::frame, this.peers::onOther, this.outside.origin(), this.outside.store(),
 				this.timer, this.metrics.registry()));
 	}
--- a/agent/src/main/java/org/wisteriapost/agent/AgentSettings.java
+++ b/agent/src/main/java/org/wisteriapost/agent/AgentSettings.java
@@ -16,7 +16,7 @@
 import org.wisteriapost.kernel.settings.SettingsSchema;
 import org.wisteriapost.policy.agent.AgentIdentity;
 import org.wisteriapost.policy.agent.AgentLimits;
-import org.wisteriapost.policy.agent.OperatorKeys;
+import org.wisteriapost.policy.agent.ApprovalPolicy;
 
 /**
  * Keys of {@code [agent]}.
@@ -147,12 +147,12 @@
 				FRESH.get(settings), SLOT_EXPIRY.get(settings), SWITCHING_SHARE.get(settings), DRAIN.get(settings));
 	}
 
-	static OperatorKeys operators(Settings settings) {
+	static ApprovalPolicy operators(Settings settings) {
 		Map<String, String> keys = settings.named("operator")
 			.stream()
 			.collect(Collectors.toMap((name) -> name,
 					(name) -> CommonSettings.OPERATOR_KEY.get(settings, "operator " + name)));
-		return new OperatorKeys(keys, CommonSettings.APPROVALS.get(settings).intValue());
+		return new ApprovalPolicy(keys, CommonSettings.APPROVALS.get(settings).intValue());
 	}
 
 	static String transferPolicy(Settings settings) {
--- a/agent/src/main/java/org/wisteriapost/agent/BundleSource.java
+++ b/agent/src/main/java/org/wisteriapost/agent/BundleSource.java
@@ -86,7 +86,7 @@
 			.thenCombine(this.platform.list(prefix), (stored, listing) -> stored.map((bundle) -> {
 				Map<String, byte[]> signatures = new HashMap<>();
 				listing.items().forEach((item) -> signatures.put(item.key().substring(prefix.length()), item.value()));
-				return new AgentEvent.BundleArrived(digest, bundle.value(), signatures);
+				return new AgentEvent.BundleReceived(digest, bundle.value(), signatures);
 			}))
 			.whenComplete((found, failure) -> {
 				if (!this.wanted.equals(digest)) {
@@ -94,7 +94,7 @@
 				}
 				if (failure != null || found.isEmpty()) {
 					this.wanted = "";
-					this.loop.post(new AgentEvent.BundleMissing(digest));
+					this.loop.post(new AgentEvent.BundleUnavailable(digest));
 					return;
 				}
 				arrived(digest, found.get().content(), found.get().signatures());
@@ -103,12 +103,12 @@
 
 	private void arrived(String digest, byte[] content, Map<String, byte[]> signatures) {
 		this.wanted = "";
-		this.loop.post(new AgentEvent.BundleArrived(digest, content, signatures));
+		this.loop.post(new AgentEvent.BundleReceived(digest, content, signatures));
 	}
 
-	static BundleReply reply(String digest, org.wisteriapost.policy.agent.AgentView view) {
+	static BundleReply reply(String digest, org.wisteriapost.policy.agent.AgentStatus view) {
 		BundleReply.Builder reply = BundleReply.newBuilder().setDigest(digest);
-		if (view.digest().equals(digest)) {
+		if (view.bundleDigest().equals(digest)) {
 			view.bundle().ifPresent((copy) -> {
 				reply.setBundle(com.google.protobuf.ByteString.copyFrom(copy.content()));
 				copy.signatures()
--- a/agent/src/main/java/org/wisteriapost/agent/RunnerCall.java
+++ b/agent/src/main/java/org/wisteriapost/agent/RunnerCall.java
@@ -123,7 +123,7 @@
 
 	@Override
 	public void onHead(int status, Map<String, String> headers) {
-		this.owner.loop().post(new AgentEvent.CallAnswered(this.key));
+		this.owner.loop().post(new AgentEvent.ResponseStarted(this.key));
 		if (status == UNAVAILABLE && NOT_RUN.equals(headers.get(lower(CallerHeaders.OUTCOME)))) {
 			this.verdict = Optional.of(verdict(Outcome.NOT_RUN, REFUSED.name(), retryAfter(headers)));
 			return;
@@ -134,7 +134,7 @@
 			// check stands before the first byte goes out, so nothing has to be taken
 			// back.
 			this.verdict = Optional.of(verdict(Outcome.UNKNOWN, WITHHELD.name(), 0));
-			this.owner.loop().post(new AgentEvent.WrongWeightsAnswered());
+			this.owner.loop().post(new AgentEvent.WrongWeightsDetected());
 			cancel();
 			return;
 		}
--- a/agent/src/main/java/org/wisteriapost/agent/Surveys.java
+++ b/agent/src/main/java/org/wisteriapost/agent/Surveys.java
@@ -74,7 +74,7 @@
 		List<VmList.Vm> live = agents.stream().filter((vm) -> !vm.leaving()).toList();
 		this.transfer.peers(live);
 		Stream<String> peers = live.stream()
-			.filter((vm) -> vm.service().equals(this.self.service()) && vm.place().equals(this.self.place()))
+			.filter((vm) -> vm.service().equals(this.self.service()) && vm.place().equals(this.self.failureDomain()))
 			.map(VmList.Vm::vm);
 		boolean leaving = agents.stream().anyMatch((vm) -> vm.vm().equals(this.self.vm()) && vm.leaving());
 		this.loop.post(
@@ -103,7 +103,7 @@
 
 	private void marks(Platform.Listing listing) {
 		if (listing.items().stream().anyMatch((item) -> item.key().equals(markKey()))) {
-			this.loop.post(new AgentEvent.LeaveAsked());
+			this.loop.post(new AgentEvent.LeaveRequested());
 			return;
 		}
 		later(0, () -> watchMarks(listing.revision()));
--- a/agent/src/main/java/org/wisteriapost/agent/site/EngineKeeper.java
+++ b/agent/src/main/java/org/wisteriapost/agent/site/EngineKeeper.java
@@ -144,7 +144,7 @@
 		this.weights.filter((known) -> this.fetch.isPresent()).ifPresent((known) -> {
 			Progress progress = known.transfer.progress();
 			double share = (progress.total() > 0) ? (double) progress.verified() / progress.total() : 0;
-			this.rollout.fetching(share, System.nanoTime());
+			this.rollout.fetchProgressed(share, System.nanoTime());
 		});
 		this.rollout.tick(System.nanoTime());
 		carryOut();
@@ -160,7 +160,7 @@
 	private void hello(Link link, Hello hello) {
 		if (hello.getRole() == Role.ENTRY) {
 			this.entries.add(link);
-			this.rollout.latest().ifPresent((tell) -> link.send(state(tell)));
+			this.rollout.lastStatus().ifPresent((tell) -> link.send(state(tell)));
 		}
 	}
 
@@ -170,14 +170,14 @@
 			this.weights.get().transfer.peers(this.roster);
 		}
 		if (message.getModel().equals(this.weights.get().model)) {
-			this.rollout.named(message.getVersion(), System.nanoTime());
+			this.rollout.setTarget(message.getVersion(), System.nanoTime());
 		}
 	}
 
 	private Weights weights(WeightsNamed message) {
 		String address = this.settings.runner().orElseThrow();
 		Origin origin = this.site.origin(this.caller, message.getOrigin());
-		TransferLimits limits = new TransferLimits(TransferLimits.Design.SWARM, 1, ORIGIN_READS, NEIGHBOURS,
+		TransferLimits limits = new TransferLimits(TransferLimits.Distribution.SWARM, 1, ORIGIN_READS, NEIGHBOURS,
 				OUTSTANDING, PER_PEER, PROGRESS_DEADLINE, ANNOUNCE_INTERVAL, RAREST_OF, true, true);
 		LinkShare share = new LinkShare(this.settings.linkBytesPerSecond(), LINK_SHARE, LINK_SHARE_LATE);
 		Hello hello = Hello.newBuilder()
@@ -216,7 +216,7 @@
 		this.weights.ifPresent((known) -> known.transfer.peers(members));
 		for (int i = 0; i < members.size(); i++) {
 			if (members.get(i).vm().equals(this.settings.host())) {
-				this.rollout.turn((double) i / members.size());
+				this.rollout.setPosition((double) i / members.size());
 			}
 		}
 	}
@@ -232,7 +232,7 @@
 				case RolloutEffect.Abandon abandon -> this.fetch.ifPresent((running) -> running.cancel(false));
 				case RolloutEffect.Verify verify -> verify(verify.version());
 				case RolloutEffect.Take take -> take(take.version(), take.sequence());
-				case RolloutEffect.Tell tell -> this.entries.forEach((link) -> link.send(state(tell)));
+				case RolloutEffect.PublishStatus tell -> this.entries.forEach((link) -> link.send(state(tell)));
 			}
 		}
 	}
@@ -240,13 +240,13 @@
 	private void report() {
 		this.engine.report().whenComplete((report, failure) -> back(() -> {
 			if (failure != null) {
-				this.rollout.silent(System.nanoTime());
+				this.rollout.reportFailed(System.nanoTime());
 				return;
 			}
 			Integer version = this.weights.map((known) -> report.versions().get(known.model)).orElse(null);
 			idle(report);
-			this.rollout.reported((version != null) ? OptionalInt.of(version) : OptionalInt.empty(), report.busy(),
-					report.sequence(), report.start(), System.nanoTime());
+			this.rollout.reportReceived((version != null) ? OptionalInt.of(version) : OptionalInt.empty(),
+					report.busy(), report.sequence(), report.start(), System.nanoTime());
 		}));
 	}
 
@@ -266,7 +266,7 @@
 		known.origin.manifest(path).whenComplete((manifest, failure) -> back(() -> {
 			if (failure != null) {
 				this.log.failure("manifest-failed", "version", version, "cause", failure.getMessage());
-				this.rollout.fetched(version, false, System.nanoTime());
+				this.rollout.fetchEnded(version, false, System.nanoTime());
 				return;
 			}
 			WeightFile wanted = new WeightFile(known.model, Integer.toString(version), path, manifest.etag(),
@@ -278,7 +278,7 @@
 				if (broken != null) {
 					this.log.failure("fetch-failed", "version", version, "cause", broken.getMessage());
 				}
-				this.rollout.fetched(version, broken == null, System.nanoTime());
+				this.rollout.fetchEnded(version, broken == null, System.nanoTime());
 			}));
 		}));
 	}
@@ -286,8 +286,8 @@
 	private void verify(int version) {
 		Weights known = this.weights.orElseThrow();
 		known.transfer.verify(List.of(this.file.orElseThrow()))
-			.whenComplete((good,
-					failure) -> back(() -> this.rollout.verified(version, failure == null && good, System.nanoTime())));
+			.whenComplete((good, failure) -> back(
+					() -> this.rollout.verificationEnded(version, failure == null && good, System.nanoTime())));
 	}
 
 	private void take(int version, long sequence) {
@@ -298,7 +298,7 @@
 			// An order without an answer may have been taken: the report will tell.
 			boolean begun = failure != null || reply == EngineControl.Reply.BEGUN
 					|| reply == EngineControl.Reply.IN_FORCE;
-			this.rollout.ordered(begun, System.nanoTime());
+			this.rollout.orderAnswered(begun, System.nanoTime());
 		}));
 	}
 
@@ -309,9 +309,9 @@
 		});
 	}
 
-	private Frame state(RolloutEffect.Tell tell) {
+	private Frame state(RolloutEffect.PublishStatus tell) {
 		String address = this.settings.runner().orElseThrow();
-		return Frame.newBuilder().setEngineState(EngineFrames.of(address, tell.word(), System.nanoTime())).build();
+		return Frame.newBuilder().setEngineState(EngineFrames.of(address, tell.status(), System.nanoTime())).build();
 	}
 
 	@Override
--- a/agent/src/main/java/org/wisteriapost/agent/transfer/ChunkServer.java
+++ b/agent/src/main/java/org/wisteriapost/agent/transfer/ChunkServer.java
@@ -11,7 +11,7 @@
 
 import com.google.protobuf.ByteString;
 import org.wisteriapost.kernel.Code;
-import org.wisteriapost.policy.transfer.Uploads;
+import org.wisteriapost.policy.transfer.UploadQueue;
 import org.wisteriapost.protocol.link.Link;
 import org.wisteriapost.protocol.wire.ChunkMap;
 import org.wisteriapost.protocol.wire.ChunkMapRequest;
@@ -52,7 +52,7 @@
 
 	private final ChunkShelf shelf;
 
-	private final Uploads<Upload> uploads;
+	private final UploadQueue<Upload> uploads;
 
 	private final PacedReplies replies;
 
@@ -69,7 +69,7 @@
 		this.thread = thread;
 		this.meters = meters;
 		this.shelf = shelf;
-		this.uploads = Uploads.create(uploadsWaiting, UPLOADS_PER_PEER);
+		this.uploads = UploadQueue.create(uploadsWaiting, UPLOADS_PER_PEER);
 		this.replies = new PacedReplies(context.frames(), context.timer(), thread::run,
 				(sending) -> thread.run(this::released));
 	}
@@ -139,7 +139,7 @@
 
 	void closed(Link link) {
 		this.watchers.remove(link);
-		this.uploads.drop(link);
+		this.uploads.removePeer(link);
 		this.replies.drop(link);
 	}
 
--- a/agent/src/main/java/org/wisteriapost/agent/transfer/ChunkShelf.java
+++ b/agent/src/main/java/org/wisteriapost/agent/transfer/ChunkShelf.java
@@ -7,7 +7,7 @@
 
 import org.wisteriapost.policy.bundle.Digests;
 import org.wisteriapost.policy.bundle.WeightFile;
-import org.wisteriapost.policy.transfer.LocalCopies.HeldFile;
+import org.wisteriapost.policy.transfer.LocalCopyPlanner.HeldFile;
 
 /**
  * Which chunks of which files this process has verified in the VM's store. Used by the
--- a/agent/src/main/java/org/wisteriapost/agent/transfer/Fetch.java
+++ b/agent/src/main/java/org/wisteriapost/agent/transfer/Fetch.java
@@ -14,12 +14,12 @@
 import org.apache.commons.rng.simple.RandomSource;
 import org.wisteriapost.kernel.CodedException;
 import org.wisteriapost.kernel.Invariants;
+import org.wisteriapost.policy.transfer.ChunkIndex;
 import org.wisteriapost.policy.transfer.Peer;
-import org.wisteriapost.policy.transfer.Pieces;
 import org.wisteriapost.policy.transfer.TransferEffect;
 import org.wisteriapost.policy.transfer.TransferEvent;
 import org.wisteriapost.policy.transfer.TransferLimits;
-import org.wisteriapost.policy.transfer.TransferMachine;
+import org.wisteriapost.policy.transfer.TransferStateMachine;
 import org.wisteriapost.protocol.outside.Origin;
 import org.wisteriapost.protocol.outside.VmList;
 
@@ -43,9 +43,9 @@
 
 	private final ChunkServer server;
 
-	private final Pieces pieces;
+	private final ChunkIndex pieces;
 
-	private final TransferMachine machine;
+	private final TransferStateMachine machine;
 
 	private final PeerLinks links;
 
@@ -60,7 +60,7 @@
 	private volatile int verified;
 
 	Fetch(TransferContext context, TransferThread thread, TransferMeters meters, ChunkShelf shelf, ChunkServer server,
-			Pieces pieces, TransferLimits limits, CompletableFuture<Void> result) {
+			ChunkIndex pieces, TransferLimits limits, CompletableFuture<Void> result) {
 		this.context = context;
 		this.thread = thread;
 		this.meters = meters;
@@ -69,7 +69,7 @@
 		this.pieces = pieces;
 		this.result = result;
 		long seed = System.nanoTime() ^ context.vm().hashCode();
-		this.machine = TransferMachine.create(pieces, new Peer(context.vm(), context.place()), limits,
+		this.machine = TransferStateMachine.create(pieces, new Peer(context.vm(), context.place()), limits,
 				RandomSource.XO_RO_SHI_RO_128_PP.create(seed), Invariants.create());
 		this.links = new PeerLinks(context, thread, meters, pieces, this);
 		this.ticks = context.timer()
@@ -77,7 +77,7 @@
 					TICK_MILLIS, TimeUnit.MILLISECONDS);
 	}
 
-	Pieces pieces() {
+	ChunkIndex pieces() {
 		return this.pieces;
 	}
 
@@ -93,12 +93,12 @@
 	}
 
 	void peers(List<VmList.Vm> agents) {
-		event(new TransferEvent.PeersSeen(this.links.meet(agents)));
+		event(new TransferEvent.PeersChanged(this.links.meet(agents)));
 	}
 
 	void start(BitSet held) {
-		held.stream().forEach((piece) -> this.shelf.add(this.pieces.digest(piece), this.pieces.index(piece)));
-		event(new TransferEvent.Held(held));
+		held.stream().forEach((piece) -> this.shelf.add(this.pieces.digest(piece), this.pieces.indexInFile(piece)));
+		event(new TransferEvent.StoreScanned(held));
 	}
 
 	void stop() {
@@ -114,7 +114,7 @@
 			return;
 		}
 		List<TransferEffect> effects = this.machine.apply(event, System.nanoTime());
-		this.verified = this.machine.verified();
+		this.verified = this.machine.verifiedCount();
 		effects.forEach(this::carryOut);
 	}
 
@@ -133,7 +133,7 @@
 			event(new TransferEvent.Corrupt(piece, source));
 			return;
 		}
-		boolean origin = source.equals(TransferMachine.ORIGIN);
+		boolean origin = source.equals(TransferStateMachine.ORIGIN);
 		(origin ? this.meters.fromOrigin() : this.meters.fromPeers()).increment(bytes.length);
 		this.arrived.put(piece, bytes);
 		event(new TransferEvent.Verified(piece, source));
@@ -145,40 +145,40 @@
 			case TransferEffect.Connect connect -> this.links.connect(connect.vm());
 			case TransferEffect.Disconnect disconnect -> this.links.disconnect(disconnect.vm());
 			case TransferEffect.Request request -> this.links.request(request);
-			case TransferEffect.Drop drop -> this.links.drop(drop.vm(), drop.piece());
-			case TransferEffect.ReadOrigin read -> readOrigin(read.piece());
-			case TransferEffect.Store store -> store(store.piece(), this.arrived.get(store.piece()));
+			case TransferEffect.DiscardParts drop -> this.links.drop(drop.vm(), drop.chunk());
+			case TransferEffect.ReadOrigin read -> readOrigin(read.chunk());
+			case TransferEffect.Store store -> store(store.chunk(), this.arrived.get(store.chunk()));
 			case TransferEffect.Copy copy -> copy(copy.from(), copy.to());
-			case TransferEffect.Announce announce -> announce(announce.pieces());
+			case TransferEffect.Announce announce -> announce(announce.chunks());
 			case TransferEffect.Complete complete -> complete();
-			case TransferEffect.Changed changed -> fail(CodedException.of(Origin.CHANGED, at(changed.piece())));
-			case TransferEffect.Fail fail -> fail(CodedException.of(fail.code(), at(fail.piece())));
+			case TransferEffect.VersionChanged changed -> fail(CodedException.of(Origin.CHANGED, at(changed.chunk())));
+			case TransferEffect.Fail fail -> fail(CodedException.of(fail.code(), at(fail.chunk())));
 			case TransferEffect.Notice notice -> notice(notice);
 		}
 	}
 
 	private void readOrigin(int piece) {
-		long offset = (long) this.pieces.index(piece) * this.pieces.file(piece).chunkBytes();
+		long offset = (long) this.pieces.indexInFile(piece) * this.pieces.file(piece).chunkBytes();
 		this.context.origin()
 			.read(this.pieces.file(piece).path(), this.pieces.file(piece).etag(), offset, this.pieces.length(piece))
 			.whenComplete((bytes, failure) -> {
 				if (failure == null) {
-					bytes(piece, TransferMachine.ORIGIN, bytes);
+					bytes(piece, TransferStateMachine.ORIGIN, bytes);
 					return;
 				}
 				boolean changed = cause(failure) instanceof CodedException coded && coded.code().equals(Origin.CHANGED);
-				this.thread.run(() -> event(new TransferEvent.OriginFailed(piece, changed)));
+				this.thread.run(() -> event(new TransferEvent.OriginReadFailed(piece, changed)));
 			});
 	}
 
 	private void store(int piece, byte[] bytes) {
-		put(this.context.store().put(this.pieces.digest(piece), this.pieces.index(piece), bytes), piece);
+		put(this.context.store().put(this.pieces.digest(piece), this.pieces.indexInFile(piece), bytes), piece);
 	}
 
 	private void copy(int from, int to) {
-		put(this.context.store().get(this.pieces.digest(from), this.pieces.index(from)).thenCompose((bytes) -> {
+		put(this.context.store().get(this.pieces.digest(from), this.pieces.indexInFile(from)).thenCompose((bytes) -> {
 			byte[] found = bytes.filter((some) -> ChunkShelf.matches(some, this.pieces.hash(to))).orElseThrow();
-			return this.context.store().put(this.pieces.digest(to), this.pieces.index(to), found);
+			return this.context.store().put(this.pieces.digest(to), this.pieces.indexInFile(to), found);
 		}), to);
 	}
 
@@ -189,14 +189,14 @@
 				event(new TransferEvent.Lost(piece));
 				return;
 			}
-			this.shelf.add(this.pieces.digest(piece), this.pieces.index(piece));
+			this.shelf.add(this.pieces.digest(piece), this.pieces.indexInFile(piece));
 			event(new TransferEvent.Stored(piece));
 		}));
 	}
 
 	private void announce(BitSet added) {
 		for (int number = 0; number < this.pieces.files().size(); number++) {
-			int first = this.pieces.firstOf(number);
+			int first = this.pieces.firstChunkOf(number);
 			BitSet chunks = added.get(first, first + this.pieces.files().get(number).chunks().size());
 			if (!chunks.isEmpty()) {
 				this.server.announce(this.pieces.digestOfFile(number), chunks);
@@ -217,11 +217,11 @@
 
 	private void notice(TransferEffect.Notice notice) {
 		this.meters.notices().increment();
-		LOG.log(Level.WARNING, notice.code().name() + ": " + notice.source() + ", " + at(notice.piece()));
+		LOG.log(Level.WARNING, notice.code().name() + ": " + notice.source() + ", " + at(notice.chunk()));
 	}
 
 	private String at(int piece) {
-		return this.pieces.file(piece).path() + " chunk " + this.pieces.index(piece);
+		return this.pieces.file(piece).path() + " chunk " + this.pieces.indexInFile(piece);
 	}
 
 	private static Throwable cause(Throwable failure) {
--- a/agent/src/main/java/org/wisteriapost/agent/transfer/PacedReplies.java
+++ b/agent/src/main/java/org/wisteriapost/agent/transfer/PacedReplies.java
@@ -9,8 +9,8 @@
 
 import com.google.protobuf.ByteString;
 import com.google.protobuf.UnsafeByteOperations;
-import org.wisteriapost.policy.transfer.Pacer;
 import org.wisteriapost.policy.transfer.PartSize;
+import org.wisteriapost.policy.transfer.TokenBucket;
 import org.wisteriapost.protocol.link.Link;
 import org.wisteriapost.protocol.wire.ChunkReply;
 import org.wisteriapost.protocol.wire.ChunkRequest;
@@ -40,7 +40,7 @@
 
 	private final Consumer<Sending> sent;
 
-	private final Pacer pacer = Pacer.create(BURST_SECONDS);
+	private final TokenBucket pacer = TokenBucket.create(BURST_SECONDS);
 
 	private final Deque<Sending> turns = new ArrayDeque<>();
 
@@ -62,7 +62,7 @@
 	}
 
 	void rate(double bytesPerSecond) {
-		this.pacer.rate(bytesPerSecond, System.nanoTime());
+		this.pacer.setRate(bytesPerSecond, System.nanoTime());
 		this.part = PartSize.of(bytesPerSecond);
 	}
 
@@ -93,7 +93,7 @@
 			}
 			Sending next = this.turns.poll();
 			int length = Math.min(this.part, next.end - next.offset);
-			this.pacer.take(length);
+			this.pacer.consume(length);
 			next.link.send(this.frames.get().setChunkReply(reply(next, length)).build());
 			next.offset += length;
 			if (next.offset < next.end) {
--- a/agent/src/main/java/org/wisteriapost/agent/transfer/PeerLinks.java
+++ b/agent/src/main/java/org/wisteriapost/agent/transfer/PeerLinks.java
@@ -8,8 +8,8 @@
 import java.util.Optional;
 import java.util.concurrent.ConcurrentHashMap;
 
+import org.wisteriapost.policy.transfer.ChunkIndex;
 import org.wisteriapost.policy.transfer.Peer;
-import org.wisteriapost.policy.transfer.Pieces;
 import org.wisteriapost.policy.transfer.TransferEffect;
 import org.wisteriapost.policy.transfer.TransferEvent;
 import org.wisteriapost.protocol.link.Link;
@@ -34,7 +34,7 @@
 
 	private final TransferMeters meters;
 
-	private final Pieces pieces;
+	private final ChunkIndex pieces;
 
 	private final Receiver receiver;
 
@@ -44,7 +44,8 @@
 
 	private long nextId = 1;
 
-	PeerLinks(TransferContext context, TransferThread thread, TransferMeters meters, Pieces pieces, Receiver receiver) {
+	PeerLinks(TransferContext context, TransferThread thread, TransferMeters meters, ChunkIndex pieces,
+			Receiver receiver) {
 		this.context = context;
 		this.thread = thread;
 		this.meters = meters;
@@ -218,7 +219,7 @@
 		}
 
 		private void request(long id, TransferEffect.Request request) {
-			int piece = request.piece();
+			int piece = request.chunk();
 			int whole = PeerLinks.this.pieces.length(piece);
 			int end = (request.length() == 0) ? whole : request.offset() + request.length();
 			Asked part = new Asked(piece, whole, request.offset(), end);
@@ -227,7 +228,7 @@
 			ChunkRequest ask = ChunkRequest.newBuilder()
 				.setId(id)
 				.setFile(PeerLinks.this.pieces.digest(piece))
-				.setIndex(PeerLinks.this.pieces.index(piece))
+				.setIndex(PeerLinks.this.pieces.indexInFile(piece))
 				.setOffset(wanted.offset())
 				.setLength((wanted.end() == whole) ? 0 : wanted.end() - wanted.offset())
 				.build();
@@ -240,7 +241,7 @@
 			}
 			int number = (int) map.getId();
 			int size = PeerLinks.this.pieces.files().get(number).chunks().size();
-			int first = PeerLinks.this.pieces.firstOf(number);
+			int first = PeerLinks.this.pieces.firstChunkOf(number);
 			BitSet held = new BitSet();
 			BitSet.valueOf(map.getBits().toByteArray())
 				.stream()
@@ -252,7 +253,7 @@
 				.forEach((index) -> held.set(first + index));
 			// Who knows the file says how many chunks it has; a change names those added.
 			boolean idle = map.getChunks() == 0 && held.isEmpty();
-			tell(idle ? new TransferEvent.PeerIdle(this.vm) : new TransferEvent.PeerHolds(this.vm, held));
+			tell(idle ? new TransferEvent.PeerNotFetching(this.vm) : new TransferEvent.PeerHolds(this.vm, held));
 		}
 
 		// An answer counts only for the request it names: what comes late, twice or for
@@ -304,7 +305,7 @@
 			}
 			this.asked.remove(reply.getId());
 			if (request.end() < whole) {
-				tell(new TransferEvent.PartCame(piece, this.vm, request.end()));
+				tell(new TransferEvent.PartReceived(piece, this.vm, request.end()));
 				return;
 			}
 			this.parts.remove(piece);
--- a/agent/src/main/java/org/wisteriapost/agent/transfer/PeerTransfer.java
+++ b/agent/src/main/java/org/wisteriapost/agent/transfer/PeerTransfer.java
@@ -10,8 +10,8 @@
 import org.wisteriapost.kernel.Code;
 import org.wisteriapost.kernel.CodedException;
 import org.wisteriapost.policy.bundle.WeightFile;
-import org.wisteriapost.policy.transfer.LocalCopies;
-import org.wisteriapost.policy.transfer.Pieces;
+import org.wisteriapost.policy.transfer.ChunkIndex;
+import org.wisteriapost.policy.transfer.LocalCopyPlanner;
 import org.wisteriapost.policy.transfer.TransferEvent;
 import org.wisteriapost.protocol.link.Link;
 import org.wisteriapost.protocol.link.Links;
@@ -73,11 +73,11 @@
 		if (large.isPresent()) {
 			return CompletableFuture.failedFuture(CodedException.of(CHUNK_TOO_LARGE, large.get().path()));
 		}
-		this.thread.run(() -> begin(Pieces.of(files), result));
+		this.thread.run(() -> begin(ChunkIndex.of(files), result));
 		return result;
 	}
 
-	private void begin(Pieces pieces, CompletableFuture<Void> result) {
+	private void begin(ChunkIndex pieces, CompletableFuture<Void> result) {
 		if (this.current != null) {
 			this.current.stop();
 		}
@@ -104,28 +104,28 @@
 
 	@Override
 	public CompletableFuture<Boolean> verify(List<WeightFile> files) {
-		Pieces pieces = Pieces.of(files);
+		ChunkIndex pieces = ChunkIndex.of(files);
 		CompletableFuture<Boolean> result = new CompletableFuture<>();
 		new ReadBack(this.context.store(), this.thread, pieces).held(new BitSet())
 			.thenAccept((found) -> this.thread.run(() -> {
 				for (int piece = found.nextClearBit(0); piece < pieces.count(); piece = found.nextClearBit(piece + 1)) {
-					this.shelf.remove(pieces.digest(piece), pieces.index(piece));
+					this.shelf.remove(pieces.digest(piece), pieces.indexInFile(piece));
 				}
 				result.complete(found.cardinality() == pieces.count());
 			}));
 		return result;
 	}
 
-	private BitSet known(Pieces pieces) {
+	private BitSet known(ChunkIndex pieces) {
 		BitSet known = new BitSet();
 		for (int piece = 0; piece < pieces.count(); piece++) {
-			known.set(piece, this.shelf.held(pieces.digest(piece)).get(pieces.index(piece)));
+			known.set(piece, this.shelf.held(pieces.digest(piece)).get(pieces.indexInFile(piece)));
 		}
 		return known;
 	}
 
 	private void copy(Fetch fetch, ReadBack readBack, BitSet held) {
-		List<LocalCopies.Copy> copies = LocalCopies.plan(fetch.pieces(), this.shelf.all(), held);
+		List<LocalCopyPlanner.Copy> copies = LocalCopyPlanner.plan(fetch.pieces(), this.shelf.all(), held);
 		readBack.copy(copies).thenAccept((copied) -> this.thread.run(() -> {
 			held.or(copied);
 			await(fetch, () -> fetch.start(held));
@@ -216,14 +216,14 @@
 
 	private void lost(String file, int index) {
 		this.shelf.remove(file, index);
-		if (this.current == null || this.current.pieces().piece(file, index).isEmpty()) {
+		if (this.current == null || this.current.pieces().chunk(file, index).isEmpty()) {
 			return;
 		}
 		if (this.current.stopped()) {
 			begin(this.current.pieces(), new CompletableFuture<>());
 			return;
 		}
-		OptionalInt piece = this.current.pieces().piece(file, index);
+		OptionalInt piece = this.current.pieces().chunk(file, index);
 		piece.ifPresent((number) -> this.current.event(new TransferEvent.Lost(number)));
 	}
 
--- a/agent/src/main/java/org/wisteriapost/agent/transfer/ReadBack.java
+++ b/agent/src/main/java/org/wisteriapost/agent/transfer/ReadBack.java
@@ -8,8 +8,8 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.atomic.AtomicInteger;
 
-import org.wisteriapost.policy.transfer.LocalCopies;
-import org.wisteriapost.policy.transfer.Pieces;
+import org.wisteriapost.policy.transfer.ChunkIndex;
+import org.wisteriapost.policy.transfer.LocalCopyPlanner;
 import org.wisteriapost.protocol.outside.WeightStore;
 
 /**
@@ -25,9 +25,9 @@
 
 	private final TransferThread thread;
 
-	private final Pieces pieces;
+	private final ChunkIndex pieces;
 
-	ReadBack(WeightStore store, TransferThread thread, Pieces pieces) {
+	ReadBack(WeightStore store, TransferThread thread, ChunkIndex pieces) {
 		this.store = store;
 		this.thread = thread;
 		this.pieces = pieces;
@@ -40,7 +40,7 @@
 	CompletableFuture<BitSet> held(BitSet known) {
 		CompletableFuture<BitSet> listed = CompletableFuture.completedFuture(new BitSet());
 		for (int number = 0; number < this.pieces.files().size(); number++) {
-			int first = this.pieces.firstOf(number);
+			int first = this.pieces.firstChunkOf(number);
 			int size = this.pieces.files().get(number).chunks().size();
 			CompletableFuture<BitSet> chunks = this.store.held(this.pieces.digestOfFile(number))
 				.exceptionally((failure) -> new BitSet());
@@ -51,8 +51,9 @@
 		}
 		return listed.thenCompose((all) -> {
 			all.andNot(known);
-			List<LocalCopies.Copy> checks = all.stream()
-				.mapToObj((piece) -> new LocalCopies.Copy(this.pieces.digest(piece), this.pieces.index(piece), piece))
+			List<LocalCopyPlanner.Copy> checks = all.stream()
+				.mapToObj((piece) -> new LocalCopyPlanner.Copy(this.pieces.digest(piece),
+						this.pieces.indexInFile(piece), piece))
 				.toList();
 			return run(checks, false);
 		});
@@ -61,11 +62,11 @@
 	/**
 	 * Copies within the store and returns the pieces for which that worked.
 	 */
-	CompletableFuture<BitSet> copy(List<LocalCopies.Copy> copies) {
+	CompletableFuture<BitSet> copy(List<LocalCopyPlanner.Copy> copies) {
 		return run(copies, true);
 	}
 
-	private CompletableFuture<BitSet> run(List<LocalCopies.Copy> list, boolean store) {
+	private CompletableFuture<BitSet> run(List<LocalCopyPlanner.Copy> list, boolean store) {
 		CompletableFuture<BitSet> done = new CompletableFuture<>();
 		Work work = new Work(new ArrayDeque<>(list), new BitSet(), new AtomicInteger(AT_ONCE), store, done);
 		for (int i = 0; i < AT_ONCE; i++) {
@@ -75,20 +76,20 @@
 	}
 
 	private void next(Work work) {
-		LocalCopies.Copy copy = work.poll();
+		LocalCopyPlanner.Copy copy = work.poll();
 		if (copy == null) {
 			if (work.running.decrementAndGet() == 0) {
 				work.done.complete(work.good);
 			}
 			return;
 		}
-		this.store.get(copy.digest(), copy.index())
+		this.store.get(copy.sourceDigest(), copy.sourceIndex())
 			.thenCompose((bytes) -> check(work, copy, bytes))
 			.whenComplete((none, failure) -> this.thread.compute(() -> next(work)));
 	}
 
-	private CompletableFuture<Void> check(Work work, LocalCopies.Copy copy, Optional<byte[]> bytes) {
-		int piece = copy.piece();
+	private CompletableFuture<Void> check(Work work, LocalCopyPlanner.Copy copy, Optional<byte[]> bytes) {
+		int piece = copy.chunk();
 		if (bytes.isEmpty() || !ChunkShelf.matches(bytes.get(), this.pieces.hash(piece))) {
 			return CompletableFuture.completedFuture(null);
 		}
@@ -96,14 +97,14 @@
 			work.add(piece);
 			return CompletableFuture.completedFuture(null);
 		}
-		return this.store.put(this.pieces.digest(piece), this.pieces.index(piece), bytes.get())
+		return this.store.put(this.pieces.digest(piece), this.pieces.indexInFile(piece), bytes.get())
 			.thenRun(() -> work.add(piece));
 	}
 
-	private record Work(Queue<LocalCopies.Copy> queue, BitSet good, AtomicInteger running, boolean store,
+	private record Work(Queue<LocalCopyPlanner.Copy> queue, BitSet good, AtomicInteger running, boolean store,
 			CompletableFuture<BitSet> done) {
 
-		private LocalCopies.Copy poll() {
+		private LocalCopyPlanner.Copy poll() {
 			synchronized (this.queue) {
 				return this.queue.poll();
 			}
--- a/agent/src/main/java/org/wisteriapost/agent/transfer/TransferOptions.java
+++ b/agent/src/main/java/org/wisteriapost/agent/transfer/TransferOptions.java
@@ -5,7 +5,7 @@
 import org.wisteriapost.kernel.settings.Settings;
 import org.wisteriapost.policy.transfer.LinkShare;
 import org.wisteriapost.policy.transfer.TransferLimits;
-import org.wisteriapost.policy.transfer.TransferLimits.Design;
+import org.wisteriapost.policy.transfer.TransferLimits.Distribution;
 
 /**
  * How one VM's transfer behaves.
@@ -22,11 +22,11 @@
 	 */
 	public static TransferOptions of(Settings settings) {
 		TransferLimits standard = TransferLimits.standard();
-		TransferLimits limits = new TransferLimits(Design.SWARM, number(TransferSettings.ORIGIN_COPIES, settings),
+		TransferLimits limits = new TransferLimits(Distribution.SWARM, number(TransferSettings.ORIGIN_COPIES, settings),
 				number(TransferSettings.ORIGIN_READS, settings), number(TransferSettings.NEIGHBOURS, settings),
 				number(TransferSettings.OUTSTANDING, settings), number(TransferSettings.PER_PEER, settings),
 				TransferSettings.PROGRESS_DEADLINE.get(settings), TransferSettings.ANNOUNCE_INTERVAL.get(settings),
-				standard.rarestOf(), standard.samePlaceFirst());
+				standard.rarestSampleSize(), standard.preferSameFailureDomain());
 		LinkShare share = new LinkShare(TransferSettings.LINK_BYTES.get(settings), TransferSettings.SHARE.get(settings),
 				TransferSettings.SHARE_WHILE_LATE.get(settings));
 		return new TransferOptions(limits, share, number(TransferSettings.UPLOADS_WAITING, settings),
--- a/entry/src/main/java/org/wisteriapost/entry/direct/Announcer.java
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/Announcer.java
@@ -11,10 +11,10 @@
 import java.util.Set;
 
 import org.wisteriapost.policy.dispatch.Dispatcher;
-import org.wisteriapost.policy.fleet.AgentDuty;
+import org.wisteriapost.policy.fleet.AgentAssignment;
 import org.wisteriapost.policy.fleet.EntryInfo;
-import org.wisteriapost.policy.fleet.NamedWeights;
 import org.wisteriapost.policy.fleet.RunnerInfo;
+import org.wisteriapost.policy.fleet.TargetWeights;
 import org.wisteriapost.policy.routing.EngineSpec;
 import org.wisteriapost.policy.routing.RouteTable;
 import org.wisteriapost.protocol.site.SiteSettings;
@@ -39,7 +39,7 @@
 
 	private final SiteSettings settings;
 
-	private final AgentDuty duty;
+	private final AgentAssignment duty;
 
 	private final EntryRoster roster;
 
@@ -61,7 +61,7 @@
 
 	Announcer(SiteSettings settings, EntryInfo self, EntryRoster roster, Dispatcher dispatcher) {
 		this.settings = settings;
-		this.duty = AgentDuty.of(self);
+		this.duty = AgentAssignment.of(self);
 		this.roster = roster;
 		this.dispatcher = dispatcher;
 	}
@@ -73,7 +73,7 @@
 	/**
 	 * Notes named weights and returns whether they are newer than those known.
 	 */
-	boolean named(NamedWeights weights) {
+	boolean named(TargetWeights weights) {
 		if (this.named.getOrDefault(weights.model(), 0) >= weights.version()) {
 			return false;
 		}
@@ -153,7 +153,7 @@
 
 	private void relink(Optional<RouteTable> known) {
 		Map<String, InetSocketAddress> peers = new HashMap<>();
-		this.roster.toLink().forEach((info) -> peers.put(info.name(), address(info.link())));
+		this.roster.toLink().forEach((info) -> peers.put(info.name(), address(info.linkAddress())));
 		agents(known)
 			.forEach((info) -> peers.put(info.address(), new InetSocketAddress(info.host(), this.settings.linkPort())));
 		this.mesh.ifPresent((links) -> links.desired(peers));
@@ -162,12 +162,12 @@
 
 	// The engines to whose agents this entry links.
 	private List<RunnerInfo> agents(Optional<RouteTable> known) {
-		return this.duty.linked(engines(known), this.roster.others());
+		return this.duty.linkedEngines(engines(known), this.roster.others());
 	}
 
 	private List<RunnerInfo> engines(Optional<RouteTable> known) {
-		return this.dispatcher.fleet()
-			.known()
+		return this.dispatcher.fleetView()
+			.runners()
 			.stream()
 			.filter((info) -> engine(known, info.service()).isPresent())
 			.toList();
@@ -191,7 +191,8 @@
 		engines(known).stream()
 			.filter((info) -> info.service().equals(service))
 			.sorted(Comparator.comparing(RunnerInfo::address))
-			.forEach((info) -> members.addMembers(RosterMember.newBuilder().setVm(info.host()).setPlace(info.place())));
+			.forEach((info) -> members
+				.addMembers(RosterMember.newBuilder().setVm(info.host()).setPlace(info.failureDomain())));
 		return Frame.newBuilder().setRoster(members).build();
 	}
 
@@ -205,7 +206,7 @@
 			.setModel(model.get())
 			.setVersion(this.named.getOrDefault(model.get(), FIRST_VERSION))
 			.setOrigin(origin.get());
-		if (this.duty.tells(runner, this.roster.living())) {
+		if (this.duty.sendsPeerList(runner, this.roster.living())) {
 			tellOnce(runner.address(), roster);
 		}
 		tellOnce(runner.address(), Frame.newBuilder().setWeightsNamed(weights).build());
--- a/entry/src/main/java/org/wisteriapost/entry/direct/DirectEvent.java
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/DirectEvent.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-import org.wisteriapost.policy.dispatch.Outcome;
+import org.wisteriapost.policy.dispatch.DispatchOutcome;
 import org.wisteriapost.protocol.site.Kind;
 import org.wisteriapost.protocol.site.ObjectStore;
 import org.wisteriapost.protocol.wire.EngineState;
@@ -58,7 +58,7 @@
 	 * @param outcome how
 	 * @param detail for the log
 	 */
-	record Ended(DirectCall call, int dispatch, Outcome outcome, String detail) implements DirectEvent {
+	record Ended(DirectCall call, int dispatch, DispatchOutcome outcome, String detail) implements DirectEvent {
 	}
 
 	/**
--- a/entry/src/main/java/org/wisteriapost/entry/direct/DirectOutput.java
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/DirectOutput.java
@@ -11,8 +11,8 @@
 import org.wisteriapost.entry.caller.Refusal;
 import org.wisteriapost.kernel.Code;
 import org.wisteriapost.policy.dispatch.DispatchEffect;
+import org.wisteriapost.policy.dispatch.DispatchOutcome;
 import org.wisteriapost.policy.dispatch.Job;
-import org.wisteriapost.policy.dispatch.Outcome;
 import org.wisteriapost.policy.routing.Organisation;
 import org.wisteriapost.protocol.http.HttpCall;
 import org.wisteriapost.protocol.http.HttpCaller;
@@ -61,11 +61,11 @@
 
 	@Override
 	public void send(DirectCall call, DispatchEffect.Send send) {
-		int dispatch = call.job().dispatch();
+		int dispatch = call.job().dispatchNumber();
 		onIoThread(() -> {
 			if (call.complete()) {
 				// The answer before this dispatch came whole while it was given up.
-				this.events.accept(new DirectEvent.Ended(call, dispatch, Outcome.DONE, "whole before"));
+				this.events.accept(new DirectEvent.Ended(call, dispatch, DispatchOutcome.DONE, "whole before"));
 				return;
 			}
 			Relay relay = new Relay(call, dispatch, this.dialect, this.events);
@@ -123,14 +123,15 @@
 		URI target = URI.create("http://" + send.runner().address() + arrival.target());
 		HttpTimes times = HttpTimes.whole(Duration.ofMillis(remaining).plus(SLACK));
 		return new HttpCall(arrival.method(), target, headers, arrival.body(),
-				send.tries() ? times.connect(tryTime(job.route().target())) : times, mostIdle(send), Optional.empty());
+				send.requiresNewConnection() ? times.connect(tryTime(job.route().targetLatency())) : times,
+				mostIdle(send), Optional.empty());
 	}
 
 	private static Optional<Duration> mostIdle(DispatchEffect.Send send) {
-		if (send.tries()) {
+		if (send.requiresNewConnection()) {
 			return Optional.of(Duration.ZERO);
 		}
-		return send.job().route().repeatable() ? Optional.empty() : Optional.of(ONCE_MOST_IDLE);
+		return send.job().route().retryable() ? Optional.empty() : Optional.of(ONCE_MOST_IDLE);
 	}
 
 	private static Duration tryTime(Duration target) {
--- a/entry/src/main/java/org/wisteriapost/entry/direct/DirectState.java
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/DirectState.java
@@ -12,12 +12,12 @@
 import org.wisteriapost.kernel.SuspensionWatch;
 import org.wisteriapost.kernel.log.DecisionLog;
 import org.wisteriapost.policy.dispatch.DispatchEffect;
+import org.wisteriapost.policy.dispatch.DispatchOutcome;
 import org.wisteriapost.policy.dispatch.Dispatcher;
 import org.wisteriapost.policy.dispatch.Job;
-import org.wisteriapost.policy.dispatch.Outcome;
 import org.wisteriapost.policy.fleet.EntryInfo;
-import org.wisteriapost.policy.fleet.StoreDuty;
-import org.wisteriapost.policy.fleet.UpstreamChoice;
+import org.wisteriapost.policy.fleet.StoreRole;
+import org.wisteriapost.policy.fleet.UpstreamSelector;
 import org.wisteriapost.policy.routing.RouteTable;
 import org.wisteriapost.protocol.site.EngineFrames;
 import org.wisteriapost.protocol.site.Kind;
@@ -112,13 +112,13 @@
 		this.announcer.connect(links);
 		this.store = Optional.of(objects);
 		this.mesh = Optional.of(links);
-		StoreDuty duty = StoreDuty.of(this.self.name(), this.declaredInForce);
-		UpstreamChoice upstream = UpstreamChoice.of(this.self.name());
+		StoreRole duty = StoreRole.of(this.self.name(), this.declaredInForce);
+		UpstreamSelector upstream = UpstreamSelector.of(this.self.name());
 		SiteNews passed = new SiteNews(objects, duty, upstream, links::send, this.clock.nanos(), this.log);
 		this.news = Optional.of(passed);
 		this.reading = Optional.of(new StoreReading(duty, passed, following, links::send, this.log));
-		this.reports = Optional.of(new LoadReports(this.self.place(), links::send));
-		this.places = Optional.of(new PlaceNews(this.self.place(), this.roster, this.dispatcher, links::send));
+		this.reports = Optional.of(new LoadReports(this.self.failureDomain(), links::send));
+		this.places = Optional.of(new PlaceNews(this.self.failureDomain(), this.roster, this.dispatcher, links::send));
 	}
 
 	void apply(DirectEvent event) {
@@ -147,7 +147,8 @@
 			case DirectEvent.PeerWantsNews wants ->
 				this.news.ifPresent((passed) -> passed.asked(wants.peer(), wants.request()));
 			case DirectEvent.AgentSays says -> agentSays(says.state(), now);
-			case DirectEvent.AgentEcho echo -> this.dispatcher.ways().echoed(echo.address(), echo.stampNanos(), now);
+			case DirectEvent.AgentEcho echo ->
+				this.dispatcher.runnerPaths().echoReceived(echo.address(), echo.stampNanos(), now);
 			case DirectEvent.Tick tick -> tick(now);
 			case DirectEvent.Leave leave -> leave(now);
 		}
@@ -168,50 +169,50 @@
 	private void arrived(Arrival arrival, long now) {
 		this.intake.admit(arrival, now).ifPresent((job) -> {
 			this.calls.put(arrival.id(), new DirectCall(arrival, job));
-			this.dispatcher.arrived(job, now);
+			this.dispatcher.requestArrived(job, now);
 		});
 	}
 
 	private void callerGone(long id, long now) {
 		DirectCall call = this.calls.get(id);
 		if (call != null) {
-			this.log.decision("caller-gone", "attempt", call.job().attempt());
-			this.dispatcher.gone(call.job(), now);
+			this.log.decision("caller-gone", "attempt", call.job().attemptId());
+			this.dispatcher.callerDisconnected(call.job(), now);
 			carryOut();
 			this.calls.remove(id);
 		}
 	}
 
 	private void connected(DirectEvent.Connected connected, long now) {
-		if (connected.dispatch() == connected.call().job().dispatch()) {
+		if (connected.dispatch() == connected.call().job().dispatchNumber()) {
 			Job job = connected.call().job();
 			long millis = TimeUnit.NANOSECONDS.toMillis(now - job.sentNanos());
 			if (millis >= SLOW_CONNECTION_MILLIS) {
-				this.log.decision("slow-connection", "attempt", job.attempt(), "dispatch", connected.dispatch(), "ms",
+				this.log.decision("slow-connection", "attempt", job.attemptId(), "dispatch", connected.dispatch(), "ms",
 						millis);
 			}
-			this.dispatcher.connected(job, now);
+			this.dispatcher.connectionEstablished(job, now);
 		}
 	}
 
 	private void firstEvent(DirectEvent.FirstEvent first, long now) {
-		if (first.dispatch() == first.call().job().dispatch()) {
+		if (first.dispatch() == first.call().job().dispatchNumber()) {
 			this.metrics.firstEvent(first.call().job(), now);
-			this.dispatcher.firstEvent(first.call().job(), now);
+			this.dispatcher.firstEventSent(first.call().job(), now);
 		}
 	}
 
 	private void ended(DirectEvent.Ended ended, long now) {
 		Job job = ended.call().job();
-		if (ended.dispatch() != job.dispatch()) {
+		if (ended.dispatch() != job.dispatchNumber()) {
 			return;
 		}
-		this.log.decision("dispatch-ended", "attempt", job.attempt(), "dispatch", ended.dispatch(), "outcome",
+		this.log.decision("dispatch-ended", "attempt", job.attemptId(), "dispatch", ended.dispatch(), "outcome",
 				ended.outcome(), "detail", ended.detail(), "events", job.events(), "ageMs",
 				TimeUnit.NANOSECONDS.toMillis(now - job.arrivedNanos()));
 		this.metrics.ended(job, ended.outcome(), now);
-		this.dispatcher.ended(job, ended.outcome(), now);
-		if (ended.outcome() == Outcome.DONE) {
+		this.dispatcher.dispatchEnded(job, ended.outcome(), now);
+		if (ended.outcome() == DispatchOutcome.DONE) {
 			this.calls.remove(job.id());
 		}
 	}
@@ -248,7 +249,7 @@
 	private void reachable(DirectEvent.StoreReachable reachable, long now) {
 		this.log.decision("store", "kind", reachable.kind(), "reachable", reachable.reachable());
 		if (reachable.kind() == Kind.RUNNERS) {
-			this.dispatcher.store(reachable.reachable(), now);
+			this.dispatcher.updateStoreReachable(reachable.reachable(), now);
 			this.news.ifPresent((passed) -> passed.reachable(reachable.reachable()));
 		}
 	}
@@ -267,7 +268,7 @@
 		List<DirectEvent> fresh = this.reading.map((all) -> all.heard(heard.peer(), heard.news(), now))
 			.orElse(List.of());
 		if (!fresh.isEmpty()) {
-			this.dispatcher.store(true, now);
+			this.dispatcher.updateStoreReachable(true, now);
 		}
 		for (DirectEvent one : fresh) {
 			switch (one) {
@@ -289,8 +290,8 @@
 			this.reports.ifPresent(LoadReports::again);
 		}
 		else {
-			this.dispatcher.peerGone(peer);
-			this.dispatcher.ways().agentGone(peer);
+			this.dispatcher.removePeer(peer);
+			this.dispatcher.runnerPaths().agentDisconnected(peer);
 		}
 	}
 
@@ -300,24 +301,25 @@
 	}
 
 	private void peerLoads(String peer, LoadReport report, long now) {
-		report.getRefusedList().forEach((one) -> this.dispatcher.peerRefused(LoadFrames.read(one, now)));
-		report.getLoadsList().forEach((load) -> this.dispatcher.peerLoad(peer, LoadFrames.read(load), now));
+		report.getRefusedList().forEach((one) -> this.dispatcher.recordPeerRefusal(LoadFrames.read(one, now)));
+		report.getLoadsList().forEach((load) -> this.dispatcher.updatePeerLoad(peer, LoadFrames.read(load), now));
 	}
 
 	private void agentSays(EngineState says, long now) {
 		this.log.decision("agent-says", "address", says.getAddress(), "version", says.getVersion(), "switching",
 				says.getSwitching(), "closesInMs", says.getClosesInMillis());
-		this.dispatcher.agentSays(says.getAddress(), EngineFrames.read(says, now), now);
+		this.dispatcher.updateEngineStatus(says.getAddress(), EngineFrames.read(says, now), now);
 	}
 
 	private void tick(long now) {
 		this.ticks++;
 		this.dispatcher.tick(now);
 		this.announcer.tick(this.beliefs.table(), now);
-		this.reports.ifPresent((due) -> due.tick(this.ticks, now, this.roster::told, this.dispatcher.fleet()::ownLoad));
+		this.reports
+			.ifPresent((due) -> due.tick(this.ticks, now, this.roster::told, this.dispatcher.fleetView()::ownLoad));
 		this.places.ifPresent((due) -> due.tick(this.ticks, now));
 		if (this.ticks % TICKS_PER_NEWS == 0) {
-			this.dispatcher.entries(this.roster.count());
+			this.dispatcher.updateEntryCount(this.roster.count());
 			this.news.ifPresent((passed) -> passed.tick(this.roster.distances(this.mesh.orElseThrow().entries()), now));
 			this.reading.ifPresent((all) -> all.tick(this.roster.sharingReader(), this.beliefs.whole(), now));
 		}
@@ -329,11 +331,11 @@
 
 	private void askForEchoes(long now) {
 		Frame ask = Frame.newBuilder().setEchoRequest(EchoRequest.newBuilder().setStamp(now)).build();
-		this.dispatcher.ways()
-			.changes(now)
-			.forEach((way) -> this.log.decision("way", "address", way.address(), "closed", way.closed()));
-		this.dispatcher.ways()
-			.toAsk(now)
+		this.dispatcher.runnerPaths()
+			.pollChanges(now)
+			.forEach((way) -> this.log.decision("way", "address", way.address(), "closed", way.blocked()));
+		this.dispatcher.runnerPaths()
+			.runnersToProbe(now)
 			.forEach((address) -> this.mesh.ifPresent((links) -> links.send(address, ask)));
 	}
 
@@ -365,7 +367,7 @@
 	// What is done.
 
 	private void carryOut() {
-		for (DispatchEffect effect : this.dispatcher.drain()) {
+		for (DispatchEffect effect : this.dispatcher.drainEffects()) {
 			DirectCall call = this.calls.get(effect.job().id());
 			if (call != null) {
 				carryOut(effect, call);
@@ -376,18 +378,18 @@
 	private void carryOut(DispatchEffect effect, DirectCall call) {
 		switch (effect) {
 			case DispatchEffect.Send send -> {
-				this.log.decision("dispatched", "attempt", send.job().attempt(), "dispatch", send.job().dispatch(),
-						"route", send.job().route().name(), "runner", send.runner().id(), "address",
-						send.runner().address(), "rank", send.rank(), "version", send.weightsVersion(), "table",
-						this.beliefs.version(), "prompt", send.job().size().promptTokens(), "answer",
-						send.job().size().answerTokens(), "predictedMs", Math.round(send.job().predictedMillis()),
-						"tries", send.tries());
+				this.log.decision("dispatched", "attempt", send.job().attemptId(), "dispatch",
+						send.job().dispatchNumber(), "route", send.job().route().name(), "runner", send.runner().id(),
+						"address", send.runner().address(), "rank", send.rank(), "version", send.weightsVersion(),
+						"table", this.beliefs.version(), "prompt", send.job().size().promptTokens(), "answer",
+						send.job().size().maxAnswerTokens(), "predictedMs", Math.round(send.job().predictedMillis()),
+						"tries", send.requiresNewConnection());
 				this.metrics.dispatched();
 				this.output.send(call, send);
 			}
-			case DispatchEffect.Stop stop -> this.output.stop(call);
+			case DispatchEffect.Cancel stop -> this.output.stop(call);
 			case DispatchEffect.Refuse refuse -> {
-				this.log.failure("refused", "attempt", refuse.job().attempt(), "code", refuse.code().name(), "route",
+				this.log.failure("refused", "attempt", refuse.job().attemptId(), "code", refuse.code().name(), "route",
 						refuse.job().route().name(), "retryAfterMs", refuse.retryAfterMillis(), "ageMs",
 						TimeUnit.NANOSECONDS.toMillis(now() - refuse.job().arrivedNanos()));
 				this.metrics.answered("refused", refuse.code().name());
@@ -396,15 +398,15 @@
 				this.calls.remove(refuse.job().id());
 			}
 			case DispatchEffect.Fail fail -> {
-				this.log.failure("failed", "attempt", fail.job().attempt(), "code", fail.code().name(), "events",
+				this.log.failure("failed", "attempt", fail.job().attemptId(), "code", fail.code().name(), "events",
 						fail.job().events());
 				this.metrics.answered("failed", fail.code().name());
 				this.output.fail(call, fail.code(), fail.timeout());
 				tellRefused(fail.job());
 				this.calls.remove(fail.job().id());
 			}
-			case DispatchEffect.PassOn passOn -> {
-				this.log.failure("passed-on", "attempt", passOn.job().attempt());
+			case DispatchEffect.ForwardError passOn -> {
+				this.log.failure("passed-on", "attempt", passOn.job().attemptId());
 				this.output.passOn(call);
 				this.calls.remove(passOn.job().id());
 			}
@@ -412,7 +414,7 @@
 	}
 
 	private void tellRefused(Job job) {
-		this.reports.ifPresent((due) -> job.refused().ifPresent(due::refused));
+		this.reports.ifPresent((due) -> job.refusedRequest().ifPresent(due::refused));
 	}
 
 	private boolean ready() {
--- a/entry/src/main/java/org/wisteriapost/entry/direct/DirectView.java
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/DirectView.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.CompletableFuture;
 
 import org.wisteriapost.kernel.EventLoop;
-import org.wisteriapost.policy.fleet.CallerEntries;
+import org.wisteriapost.policy.fleet.AdvertisedEntries;
 import org.wisteriapost.policy.fleet.EntryInfo;
 import org.wisteriapost.policy.routing.CallLimits;
 import org.wisteriapost.policy.routing.RejectionPermit;
@@ -72,7 +72,10 @@
 	@Override
 	public List<String> addresses(Optional<String> place) {
 		Snapshot now = this.snapshot;
-		return CallerEntries.choose(now.entries(), place, now.byPlace()).stream().map(EntryInfo::front).toList();
+		return AdvertisedEntries.select(now.entries(), place, now.byPlace())
+			.stream()
+			.map(EntryInfo::callerAddress)
+			.toList();
 	}
 
 	@Override
--- a/entry/src/main/java/org/wisteriapost/entry/direct/EntryRoster.java
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/EntryRoster.java
@@ -18,8 +18,8 @@
 import org.wisteriapost.policy.fleet.EntryInfo;
 import org.wisteriapost.policy.fleet.EntryLinks;
 import org.wisteriapost.policy.fleet.LinkedEntry;
-import org.wisteriapost.policy.fleet.Rendezvous;
-import org.wisteriapost.policy.fleet.StoreDuty;
+import org.wisteriapost.policy.fleet.RendezvousHashing;
+import org.wisteriapost.policy.fleet.StoreRole;
 
 /**
  * Which entries there are and which of them callers are told of.
@@ -83,7 +83,7 @@
 	void put(EntryInfo info, long revision, long nowNanos) {
 		changed();
 		Registered before = this.registered.get(info.name());
-		if (before == null || before.info.started() != info.started()) {
+		if (before == null || before.info.incarnation() != info.incarnation()) {
 			this.leaving.remove(info.name());
 			this.registered.put(info.name(), new Registered(info, revision, nowNanos));
 			return;
@@ -140,7 +140,7 @@
 	 */
 	boolean selfRegistered() {
 		Registered own = this.registered.get(this.self.name());
-		return own != null && own.info.started() == this.self.started();
+		return own != null && own.info.incarnation() == this.self.incarnation();
 	}
 
 	/**
@@ -151,7 +151,7 @@
 	}
 
 	private List<EntryInfo> chooseToLink() {
-		return EntryLinks.choose(this.self, others());
+		return EntryLinks.select(this.self, others());
 	}
 
 	/**
@@ -173,7 +173,7 @@
 	}
 
 	private List<EntryInfo> findNear() {
-		return living().stream().filter((info) -> info.place().equals(this.self.place())).toList();
+		return living().stream().filter((info) -> info.failureDomain().equals(this.self.failureDomain())).toList();
 	}
 
 	/**
@@ -191,7 +191,7 @@
 	private List<EntryInfo> findNamed() {
 		return living().stream()
 			.filter((info) -> !this.leaving.contains(info.name()))
-			.sorted(Comparator.comparing(EntryInfo::front))
+			.sorted(Comparator.comparing(EntryInfo::callerAddress))
 			.toList();
 	}
 
@@ -199,7 +199,7 @@
 	 * Returns the place of another registered entry.
 	 */
 	Optional<String> placeOf(String name) {
-		return Optional.ofNullable(this.registered.get(name)).map((entry) -> entry.info.place());
+		return Optional.ofNullable(this.registered.get(name)).map((entry) -> entry.info.failureDomain());
 	}
 
 	/**
@@ -226,7 +226,7 @@
 	 */
 	boolean byPlace() {
 		int own = this.registered.containsKey(this.self.name()) ? 1 : 0;
-		return EntryLinks.byPlace(this.registered.size() - own + 1);
+		return EntryLinks.scopedByFailureDomain(this.registered.size() - own + 1);
 	}
 
 	/**
@@ -252,7 +252,7 @@
 	}
 
 	private Set<String> findSharingReader() {
-		if (others().size() < StoreDuty.MOST_READING_ALL) {
+		if (others().size() < StoreRole.MAX_ENTRIES_WITHOUT_LEADER) {
 			return Set.of();
 		}
 		return told().stream()
@@ -274,7 +274,7 @@
 			.map(EntryInfo::name)
 			.filter((name) -> !this.leaving.contains(name))
 			.toList();
-		return Rendezvous.among(this.self.name(), near, this.self.place(), 1);
+		return RendezvousHashing.isAmongFirst(this.self.name(), near, this.self.failureDomain(), 1);
 	}
 
 	/**
--- a/entry/src/main/java/org/wisteriapost/entry/direct/Intake.java
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/Intake.java
@@ -87,7 +87,7 @@
 			return reject(arrival, NOT_FOUND, ROUTE_UNKNOWN, now);
 		}
 		Optional<Organisation> organisation = arrival.token().flatMap(known::organisation);
-		if (organisation.isEmpty() && known.asksForTokens() && !route.get().anonymous()) {
+		if (organisation.isEmpty() && known.requiresTokens() && !route.get().anonymous()) {
 			return reject(arrival, UNAUTHORIZED, KEY_UNKNOWN, now);
 		}
 		return Optional.of(job(arrival, route.get(), organisation));
@@ -101,8 +101,8 @@
 				arrival.fields().likelyAnswerTokens());
 		Job.Attempt attempt = new Job.Attempt(arrival.fields().attempt().orElseThrow(),
 				RequestNames.of(route, organisation, arrival.fields()), arrival.fields().lastEvent());
-		return Job.arrived(arrival.id(), attempt, route, route.service(this.random.nextDouble()), organisation, size,
-				arrival.nanos(), arrival.nanos() + Math.min(timeout, given));
+		return Job.create(arrival.id(), attempt, route, route.selectService(this.random.nextDouble()), organisation,
+				size, arrival.nanos(), arrival.nanos() + Math.min(timeout, given));
 	}
 
 	private Optional<Job> refuse(Arrival arrival, Code code, long retryAfterMillis, long now) {
--- a/entry/src/main/java/org/wisteriapost/entry/direct/LoadFrames.java
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/LoadFrames.java
@@ -2,10 +2,10 @@
 
 import java.util.concurrent.TimeUnit;
 
-import org.wisteriapost.policy.dispatch.PeerLoad;
+import org.wisteriapost.policy.dispatch.InFlightLoad;
 import org.wisteriapost.policy.dispatch.RefusedRequest;
 import org.wisteriapost.policy.dispatch.RunnerLoad;
-import org.wisteriapost.policy.fleet.RunnerStart;
+import org.wisteriapost.policy.fleet.RunnerIncarnation;
 import org.wisteriapost.protocol.site.EngineFrames;
 
 /**
@@ -21,23 +21,23 @@
 
 	static org.wisteriapost.protocol.wire.RunnerLoad of(RunnerLoad one) {
 		return org.wisteriapost.protocol.wire.RunnerLoad.newBuilder()
-			.setRunner(one.runner())
-			.setStartedMillis(startedMillis(one.start()))
-			.setActive(one.load().active())
-			.setWaiting(Math.max(0, one.load().waiting()))
-			.setWaitingPrompt((int) Math.max(0, one.load().waitingPrompt()))
+			.setRunner(one.runnerId())
+			.setStartedMillis(startedMillis(one.incarnation()))
+			.setActive(one.load().requests())
+			.setWaiting(Math.max(0, one.load().awaitingFirstEvent()))
+			.setWaitingPrompt((int) Math.max(0, one.load().awaitingPromptTokens()))
 			.build();
 	}
 
 	static RunnerLoad read(org.wisteriapost.protocol.wire.RunnerLoad said) {
-		PeerLoad load = new PeerLoad(said.getActive(), said.getWaiting(), said.getWaitingPrompt());
+		InFlightLoad load = new InFlightLoad(said.getActive(), said.getWaiting(), said.getWaitingPrompt());
 		return new RunnerLoad(said.getRunner(), EngineFrames.start(said.getStartedMillis()), load);
 	}
 
 	static org.wisteriapost.protocol.wire.RefusedRequest of(RefusedRequest one, long nowNanos) {
 		return org.wisteriapost.protocol.wire.RefusedRequest.newBuilder()
-			.setRequest(one.request())
-			.setAskedMillis(millis(nowNanos - one.askedNanos()))
+			.setRequest(one.requestKey())
+			.setAskedMillis(millis(nowNanos - one.firstAttemptNanos()))
 			.setLeftMillis(millis(one.deadlineNanos() - nowNanos))
 			.build();
 	}
@@ -51,7 +51,7 @@
 		return (int) Math.clamp(TimeUnit.NANOSECONDS.toMillis(nanos), 0, Integer.MAX_VALUE);
 	}
 
-	private static long startedMillis(RunnerStart start) {
+	private static long startedMillis(RunnerIncarnation start) {
 		return start.startedMillis().orElse(UNKNOWN);
 	}
 
--- a/entry/src/main/java/org/wisteriapost/entry/direct/LoadReports.java
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/LoadReports.java
@@ -9,11 +9,11 @@
 import java.util.function.BiConsumer;
 import java.util.function.Supplier;
 
-import org.wisteriapost.policy.dispatch.PeerLoad;
+import org.wisteriapost.policy.dispatch.InFlightLoad;
 import org.wisteriapost.policy.dispatch.RefusedRequest;
 import org.wisteriapost.policy.dispatch.RunnerLoad;
 import org.wisteriapost.policy.fleet.EntryInfo;
-import org.wisteriapost.policy.fleet.RunnerStart;
+import org.wisteriapost.policy.fleet.RunnerIncarnation;
 import org.wisteriapost.protocol.wire.Frame;
 import org.wisteriapost.protocol.wire.LoadReport;
 
@@ -100,7 +100,7 @@
 	}
 
 	private boolean isNear(EntryInfo info) {
-		return info.place().equals(this.place);
+		return info.failureDomain().equals(this.place);
 	}
 
 	/**
@@ -109,7 +109,7 @@
 	 * @param runner its id
 	 * @param start which start of it
 	 */
-	private record Told(String runner, RunnerStart start) {
+	private record Told(String runner, RunnerIncarnation start) {
 	}
 
 	/** Entries that are told equally often. */
@@ -117,7 +117,7 @@
 
 		private final int leastTicks;
 
-		private final Map<Told, PeerLoad> said = new HashMap<>();
+		private final Map<Told, InFlightLoad> said = new HashMap<>();
 
 		private final List<RefusedRequest> refused = new ArrayList<>();
 
@@ -162,10 +162,10 @@
 			LoadReport.Builder report = LoadReport.newBuilder();
 			Set<Told> there = new HashSet<>();
 			for (RunnerLoad one : loads) {
-				Told told = new Told(one.runner(), one.start());
+				Told told = new Told(one.runnerId(), one.incarnation());
 				there.add(told);
-				boolean changed = !one.load().equals(this.said.getOrDefault(told, PeerLoad.NONE));
-				if (changed || (full && one.load().active() > 0)) {
+				boolean changed = !one.load().equals(this.said.getOrDefault(told, InFlightLoad.NONE));
+				if (changed || (full && one.load().requests() > 0)) {
 					this.said.put(told, one.load());
 					report.addLoads(LoadFrames.of(one));
 				}
--- a/entry/src/main/java/org/wisteriapost/entry/direct/NewsTeller.java
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/NewsTeller.java
@@ -11,7 +11,7 @@
 import java.util.function.BiConsumer;
 import java.util.function.LongSupplier;
 
-import org.wisteriapost.policy.routing.KnownMoment;
+import org.wisteriapost.policy.routing.LastConfirmedTime;
 import org.wisteriapost.protocol.wire.Frame;
 import org.wisteriapost.protocol.wire.News;
 import org.wisteriapost.protocol.wire.NewsRequest;
@@ -35,7 +35,7 @@
 	// the number of the next frame shows it.
 	private final Map<String, Told> told = new HashMap<>();
 
-	private final KnownMoment confirmed = new KnownMoment();
+	private final LastConfirmedTime confirmed = new LastConfirmedTime();
 
 	/**
 	 * Returns the teller of one entry.
@@ -58,7 +58,7 @@
 	 * are confirmed again.
 	 */
 	void suspended(long nowNanos) {
-		this.confirmed.doubt(nowNanos);
+		this.confirmed.discardBefore(nowNanos);
 	}
 
 	/**
--- a/entry/src/main/java/org/wisteriapost/entry/direct/PlaceNews.java
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/PlaceNews.java
@@ -8,11 +8,11 @@
 import java.util.function.BiConsumer;
 
 import org.wisteriapost.policy.dispatch.Dispatcher;
-import org.wisteriapost.policy.dispatch.EngineWord;
-import org.wisteriapost.policy.dispatch.PeerLoad;
+import org.wisteriapost.policy.dispatch.EngineStatus;
+import org.wisteriapost.policy.dispatch.InFlightLoad;
 import org.wisteriapost.policy.dispatch.RunnerLoad;
 import org.wisteriapost.policy.fleet.EntryInfo;
-import org.wisteriapost.policy.fleet.RunnerStart;
+import org.wisteriapost.policy.fleet.RunnerIncarnation;
 import org.wisteriapost.protocol.site.EngineFrames;
 import org.wisteriapost.protocol.wire.EngineState;
 import org.wisteriapost.protocol.wire.Frame;
@@ -44,9 +44,9 @@
 
 	private final BiConsumer<String, Frame> sender;
 
-	private final Map<Told, PeerLoad> loads = new HashMap<>();
+	private final Map<Told, InFlightLoad> loads = new HashMap<>();
 
-	private final Map<String, EngineWord> words = new HashMap<>();
+	private final Map<String, EngineStatus> words = new HashMap<>();
 
 	private final Map<String, EngineState> heard = new HashMap<>();
 
@@ -98,7 +98,8 @@
 			this.roster.near().forEach((info) -> this.sender.accept(info.name(), frame));
 		}
 		state.getLoadsList()
-			.forEach((load) -> this.dispatcher.placeLoad(state.getPlace(), LoadFrames.read(load), nowNanos));
+			.forEach((load) -> this.dispatcher.updateFailureDomainLoad(state.getPlace(), LoadFrames.read(load),
+					nowNanos));
 		return state.getEnginesList()
 			.stream()
 			.filter((one) -> !one.equals(this.heard.put(one.getAddress(), one)))
@@ -107,14 +108,14 @@
 
 	private PlaceState changes(boolean full, long nowNanos) {
 		PlaceState.Builder state = PlaceState.newBuilder().setPlace(this.place);
-		for (RunnerLoad one : this.dispatcher.fleet().nearLoad(nowNanos)) {
-			PeerLoad before = this.loads.put(new Told(one.runner(), one.start()), one.load());
-			boolean changed = !one.load().equals((before != null) ? before : PeerLoad.NONE);
-			if (changed || (full && one.load().active() > 0)) {
+		for (RunnerLoad one : this.dispatcher.fleetView().failureDomainLoad(nowNanos)) {
+			InFlightLoad before = this.loads.put(new Told(one.runnerId(), one.incarnation()), one.load());
+			boolean changed = !one.load().equals((before != null) ? before : InFlightLoad.NONE);
+			if (changed || (full && one.load().requests() > 0)) {
 				state.addLoads(LoadFrames.of(one));
 			}
 		}
-		this.dispatcher.fleet().nearWords().forEach((address, word) -> {
+		this.dispatcher.fleetView().engineStatuses().forEach((address, word) -> {
 			if (!word.equals(this.words.put(address, word)) || full) {
 				state.addEngines(EngineFrames.of(address, word, nowNanos));
 			}
@@ -126,8 +127,8 @@
 	private Map<String, EntryInfo> elsewhere() {
 		Map<String, EntryInfo> chosen = new LinkedHashMap<>();
 		for (EntryInfo info : this.roster.living()) {
-			if (!info.place().equals(this.place)) {
-				chosen.putIfAbsent(info.place(), info);
+			if (!info.failureDomain().equals(this.place)) {
+				chosen.putIfAbsent(info.failureDomain(), info);
 			}
 		}
 		return chosen;
@@ -139,7 +140,7 @@
 	 * @param runner its id
 	 * @param start which start of it
 	 */
-	private record Told(String runner, RunnerStart start) {
+	private record Told(String runner, RunnerIncarnation start) {
 	}
 
 }
--- a/entry/src/main/java/org/wisteriapost/entry/direct/Relay.java
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/Relay.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-import org.wisteriapost.policy.dispatch.Outcome;
+import org.wisteriapost.policy.dispatch.DispatchOutcome;
 import org.wisteriapost.protocol.http.HttpExchange;
 import org.wisteriapost.protocol.http.HttpListener;
 import org.wisteriapost.protocol.site.CallDialect;
@@ -91,25 +91,26 @@
 		}
 		RunnerReply reply = this.dialect.reply(code, first);
 		// An extra answer of an earlier request can stand where this one's is expected.
-		if (reply.attempt().isEmpty() || !reply.attempt().get().equals(this.call.job().attempt())) {
-			end(Outcome.BROKEN, "answer of another attempt: " + reply.attempt().orElse("none") + " status " + code);
+		if (reply.attempt().isEmpty() || !reply.attempt().get().equals(this.call.job().attemptId())) {
+			end(DispatchOutcome.BROKEN,
+					"answer of another attempt: " + reply.attempt().orElse("none") + " status " + code);
 			cancel();
 			return;
 		}
 		this.status = code;
 		if (reply.otherInstance() || reply.notRun()) {
-			end(reply.otherInstance() ? Outcome.MISDIRECTED : Outcome.FULL, "status " + code);
+			end(reply.otherInstance() ? DispatchOutcome.MISDIRECTED : DispatchOutcome.FULL, "status " + code);
 			return;
 		}
 		this.headers = handedOn(all);
 		String type = first.getOrDefault("content-type", "");
 		this.streaming = code == SUCCESS && type.startsWith("text/event-stream");
 		if (!this.call.begun()) {
-			this.call.job().begunOn(reply.weightsVersion());
+			this.call.job().recordWeightsVersion(reply.weightsVersion());
 		}
 		else if (!this.streaming) {
 			// A stream that has begun cannot end with an answer of another shape.
-			end(Outcome.BROKEN, "no stream on resuming: status " + code);
+			end(DispatchOutcome.BROKEN, "no stream on resuming: status " + code);
 			cancel();
 		}
 	}
@@ -141,24 +142,24 @@
 		DirectCall.Held whole = new DirectCall.Held(this.status, this.headers, this.body.toByteArray());
 		if (this.status >= SERVER_ERROR) {
 			this.call.hold(whole);
-			end(Outcome.ERROR, "status " + this.status);
+			end(DispatchOutcome.ERROR, "status " + this.status);
 			return;
 		}
 		this.call.completed();
 		this.call.answer().whole(whole.status(), whole.headers(), "", whole.body());
-		end(Outcome.DONE, "status " + this.status);
+		end(DispatchOutcome.DONE, "status " + this.status);
 	}
 
 	@Override
 	public void onFailure(boolean sent, Throwable cause) {
 		if (!this.over) {
-			end(sent ? Outcome.BROKEN : Outcome.NOT_SENT, String.valueOf(cause.getMessage()));
+			end(sent ? DispatchOutcome.BROKEN : DispatchOutcome.NOT_SENT, String.valueOf(cause.getMessage()));
 		}
 	}
 
 	private void hold(byte[] data) {
 		if (this.body.size() + data.length > MAX_HELD_BYTES) {
-			end(Outcome.BROKEN, "answer over " + MAX_HELD_BYTES + " bytes");
+			end(DispatchOutcome.BROKEN, "answer over " + MAX_HELD_BYTES + " bytes");
 			cancel();
 			return;
 		}
@@ -167,9 +168,9 @@
 
 	private void pass(byte[] whole) {
 		begin();
-		this.call.job().progressed(this.splitter.events(), this.splitter.lastId(), System.nanoTime());
+		this.call.job().recordEvents(this.splitter.events(), this.splitter.lastId(), System.nanoTime());
 		if (!this.call.answer().data(whole)) {
-			end(Outcome.BROKEN, "the caller does not read");
+			end(DispatchOutcome.BROKEN, "the caller does not read");
 			cancel();
 			return;
 		}
@@ -182,13 +183,13 @@
 	private void endStream() {
 		byte[] rest = this.splitter.rest();
 		if (rest.length > 0) {
-			end(Outcome.BROKEN, "the stream ended within an event");
+			end(DispatchOutcome.BROKEN, "the stream ended within an event");
 			return;
 		}
 		begin();
 		this.call.completed();
 		this.call.answer().end();
-		end(Outcome.DONE, "status " + this.status);
+		end(DispatchOutcome.DONE, "status " + this.status);
 	}
 
 	private void begin() {
@@ -198,7 +199,7 @@
 		}
 	}
 
-	private void end(Outcome outcome, String detail) {
+	private void end(DispatchOutcome outcome, String detail) {
 		this.over = true;
 		this.events.accept(new DirectEvent.Ended(this.call, this.dispatch, outcome, detail));
 	}
--- a/entry/src/main/java/org/wisteriapost/entry/direct/SiteBeliefs.java
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/SiteBeliefs.java
@@ -11,8 +11,8 @@
 
 import org.wisteriapost.kernel.log.DecisionLog;
 import org.wisteriapost.policy.dispatch.Dispatcher;
-import org.wisteriapost.policy.fleet.NamedWeights;
 import org.wisteriapost.policy.fleet.RunnerInfo;
+import org.wisteriapost.policy.fleet.TargetWeights;
 import org.wisteriapost.policy.routing.RejectionGuard;
 import org.wisteriapost.policy.routing.RejectionPermit;
 import org.wisteriapost.policy.routing.RouteTable;
@@ -86,7 +86,7 @@
 	 * was.
 	 */
 	OptionalLong tableAgeMillis(long now) {
-		OptionalLong age = this.guard.ageNanos(now);
+		OptionalLong age = this.guard.stalenessNanos(now);
 		return age.isPresent() ? OptionalLong.of(TimeUnit.NANOSECONDS.toMillis(age.getAsLong())) : age;
 	}
 
@@ -101,7 +101,7 @@
 	 * Hears that this VM was suspended: what is known is older than it seems.
 	 */
 	void suspended(long now) {
-		this.guard.doubt(now);
+		this.guard.discardBefore(now);
 	}
 
 	/**
@@ -148,7 +148,7 @@
 			.filter(Declared.Runner.class::isInstance)
 			.map((value) -> ((Declared.Runner) value).info())
 			.toList();
-		this.dispatcher.runners(infos, now);
+		this.dispatcher.replaceRunners(infos, now);
 		this.log.decision("runners-read", "count", infos.size());
 	}
 
@@ -170,7 +170,7 @@
 			// Written over by somebody else: it names no runner until the runner writes
 			// anew.
 			this.log.decision("runner-unreadable", "runner", change.item().name());
-			this.dispatcher.runnerUnusable(change.item().name());
+			this.dispatcher.removeUnusableRunner(change.item().name());
 			this.announcer.changed();
 		}
 	}
@@ -179,7 +179,7 @@
 		switch (kind) {
 			case RUNNERS -> {
 				this.log.decision("runner-removed", "runner", name);
-				this.dispatcher.runnerRemoved(name, now);
+				this.dispatcher.registrationRemoved(name, now);
 				this.announcer.changed();
 			}
 			case ENTRIES -> {
@@ -204,9 +204,9 @@
 	}
 
 	private void runner(RunnerInfo info, long now) {
-		if (this.dispatcher.runner(info, now)) {
+		if (this.dispatcher.updateRunner(info, now)) {
 			this.log.decision("runner-changed", "runner", info.id(), "address", info.address(), "service",
-					info.service(), "draining", info.draining(), "models", info.models());
+					info.service(), "draining", info.draining(), "models", info.weightsVersions());
 			this.announcer.changed();
 		}
 	}
@@ -218,12 +218,12 @@
 		}
 		this.table = Optional.of(newer);
 		this.log.decision("table-in-force", "version", newer.version());
-		this.dispatcher.table(newer);
+		this.dispatcher.updateRouteTable(newer);
 		this.announcer.tellAgents(this.table);
 	}
 
-	private void weights(NamedWeights weights, boolean found, long now) {
-		this.dispatcher.named(weights, found, now);
+	private void weights(TargetWeights weights, boolean found, long now) {
+		this.dispatcher.targetWeightsPublished(weights, found, now);
 		if (this.announcer.named(weights)) {
 			this.log.decision("weights-named", "model", weights.model(), "version", weights.version());
 			this.announcer.tellAgents(this.table);
--- a/entry/src/main/java/org/wisteriapost/entry/direct/SiteNews.java
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/SiteNews.java
@@ -17,9 +17,9 @@
 
 import org.wisteriapost.kernel.log.DecisionLog;
 import org.wisteriapost.policy.fleet.LinkedEntry;
-import org.wisteriapost.policy.fleet.StoreDuty;
-import org.wisteriapost.policy.fleet.UpstreamChoice;
-import org.wisteriapost.policy.routing.KnownMoment;
+import org.wisteriapost.policy.fleet.StoreRole;
+import org.wisteriapost.policy.fleet.UpstreamSelector;
+import org.wisteriapost.policy.routing.LastConfirmedTime;
 import org.wisteriapost.protocol.site.Kind;
 import org.wisteriapost.protocol.site.ObjectStore;
 import org.wisteriapost.protocol.wire.Frame;
@@ -55,11 +55,11 @@
 
 	private final DecisionLog log;
 
-	private final UpstreamChoice upstream;
+	private final UpstreamSelector upstream;
 
-	private final StoreDuty duty;
+	private final StoreRole duty;
 
-	private final KnownMoment asOf = new KnownMoment();
+	private final LastConfirmedTime asOf = new LastConfirmedTime();
 
 	// Who passes on what is not wanted here, since the word that ended it was lost with a
 	// link. Left alone it would do so for ever and never rest. Told once a tick, it ends
@@ -80,7 +80,7 @@
 	 * @param upstream says whom to ask while the store does not answer
 	 * @param sender sends a frame to an entry by name
 	 */
-	SiteNews(ObjectStore store, StoreDuty duty, UpstreamChoice upstream, BiConsumer<String, Frame> sender,
+	SiteNews(ObjectStore store, StoreRole duty, UpstreamSelector upstream, BiConsumer<String, Frame> sender,
 			LongSupplier clock, DecisionLog log) {
 		this.known = new KnownObjects(store);
 		this.hearer = new NewsHearer(this.known, clock, log);
@@ -162,7 +162,7 @@
 	 */
 	void suspended(long nowNanos) {
 		this.teller.suspended(nowNanos);
-		this.asOf.doubt(nowNanos);
+		this.asOf.discardBefore(nowNanos);
 	}
 
 	/**
@@ -173,7 +173,7 @@
 	 */
 	void stopReading() {
 		this.answered = false;
-		this.upstream.store(true).ifPresent(this::unwanted);
+		this.upstream.storeReachabilityChanged(true).ifPresent(this::unwanted);
 		dismiss();
 	}
 
@@ -190,11 +190,11 @@
 	 * that it reads, until it reads again.
 	 */
 	void reachable(boolean reachable) {
-		if (this.duty.rests()) {
+		if (this.duty.isFollower()) {
 			return;
 		}
 		this.answered = reachable;
-		this.upstream.store(reachable).ifPresent(this::unwanted);
+		this.upstream.storeReachabilityChanged(reachable).ifPresent(this::unwanted);
 		if (!reachable) {
 			dismiss();
 		}
@@ -231,9 +231,9 @@
 		}
 		List.copyOf(this.unasked).forEach(this::unwanted);
 		this.unasked.clear();
-		carryOut(this.upstream.ask(linked, nowNanos));
+		carryOut(this.upstream.tick(linked, nowNanos));
 		// After the choice above, so that only who is believed now is asked again.
-		this.hearer.keep((peer) -> this.duty.believes(peer) || this.upstream.believes(peer));
+		this.hearer.keep((peer) -> this.duty.acceptsUpdatesFrom(peer) || this.upstream.acceptsUpdatesFrom(peer));
 		this.hearer.heard().forEach(this::askAgain);
 		if (this.ticks % TICKS_PER_SIGN == 0) {
 			this.hearer.heard()
@@ -268,20 +268,20 @@
 	 * is wanted again.
 	 */
 	void unwanted(String peer) {
-		if (!this.duty.believes(peer) && !this.upstream.believes(peer)) {
+		if (!this.duty.acceptsUpdatesFrom(peer) && !this.upstream.acceptsUpdatesFrom(peer)) {
 			this.hearer.forget(peer);
 			this.sender.accept(peer, enough());
 		}
 	}
 
-	private void carryOut(List<UpstreamChoice.Step> steps) {
-		for (UpstreamChoice.Step step : steps) {
+	private void carryOut(List<UpstreamSelector.Step> steps) {
+		for (UpstreamSelector.Step step : steps) {
 			switch (step) {
-				case UpstreamChoice.Step.Ask ask -> {
+				case UpstreamSelector.Step.Ask ask -> {
 					this.log.decision("store-through-entry", "entry", ask.entry());
 					this.sender.accept(ask.entry(), ask(ask.entry()));
 				}
-				case UpstreamChoice.Step.Dismiss dismiss -> unwanted(dismiss.entry());
+				case UpstreamSelector.Step.Dismiss dismiss -> unwanted(dismiss.entry());
 			}
 		}
 	}
@@ -314,7 +314,7 @@
 	// Who alone has lost the entry that reads for both would wait for this one to read.
 	private News notCurrent() {
 		News.Builder news = News.newBuilder().setCurrent(false);
-		this.duty.heardAgoMillis(this.clock.getAsLong()).ifPresent(news::setHeardAgoMillis);
+		this.duty.millisSinceLeaderHeard(this.clock.getAsLong()).ifPresent(news::setHeardAgoMillis);
 		return news.build();
 	}
 
@@ -338,8 +338,8 @@
 	}
 
 	private List<DirectEvent> taken(String peer, Kind kind, News news) {
-		if (this.upstream.believes(peer)) {
-			this.upstream.heard(true, this.tickNanos);
+		if (this.upstream.acceptsUpdatesFrom(peer)) {
+			this.upstream.answerReceived(true, this.tickNanos);
 		}
 		if (!this.known.holds(kind, news.getObjectsList())) {
 			this.hearer.lacking(peer, kind, news);
@@ -371,21 +371,21 @@
 	}
 
 	private boolean believed(String peer, News news) {
-		if (this.duty.believes(peer)) {
+		if (this.duty.acceptsUpdatesFrom(peer)) {
 			return news.getCurrent();
 		}
-		if (!this.upstream.believes(peer)) {
+		if (!this.upstream.acceptsUpdatesFrom(peer)) {
 			if (news.getCurrent()) {
 				this.unasked.add(peer);
 			}
 			return false;
 		}
 		if (!news.getCurrent()) {
-			this.upstream.heard(false, this.tickNanos);
-			carryOut(this.upstream.ask(this.linked, this.tickNanos));
+			this.upstream.answerReceived(false, this.tickNanos);
+			carryOut(this.upstream.tick(this.linked, this.tickNanos));
 			return false;
 		}
-		this.upstream.sign(this.tickNanos);
+		this.upstream.heartbeatReceived(this.tickNanos);
 		return true;
 	}
 
--- a/entry/src/main/java/org/wisteriapost/entry/direct/StoreReading.java
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/StoreReading.java
@@ -6,17 +6,17 @@
 import java.util.function.BiConsumer;
 
 import org.wisteriapost.kernel.log.DecisionLog;
-import org.wisteriapost.policy.fleet.StoreDuty;
+import org.wisteriapost.policy.fleet.StoreRole;
 import org.wisteriapost.protocol.site.Kind;
 import org.wisteriapost.protocol.wire.Frame;
 import org.wisteriapost.protocol.wire.News;
 
 /**
- * Carries out what {@link StoreDuty} decides. Used by the state thread alone.
+ * Carries out what {@link StoreRole} decides. Used by the state thread alone.
  */
 final class StoreReading {
 
-	private final StoreDuty duty;
+	private final StoreRole duty;
 
 	private final SiteNews news;
 
@@ -32,7 +32,7 @@
 	 * Returns the reading of one entry.
 	 * @param sender sends a frame to an entry by name
 	 */
-	StoreReading(StoreDuty duty, SiteNews news, Following following, BiConsumer<String, Frame> sender,
+	StoreReading(StoreRole duty, SiteNews news, Following following, BiConsumer<String, Frame> sender,
 			DecisionLog log) {
 		this.duty = duty;
 		this.news = news;
@@ -45,7 +45,7 @@
 	 * Returns whether this entry hears the store from a neighbour.
 	 */
 	boolean rests() {
-		return this.duty.rests();
+		return this.duty.isFollower();
 	}
 
 	/**
@@ -74,8 +74,8 @@
 	 */
 	List<DirectEvent> heard(String peer, News said, long nowNanos) {
 		List<DirectEvent> fresh = this.news.heard(peer, said);
-		this.news.asOfNanos(peer).ifPresent((asOf) -> this.duty.knownAsOf(peer, asOf));
-		if (this.duty.believes(peer)) {
+		this.news.asOfNanos(peer).ifPresent((asOf) -> this.duty.routesConfirmed(peer, asOf));
+		if (this.duty.acceptsUpdatesFrom(peer)) {
 			reader(peer, said, nowNanos);
 		}
 		return fresh;
@@ -89,24 +89,24 @@
 		boolean whole = this.news.whole(peer);
 		if (!current && said.hasHeardAgoMillis()) {
 			long agoNanos = TimeUnit.MILLISECONDS.toNanos(said.getHeardAgoMillis());
-			carryOut(this.duty.heardResting(peer, agoNanos, nowNanos));
+			carryOut(this.duty.followerStatusReceived(peer, agoNanos, nowNanos));
 		}
-		else if (whole || !current || !this.duty.settled()) {
-			carryOut(this.duty.heard(peer, current, whole, nowNanos));
+		else if (whole || !current || !this.duty.hasLeader()) {
+			carryOut(this.duty.statusReceived(peer, current, whole, nowNanos));
 		}
 	}
 
-	private void carryOut(List<StoreDuty.Step> steps) {
-		for (StoreDuty.Step step : steps) {
+	private void carryOut(List<StoreRole.Step> steps) {
+		for (StoreRole.Step step : steps) {
 			this.log.decision("store-duty", "step", step);
 			switch (step) {
-				case StoreDuty.Step.Ask ask -> this.sender.accept(ask.entry(), this.news.ask(ask.entry()));
-				case StoreDuty.Step.Dismiss dismiss -> this.news.unwanted(dismiss.entry());
-				case StoreDuty.Step.Rest rest -> {
+				case StoreRole.Step.Ask ask -> this.sender.accept(ask.entry(), this.news.ask(ask.entry()));
+				case StoreRole.Step.Dismiss dismiss -> this.news.unwanted(dismiss.entry());
+				case StoreRole.Step.Rest rest -> {
 					this.news.stopReading();
 					this.following.pause();
 				}
-				case StoreDuty.Step.Read read -> this.following.resume(this.news::readTo);
+				case StoreRole.Step.Read read -> this.following.resume(this.news::readTo);
 			}
 		}
 	}
--- a/entry/src/main/java/org/wisteriapost/entry/process/BurnRecorder.java
+++ b/entry/src/main/java/org/wisteriapost/entry/process/BurnRecorder.java
@@ -6,12 +6,12 @@
 import java.util.concurrent.TimeUnit;
 
 import org.wisteriapost.entry.caller.Outcome;
-import org.wisteriapost.policy.burn.BurnJudge;
-import org.wisteriapost.policy.burn.BurnLedger;
 import org.wisteriapost.policy.burn.BurnSnapshot;
+import org.wisteriapost.policy.burn.LatencyClassifier;
 import org.wisteriapost.policy.burn.Objective;
-import org.wisteriapost.policy.burn.Result;
-import org.wisteriapost.policy.burn.Series;
+import org.wisteriapost.policy.burn.RequestCounter;
+import org.wisteriapost.policy.burn.RequestResult;
+import org.wisteriapost.policy.burn.RequestSeries;
 import org.wisteriapost.policy.request.Request;
 
 /**
@@ -20,13 +20,13 @@
  */
 final class BurnRecorder {
 
-	private final BurnLedger ledger = BurnLedger.create();
+	private final RequestCounter ledger = RequestCounter.create();
 
 	private final Map<Long, Long> firstByteMillis = new HashMap<>();
 
-	private final BurnJudge judge;
+	private final LatencyClassifier judge;
 
-	private BurnRecorder(BurnJudge judge) {
+	private BurnRecorder(LatencyClassifier judge) {
 		this.judge = judge;
 	}
 
@@ -34,7 +34,7 @@
 	 * Returns a recorder that tells late answers by these objectives.
 	 */
 	static BurnRecorder of(List<Objective> objectives) {
-		return new BurnRecorder(BurnJudge.of(objectives));
+		return new BurnRecorder(LatencyClassifier.of(objectives));
 	}
 
 	synchronized void started(Request request, long tookNanos) {
@@ -50,23 +50,23 @@
 		if (code.equals(Calls.CALLER_GONE.name())) {
 			return;
 		}
-		this.ledger.count(new Series(request.service(), request.organisation()), result(request, outcome, firstByte),
-				nowMillis);
+		this.ledger.count(new RequestSeries(request.service(), request.organisation()),
+				result(request, outcome, firstByte), nowMillis);
 	}
 
 	synchronized BurnSnapshot snapshot(String vm, long nowMillis) {
 		return this.ledger.snapshot(vm, nowMillis);
 	}
 
-	private Result result(Request request, Outcome outcome, Long firstByte) {
+	private RequestResult result(Request request, Outcome outcome, Long firstByte) {
 		return switch (outcome) {
 			case RAN ->
-				this.judge.answered(request.service(), request.organisation(), (firstByte != null) ? firstByte : 0);
-			case NOT_RUN -> Result.REFUSED;
+				this.judge.classify(request.service(), request.organisation(), (firstByte != null) ? firstByte : 0);
+			case NOT_RUN -> RequestResult.REFUSED;
 			// An answer whose first byte went out and that was then given up was cut
 			// before
 			// the caller's eyes.
-			case UNKNOWN -> (firstByte != null) ? Result.FAILED : Result.UNKNOWN;
+			case UNKNOWN -> (firstByte != null) ? RequestResult.FAILED : RequestResult.UNKNOWN;
 		};
 	}
 
--- a/entry/src/main/java/org/wisteriapost/entry/process/Calls.java
+++ b/entry/src/main/java/org/wisteriapost/entry/process/Calls.java
@@ -16,7 +16,7 @@
 import org.wisteriapost.kernel.Invariants;
 import org.wisteriapost.policy.request.RequestEffect;
 import org.wisteriapost.policy.request.RequestEvent;
-import org.wisteriapost.policy.request.RequestMachine;
+import org.wisteriapost.policy.request.RequestStateMachine;
 import org.wisteriapost.protocol.wire.CallCancel;
 import org.wisteriapost.protocol.wire.CallData;
 import org.wisteriapost.protocol.wire.CallEnd;
@@ -46,7 +46,7 @@
 
 	private static final int GATEWAY_TIMEOUT = 504;
 
-	private final RequestMachine machine;
+	private final RequestStateMachine machine;
 
 	private final ClaimDesk claims;
 
@@ -105,7 +105,7 @@
 		if (sent && flight.call().key().isPresent()) {
 			return;
 		}
-		decide(new RequestEvent.CallerGone(id));
+		decide(new RequestEvent.CallerDisconnected(id));
 		finish(flight, sent ? Outcome.UNKNOWN : Outcome.NOT_RUN, CALLER_GONE.name());
 		this.claims.notRun(flight.call());
 	}
@@ -119,7 +119,7 @@
 	 */
 	void linkDown(PeerLink agent) {
 		if (this.agents.remove(agent.vm(), agent)) {
-			decide(new RequestEvent.RunnerLost(agent.vm()));
+			decide(new RequestEvent.RunnerDisconnected(agent.vm()));
 		}
 		List<Flight> lost = this.attempts.values()
 			.stream()
@@ -227,7 +227,7 @@
 			case RequestEffect.Claim claim -> this.claims.claim(flight.call());
 			case RequestEffect.Dispatch dispatch -> dispatch(flight, dispatch);
 			case RequestEffect.Refuse refuse -> refuse(flight, refuse);
-			case RequestEffect.GiveUp giveUp -> giveUp(flight, giveUp);
+			case RequestEffect.AnswerUnknown giveUp -> giveUp(flight, giveUp);
 			case RequestEffect.Cancel cancel -> flight.attempt().ifPresent((attempt) -> {
 				cancel(attempt);
 				forget(flight);
@@ -241,7 +241,7 @@
 		// This process may have been paused since the decision; a call sent after its
 		// deadline works for no one.
 		if (flight.call().request().deadlineNanos() - now <= 0) {
-			decide(new RequestEvent.Failed(flight.id(), dispatch.runner(), true, DISPATCH_TOO_LATE.name(), 0));
+			decide(new RequestEvent.DispatchFailed(flight.id(), dispatch.runner(), true, DISPATCH_TOO_LATE.name(), 0));
 			return;
 		}
 		PeerLink agent = this.agents.get(dispatch.runner());
@@ -251,7 +251,7 @@
 			.setCall(CallFrames.call(flight.call(), attempt.callId(), dispatch.weightsDigest(), now))
 			.build();
 		if (agent == null || !agent.send(frame)) {
-			decide(new RequestEvent.Failed(flight.id(), dispatch.runner(), true, LINK_LOST.name(), 0));
+			decide(new RequestEvent.DispatchFailed(flight.id(), dispatch.runner(), true, LINK_LOST.name(), 0));
 			return;
 		}
 		this.metrics.dispatched(flight.call().request().service());
@@ -267,7 +267,7 @@
 		flight.call().answer().refuse(answer);
 	}
 
-	private void giveUp(Flight flight, RequestEffect.GiveUp giveUp) {
+	private void giveUp(Flight flight, RequestEffect.AnswerUnknown giveUp) {
 		int status = giveUp.code().contains("deadline") ? GATEWAY_TIMEOUT : BAD_GATEWAY;
 		flight.attempt().ifPresent(this::cancel);
 		finish(flight, Outcome.UNKNOWN, giveUp.code());
@@ -282,7 +282,7 @@
 		Flight flight = this.flights.get(id);
 		if (flight != null) {
 			finish(flight, outcome, code);
-			decide(new RequestEvent.ClaimLost(id));
+			decide(new RequestEvent.ClaimFailed(id));
 		}
 	}
 
@@ -300,7 +300,7 @@
 			this.claims.ran(call, head.status(), head.headers(), body);
 		}
 		finish(flight, Outcome.RAN, "");
-		decide(new RequestEvent.Ended(flight.id()));
+		decide(new RequestEvent.AnswerCompleted(flight.id()));
 	}
 
 	private void headOut(Flight flight, Flight.Attempt attempt) {
@@ -308,12 +308,12 @@
 		flight.markHeadOut();
 		this.metrics.started(flight.call().request(), this.clock.getAsLong() - flight.arrivedNanos());
 		flight.call().answer().start(head.status(), head.headers(), attempt.weightsDigest());
-		decide(new RequestEvent.Started(flight.id()));
+		decide(new RequestEvent.AnswerStarted(flight.id()));
 	}
 
 	private void failed(Flight flight, String runner, boolean notRun, String code, long retryAfterMillis) {
 		forget(flight);
-		decide(new RequestEvent.Failed(flight.id(), runner, notRun, code, retryAfterMillis));
+		decide(new RequestEvent.DispatchFailed(flight.id(), runner, notRun, code, retryAfterMillis));
 	}
 
 	private void finish(Flight flight, Outcome outcome, String code) {
--- a/entry/src/main/java/org/wisteriapost/entry/process/ClaimKeeper.java
+++ b/entry/src/main/java/org/wisteriapost/entry/process/ClaimKeeper.java
@@ -19,10 +19,10 @@
 import org.wisteriapost.policy.bundle.Digests;
 import org.wisteriapost.policy.claim.ClaimEffect;
 import org.wisteriapost.policy.claim.ClaimKey;
-import org.wisteriapost.policy.claim.ClaimRecord.KeptAnswer;
 import org.wisteriapost.policy.claim.ClaimRecord.State;
+import org.wisteriapost.policy.claim.ClaimRecord.StoredAnswer;
+import org.wisteriapost.policy.claim.ClaimResult;
 import org.wisteriapost.policy.claim.ClaimTable;
-import org.wisteriapost.policy.claim.ClaimVerdict;
 import org.wisteriapost.policy.request.RequestEvent;
 
 /**
@@ -106,7 +106,7 @@
 
 	void tick() {
 		carryOut(this.table.tick(this.clock.getAsLong()));
-		this.unwritten = this.table.unwritten();
+		this.unwritten = this.table.pendingOperations();
 	}
 
 	/**
@@ -116,22 +116,22 @@
 		long now = this.clock.getAsLong();
 		carryOut(switch (reply) {
 			case ClaimReply.Found found ->
-				this.table.read(found.object(), found.value(), found.version(), found.conflict(), now);
-			case ClaimReply.Written written -> this.table.written(written.object(), written.version(), now);
-			case ClaimReply.Failed failed -> this.table.failed(failed.object(), failed.unconfirmed(), now);
+				this.table.onRead(found.object(), found.value(), found.version(), found.conflict(), now);
+			case ClaimReply.Written written -> this.table.onWritten(written.object(), written.version(), now);
+			case ClaimReply.Failed failed -> this.table.onFailure(failed.object(), failed.unconfirmed(), now);
 		});
 	}
 
 	@Override
 	public void claim(CallerCall call) {
 		CallKey key = call.key().orElseThrow();
-		Optional<ClaimKey.Fault> fault = ClaimKey.check(key.issuedMillis(), this.wallMillis.getAsLong());
+		Optional<ClaimKey.Rejection> fault = ClaimKey.validate(key.issuedMillis(), this.wallMillis.getAsLong());
 		if (fault.isPresent()) {
 			answer(call, switch (fault.get()) {
 				// Not "not run": the first call with this key may have run, and a caller
 				// that is told otherwise makes the same call with a new key.
-				case TOO_OLD -> Refusal.unknown(CONFLICT, KEY_TOO_OLD.name(), KEY_TOO_OLD.summary());
-				case AHEAD -> Refusal.bad(BAD_REQUEST, KEY_AHEAD.name(), KEY_AHEAD.summary());
+				case EXPIRED -> Refusal.unknown(CONFLICT, KEY_TOO_OLD.name(), KEY_TOO_OLD.summary());
+				case ISSUED_IN_FUTURE -> Refusal.bad(BAD_REQUEST, KEY_AHEAD.name(), KEY_AHEAD.summary());
 			});
 			return;
 		}
@@ -152,12 +152,12 @@
 			flat.add(header.getKey());
 			flat.add(header.getValue());
 		});
-		settle(call, State.ANSWERED, new KeptAnswer(status, flat, body));
+		settle(call, State.ANSWERED, new StoredAnswer(status, flat, body));
 	}
 
 	@Override
 	public void ranUnstored(CallerCall call) {
-		settle(call, State.RAN, KeptAnswer.NONE);
+		settle(call, State.RAN, StoredAnswer.NONE);
 	}
 
 	@Override
@@ -170,10 +170,10 @@
 
 	@Override
 	public void unknown(CallerCall call) {
-		settle(call, State.UNKNOWN, KeptAnswer.NONE);
+		settle(call, State.UNKNOWN, StoredAnswer.NONE);
 	}
 
-	private void settle(CallerCall call, State state, KeptAnswer answer) {
+	private void settle(CallerCall call, State state, StoredAnswer answer) {
 		Ticket ticket = this.tickets.remove(call.id());
 		if (ticket != null) {
 			carryOut(this.table.settle(ticket.key, ticket.nonce, state, answer, this.clock.getAsLong()));
@@ -185,12 +185,12 @@
 			switch (effect) {
 				case ClaimEffect.Read read -> this.store.read(read);
 				case ClaimEffect.Write write -> this.store.write(write);
-				case ClaimEffect.Tell tell -> told(tell.verdict());
+				case ClaimEffect.Complete tell -> told(tell.result());
 			}
 		}
 	}
 
-	private void told(ClaimVerdict verdict) {
+	private void told(ClaimResult verdict) {
 		Ticket ticket = this.tickets.get(verdict.id());
 		// The call was given up while its key was being claimed; its release waits behind
 		// the claim.
@@ -198,12 +198,12 @@
 			return;
 		}
 		switch (verdict) {
-			case ClaimVerdict.Claimed claimed -> this.calls.decide(new RequestEvent.Claimed(claimed.id()));
-			case ClaimVerdict.Repeated repeated -> repeat(ticket, repeated);
-			case ClaimVerdict.Expired expired ->
+			case ClaimResult.Claimed claimed -> this.calls.decide(new RequestEvent.Claimed(claimed.id()));
+			case ClaimResult.AlreadyClaimed repeated -> repeat(ticket, repeated);
+			case ClaimResult.Expired expired ->
 				lost(ticket, Refusal.unknown(CONFLICT, KEY_TOO_OLD.name(), KEY_TOO_OLD.summary()));
-			case ClaimVerdict.Failed failed ->
-				lost(ticket, failed.full() ? Refusal.later(CLAIMS_FULL.name(), CLAIMS_FULL.summary(), FULL_MILLIS)
+			case ClaimResult.Failed failed ->
+				lost(ticket, failed.pageFull() ? Refusal.later(CLAIMS_FULL.name(), CLAIMS_FULL.summary(), FULL_MILLIS)
 						: Refusal.later(CLAIMS_UNAVAILABLE.name(), CLAIMS_UNAVAILABLE.summary(), UNAVAILABLE_MILLIS));
 		}
 	}
@@ -218,8 +218,8 @@
 		this.calls.answeredByClaim(call.id(), refusal.outcome(), refusal.code());
 	}
 
-	private void repeat(Ticket ticket, ClaimVerdict.Repeated repeated) {
-		if (!repeated.same()) {
+	private void repeat(Ticket ticket, ClaimResult.AlreadyClaimed repeated) {
+		if (!repeated.sameCall()) {
 			lost(ticket, Refusal.bad(UNPROCESSABLE, KEY_REUSED.name(), KEY_REUSED.summary()));
 			return;
 		}
@@ -232,7 +232,7 @@
 		}
 	}
 
-	private void replay(Ticket ticket, KeptAnswer kept) {
+	private void replay(Ticket ticket, StoredAnswer kept) {
 		List<Map.Entry<String, String>> headers = new ArrayList<>();
 		List<String> flat = kept.headers();
 		for (int i = 0; i + 1 < flat.size(); i += 2) {
--- a/entry/src/main/java/org/wisteriapost/entry/process/EntryProcess.java
+++ b/entry/src/main/java/org/wisteriapost/entry/process/EntryProcess.java
@@ -39,8 +39,8 @@
 import org.wisteriapost.policy.burn.ObjectiveSettings;
 import org.wisteriapost.policy.claim.ClaimTable;
 import org.wisteriapost.policy.membership.Member;
-import org.wisteriapost.policy.request.RequestMachine;
 import org.wisteriapost.policy.request.RequestPolicySettings;
+import org.wisteriapost.policy.request.RequestStateMachine;
 import org.wisteriapost.protocol.admin.AdminServer;
 import org.wisteriapost.protocol.link.LinkServer;
 import org.wisteriapost.protocol.link.Links;
@@ -111,8 +111,8 @@
 		long seed = new SecureRandom().nextLong();
 		ClaimTable table = ClaimTable.create(EntrySettings.CLAIM_WRITES.get(settings),
 				RandomSource.SPLIT_MIX_64.create(seed), System.nanoTime());
-		RequestMachine machine = RequestMachine.create(RequestPolicySettings.from(settings, identity.place()), seed,
-				this.invariants);
+		RequestStateMachine machine = RequestStateMachine.create(RequestPolicySettings.from(settings, identity.place()),
+				seed, this.invariants);
 		EntryWiring wiring = new EntryWiring(machine, table, store, this.metrics, this.invariants, System::nanoTime,
 				System::currentTimeMillis, EntrySettings.MAX_HELD_BYTES.get(settings));
 		EntryState state = EntryState.create(identity, this, wiring);
--- a/entry/src/main/java/org/wisteriapost/entry/process/EntryState.java
+++ b/entry/src/main/java/org/wisteriapost/entry/process/EntryState.java
@@ -15,7 +15,7 @@
 import org.wisteriapost.kernel.SuspensionWatch;
 import org.wisteriapost.policy.bundle.Head;
 import org.wisteriapost.policy.bundle.ServiceSpec;
-import org.wisteriapost.policy.membership.LinkChoice;
+import org.wisteriapost.policy.membership.LinkSelector;
 import org.wisteriapost.policy.membership.Member;
 import org.wisteriapost.policy.membership.Membership;
 import org.wisteriapost.policy.request.RequestEvent;
@@ -58,7 +58,7 @@
 
 	private final Membership membership;
 
-	private final LinkChoice linkChoice;
+	private final LinkSelector linkChoice;
 
 	private final Draining draining;
 
@@ -84,7 +84,7 @@
 		this.suspension = SuspensionWatch.start(this.clock.getAsLong(), this.dayMillis.getAsLong());
 		this.heads = new HeadTracker(wiring.invariants());
 		this.membership = Membership.of(identity.vm(), identity.place());
-		this.linkChoice = LinkChoice.of(identity.vm());
+		this.linkChoice = LinkSelector.of(identity.vm());
 		this.draining = new Draining(identity.keepSeconds());
 		this.claims = new ClaimKeeper(wiring.claims(), wiring.store(), wiring.clock(), wiring.wallMillis());
 		this.calls = new Calls(wiring, this.claims, this.heads::generation);
@@ -148,7 +148,7 @@
 		}
 		switch (peer.role()) {
 			case ENTRY -> {
-				this.membership.linked(peer.vm(), this.peers.linked(peer.vm()));
+				this.membership.linkChanged(peer.vm(), this.peers.linked(peer.vm()));
 				publish();
 			}
 			default -> {
@@ -188,7 +188,7 @@
 		}
 		this.peers.add(peer);
 		if (peer.role() == Role.ENTRY) {
-			this.membership.linked(peer.vm(), true);
+			this.membership.linkChanged(peer.vm(), true);
 		}
 		else {
 			this.calls.linkUp(peer);
@@ -248,24 +248,24 @@
 	}
 
 	private void announced(String vm) {
-		this.membership.announced(vm);
+		this.membership.leavingAnnounced(vm);
 		leavingChanged();
 	}
 
 	private void marks(Set<String> vms) {
-		this.membership.marks(vms);
+		this.membership.replaceMarks(vms);
 		leavingChanged();
 	}
 
 	private void vms(List<Member> members) {
-		this.membership.list(members);
-		this.output.keepLinks(this.linkChoice.choose(members));
+		this.membership.replaceMembers(members);
+		this.output.keepLinks(this.linkChoice.select(members));
 		leavingChanged();
 	}
 
 	private void leavingChanged() {
 		Set<String> leaving = this.membership.leaving();
-		this.calls.decide(new RequestEvent.LeavingSeen(leaving));
+		this.calls.decide(new RequestEvent.LeavingVmsRead(leaving));
 		if (leaving.contains(this.identity.vm())) {
 			drain();
 		}
@@ -325,7 +325,7 @@
 				.stream()
 				.collect(Collectors.toMap(ServiceSpec::name, (spec) -> spec, (first, second) -> first)))
 			.orElse(Map.of());
-		List<String> entries = this.membership.entries(this.draining.started())
+		List<String> entries = this.membership.advertisedEntries(this.draining.started())
 			.stream()
 			.map((member) -> "http://" + member.host() + ":" + member.httpPort())
 			.toList();
--- a/entry/src/main/java/org/wisteriapost/entry/process/EntryWiring.java
+++ b/entry/src/main/java/org/wisteriapost/entry/process/EntryWiring.java
@@ -5,7 +5,7 @@
 import org.wisteriapost.entry.claim.ClaimStore;
 import org.wisteriapost.kernel.Invariants;
 import org.wisteriapost.policy.claim.ClaimTable;
-import org.wisteriapost.policy.request.RequestMachine;
+import org.wisteriapost.policy.request.RequestStateMachine;
 
 /**
  * What surrounds an entry's state: the process puts the real parts here, a random run its
@@ -20,6 +20,6 @@
  * @param wallMillis milliseconds since 1970
  * @param maxHeldBytes bound on an answer that is held back until it is whole
  */
-public record EntryWiring(RequestMachine machine, ClaimTable claims, ClaimStore store, EntryMetrics metrics,
+public record EntryWiring(RequestStateMachine machine, ClaimTable claims, ClaimStore store, EntryMetrics metrics,
 		Invariants invariants, LongSupplier clock, LongSupplier wallMillis, long maxHeldBytes) {
 }
--- a/entry/src/main/java/org/wisteriapost/entry/process/HeadTracker.java
+++ b/entry/src/main/java/org/wisteriapost/entry/process/HeadTracker.java
@@ -15,7 +15,7 @@
 import org.wisteriapost.policy.bundle.BundleCodec;
 import org.wisteriapost.policy.bundle.Digests;
 import org.wisteriapost.policy.bundle.ServiceSpec;
-import org.wisteriapost.policy.routing.KnownMoment;
+import org.wisteriapost.policy.routing.LastConfirmedTime;
 import org.wisteriapost.policy.routing.RejectionGuard;
 import org.wisteriapost.policy.routing.RejectionPermit;
 
@@ -52,7 +52,7 @@
 	private long takenNanos;
 
 	// As of when the platform is known to have held the current head.
-	private final KnownMoment confirmed = new KnownMoment();
+	private final LastConfirmedTime confirmed = new LastConfirmedTime();
 
 	HeadTracker(Invariants invariants) {
 		this.invariants = invariants;
@@ -101,7 +101,7 @@
 		this.wanted = Optional.empty();
 		this.bundle = Optional.of(now);
 		this.content = Optional.of(read);
-		this.confirmed.forget();
+		this.confirmed.clear();
 		if (next.fromPlatform) {
 			// The bundle may have been long under way, and a newer one been rolled since.
 			confirmed(next.namedNanos);
@@ -118,8 +118,8 @@
 	 * Hears that this VM was suspended: what is known is older than it seems.
 	 */
 	void suspended(long nowNanos) {
-		this.confirmed.doubt(nowNanos);
-		this.guard.doubt(nowNanos);
+		this.confirmed.discardBefore(nowNanos);
+		this.guard.discardBefore(nowNanos);
 	}
 
 	/**
@@ -220,7 +220,7 @@
 	 * Returns the head as it is told to neighbours.
 	 */
 	org.wisteriapost.protocol.wire.Head wire(long nowNanos) {
-		OptionalLong age = this.confirmed.ageNanos(nowNanos);
+		OptionalLong age = this.confirmed.stalenessNanos(nowNanos);
 		return org.wisteriapost.protocol.wire.Head.newBuilder()
 			.setGeneration(this.current.generation)
 			.setDigest(this.current.digest)
--- a/entry/src/main/java/org/wisteriapost/entry/process/RunnerReports.java
+++ b/entry/src/main/java/org/wisteriapost/entry/process/RunnerReports.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 
 import org.wisteriapost.policy.request.RequestEvent;
-import org.wisteriapost.policy.request.RunnerView;
+import org.wisteriapost.policy.request.RunnerStatus;
 import org.wisteriapost.protocol.wire.Report;
 
 /**
@@ -32,7 +32,7 @@
 		if (report.getAdmitting() && this.heads.alsoServed(report.getService(), report.getWeightsDigest())) {
 			headChanged();
 		}
-		this.calls.decide(new RequestEvent.RunnerSeen(view(report)));
+		this.calls.decide(new RequestEvent.RunnerReported(view(report)));
 		if (this.heads.previous().containsKey(report.getService())) {
 			endSwitch(report.getService());
 		}
@@ -49,7 +49,7 @@
 	 * Tells the decisions which weights are accepted now.
 	 */
 	void headChanged() {
-		this.calls.decide(new RequestEvent.HeadSeen(this.heads.generation(), this.heads.digests()));
+		this.calls.decide(new RequestEvent.HeadRead(this.heads.generation(), this.heads.digests()));
 	}
 
 	private void endSwitch(String service) {
@@ -71,8 +71,8 @@
 			.anyMatch((report) -> report.getBundleGeneration() < this.heads.generation());
 	}
 
-	private static RunnerView view(Report report) {
-		return new RunnerView(report.getVm(), report.getPlace(), report.getService(),
+	private static RunnerStatus view(Report report) {
+		return new RunnerStatus(report.getVm(), report.getPlace(), report.getService(),
 				report.getAdmitting() && !report.getLeaving(), report.getPlain() ? "" : report.getWeightsDigest(),
 				report.getBundleGeneration(), report.getRunning(), report.getQueued(), report.getCapacity(),
 				new HashSet<>(report.getPrefixesList()));
--- a/entry/src/test/java/org/wisteriapost/entry/direct/AnnouncerTests.java
+++ b/entry/src/test/java/org/wisteriapost/entry/direct/AnnouncerTests.java
@@ -17,9 +17,9 @@
 import org.wisteriapost.policy.dispatch.DispatchLimits;
 import org.wisteriapost.policy.dispatch.Dispatcher;
 import org.wisteriapost.policy.fleet.EntryInfo;
-import org.wisteriapost.policy.fleet.NamedWeights;
+import org.wisteriapost.policy.fleet.RunnerIncarnation;
 import org.wisteriapost.policy.fleet.RunnerInfo;
-import org.wisteriapost.policy.fleet.RunnerStart;
+import org.wisteriapost.policy.fleet.TargetWeights;
 import org.wisteriapost.policy.routing.CallLimits;
 import org.wisteriapost.policy.routing.EngineSpec;
 import org.wisteriapost.policy.routing.RouteTable;
@@ -77,9 +77,9 @@
 		this.announcer.connect(this.links);
 		this.roster.put(OTHER, 1, 0);
 		this.roster.linked("edge-2", true, 0);
-		this.dispatcher.table(this.table.get());
-		this.dispatcher.runner(
-				new RunnerInfo("r1", "lm", AGENT, "hall-a", 16, false, 0, Map.of("lm", 1), 1, RunnerStart.UNKNOWN), 0);
+		this.dispatcher.updateRouteTable(this.table.get());
+		this.dispatcher.updateRunner(new RunnerInfo("r1", "lm", AGENT, "hall-a", 16, false, 0, Map.of("lm", 1), 1,
+				RunnerIncarnation.UNKNOWN), 0);
 	}
 
 	private List<Integer> versionsTold() {
@@ -95,7 +95,7 @@
 	void weightsThatAFullLinkDidNotTakeAreSaidAgain() {
 		this.announcer.tellAgents(this.table);
 		this.links.full.add(AGENT);
-		this.announcer.named(new NamedWeights("lm", 2));
+		this.announcer.named(new TargetWeights("lm", 2));
 		this.announcer.tellAgents(this.table);
 		this.announcer.tick(this.table, SECOND);
 		assertThat(versionsTold(), Matchers.contains(1));
--- a/entry/src/test/java/org/wisteriapost/entry/direct/EntryRosterTests.java
+++ b/entry/src/test/java/org/wisteriapost/entry/direct/EntryRosterTests.java
@@ -52,9 +52,9 @@
 	void whoIsNotLinkedOnPurposeCounts(int places, int each, int all, int near) {
 		List<EntryInfo> entries = entries(places, each);
 		EntryCount count = linked(entries, entries.getFirst()).count();
-		assertThat(count.all(), Matchers.equalTo(all));
-		assertThat(count.near(), Matchers.equalTo(near));
-		assertThat(count.byPlace(), Matchers.equalTo(all > 16));
+		assertThat(count.total(), Matchers.equalTo(all));
+		assertThat(count.inFailureDomain(), Matchers.equalTo(near));
+		assertThat(count.partitioned(), Matchers.equalTo(all > 16));
 	}
 
 	@Test
@@ -130,8 +130,9 @@
 		roster.put(entry("b", "hall-2", "north"), 1, 0);
 		roster.put(entry("c", "hall-1", "south"), 1, 0);
 		assertThat(roster.distances(List.of("a", "b", "c", "d")),
-				Matchers.contains(new LinkedEntry("a", Distance.OWN_PLACE), new LinkedEntry("b", Distance.OWN_REGION),
-						new LinkedEntry("c", Distance.ELSEWHERE), new LinkedEntry("d", Distance.ELSEWHERE)));
+				Matchers.contains(new LinkedEntry("a", Distance.SAME_FAILURE_DOMAIN),
+						new LinkedEntry("b", Distance.SAME_REGION), new LinkedEntry("c", Distance.REMOTE),
+						new LinkedEntry("d", Distance.REMOTE)));
 	}
 
 	private static EntryInfo entry(String name, String place, String region) {
--- a/entry/src/test/java/org/wisteriapost/entry/direct/FullLinkNewsTests.java
+++ b/entry/src/test/java/org/wisteriapost/entry/direct/FullLinkNewsTests.java
@@ -21,8 +21,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.wisteriapost.kernel.log.DecisionLog;
 import org.wisteriapost.policy.fleet.LinkedEntry;
-import org.wisteriapost.policy.fleet.StoreDuty;
-import org.wisteriapost.policy.fleet.UpstreamChoice;
+import org.wisteriapost.policy.fleet.StoreRole;
+import org.wisteriapost.policy.fleet.UpstreamSelector;
 import org.wisteriapost.protocol.site.Kind;
 import org.wisteriapost.protocol.site.ObjectStore;
 import org.wisteriapost.protocol.wire.Frame;
@@ -52,10 +52,10 @@
 
 	private final Link toReader = new Link();
 
-	private final SiteNews reader = new SiteNews(new NamedObjects(), StoreDuty.of("reader"),
-			UpstreamChoice.of("reader"), (peer, frame) -> this.toCut.send(frame), () -> this.now, this.log);
+	private final SiteNews reader = new SiteNews(new NamedObjects(), StoreRole.of("reader"),
+			UpstreamSelector.of("reader"), (peer, frame) -> this.toCut.send(frame), () -> this.now, this.log);
 
-	private final SiteNews cut = new SiteNews(new NamedObjects(), StoreDuty.of("cut"), UpstreamChoice.of("cut"),
+	private final SiteNews cut = new SiteNews(new NamedObjects(), StoreRole.of("cut"), UpstreamSelector.of("cut"),
 			(peer, frame) -> this.toReader.send(frame), () -> this.now, this.log);
 
 	private final List<Kind> delivered = new ArrayList<>();
--- a/entry/src/test/java/org/wisteriapost/entry/direct/KnownNewsTests.java
+++ b/entry/src/test/java/org/wisteriapost/entry/direct/KnownNewsTests.java
@@ -13,9 +13,9 @@
 import org.junit.jupiter.api.Test;
 import org.wisteriapost.kernel.log.DecisionLog;
 import org.wisteriapost.policy.fleet.LinkedEntry;
-import org.wisteriapost.policy.fleet.Rendezvous;
-import org.wisteriapost.policy.fleet.StoreDuty;
-import org.wisteriapost.policy.fleet.UpstreamChoice;
+import org.wisteriapost.policy.fleet.RendezvousHashing;
+import org.wisteriapost.policy.fleet.StoreRole;
+import org.wisteriapost.policy.fleet.UpstreamSelector;
 import org.wisteriapost.protocol.site.Kind;
 import org.wisteriapost.protocol.site.ObjectStore;
 import org.wisteriapost.protocol.wire.Frame;
@@ -38,7 +38,7 @@
 
 	private final DecisionLog log = DecisionLog.start("test", new PrintStream(OutputStream.nullOutputStream()));
 
-	private final String readerName = Rendezvous.order(List.of("a", "b"), "store").getFirst();
+	private final String readerName = RendezvousHashing.rank(List.of("a", "b"), "store").getFirst();
 
 	private final String askerName = this.readerName.equals("a") ? "b" : "a";
 
@@ -46,12 +46,12 @@
 
 	private final List<Frame> requests = new ArrayList<>();
 
-	private final StoreDuty duty = StoreDuty.of(this.askerName);
+	private final StoreRole duty = StoreRole.of(this.askerName);
 
-	private final SiteNews reader = new SiteNews(new NamedObjects(), StoreDuty.of(this.readerName),
-			UpstreamChoice.of(this.readerName), (peer, frame) -> this.answers.add(frame), () -> this.now, this.log);
+	private final SiteNews reader = new SiteNews(new NamedObjects(), StoreRole.of(this.readerName),
+			UpstreamSelector.of(this.readerName), (peer, frame) -> this.answers.add(frame), () -> this.now, this.log);
 
-	private final SiteNews asker = new SiteNews(new NamedObjects(), this.duty, UpstreamChoice.of(this.askerName),
+	private final SiteNews asker = new SiteNews(new NamedObjects(), this.duty, UpstreamSelector.of(this.askerName),
 			(peer, frame) -> this.requests.add(frame), () -> this.now, this.log);
 
 	private final StoreReading reading = new StoreReading(this.duty, this.asker, new Following(),
--- a/entry/src/test/java/org/wisteriapost/entry/direct/LoadReportsTests.java
+++ b/entry/src/test/java/org/wisteriapost/entry/direct/LoadReportsTests.java
@@ -7,11 +7,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.wisteriapost.policy.dispatch.PeerLoad;
+import org.wisteriapost.policy.dispatch.InFlightLoad;
 import org.wisteriapost.policy.dispatch.RefusedRequest;
 import org.wisteriapost.policy.dispatch.RunnerLoad;
 import org.wisteriapost.policy.fleet.EntryInfo;
-import org.wisteriapost.policy.fleet.RunnerStart;
+import org.wisteriapost.policy.fleet.RunnerIncarnation;
 import org.wisteriapost.protocol.wire.Frame;
 
 import static org.hamcrest.MatcherAssert.assertThat;
@@ -42,12 +42,12 @@
 		return entries;
 	}
 
-	private static List<RunnerLoad> at(PeerLoad load) {
-		return List.of(new RunnerLoad("runner", RunnerStart.UNKNOWN, load));
+	private static List<RunnerLoad> at(InFlightLoad load) {
+		return List.of(new RunnerLoad("runner", RunnerIncarnation.UNKNOWN, load));
 	}
 
 	private static List<RunnerLoad> busy(long tick) {
-		return at(new PeerLoad(1 + (int) (tick % 7), 0, 0));
+		return at(new InFlightLoad(1 + (int) (tick % 7), 0, 0));
 	}
 
 	// Load changes all the time. However many entries there are, one of them sends no
@@ -77,7 +77,7 @@
 	@Test
 	void whatDoesNotChangeIsSaidAgainEachSecond() {
 		for (long tick = 0; tick < TICKS_IN_10_S; tick++) {
-			tick(tick, entries(1, 0), at(new PeerLoad(3, 0, 0)));
+			tick(tick, entries(1, 0), at(new InFlightLoad(3, 0, 0)));
 		}
 		assertThat(this.sent.size(), Matchers.allOf(Matchers.greaterThanOrEqualTo(9), Matchers.lessThanOrEqualTo(11)));
 	}
@@ -103,9 +103,9 @@
 
 	@Test
 	void whatHasEndedIsSaidOnce() {
-		tick(0, entries(1, 0), at(new PeerLoad(3, 0, 0)));
-		tick(10, entries(1, 0), at(PeerLoad.NONE));
-		tick(20, entries(1, 0), at(PeerLoad.NONE));
+		tick(0, entries(1, 0), at(new InFlightLoad(3, 0, 0)));
+		tick(10, entries(1, 0), at(InFlightLoad.NONE));
+		tick(20, entries(1, 0), at(InFlightLoad.NONE));
 		assertThat(this.frames, Matchers.hasSize(2));
 		assertThat(this.frames.getLast().getLoadReport().getLoads(0).getActive(), Matchers.equalTo(0));
 	}
--- a/entry/src/test/java/org/wisteriapost/entry/direct/LossyNewsTests.java
+++ b/entry/src/test/java/org/wisteriapost/entry/direct/LossyNewsTests.java
@@ -18,9 +18,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.wisteriapost.kernel.log.DecisionLog;
 import org.wisteriapost.policy.fleet.LinkedEntry;
-import org.wisteriapost.policy.fleet.Rendezvous;
-import org.wisteriapost.policy.fleet.StoreDuty;
-import org.wisteriapost.policy.fleet.UpstreamChoice;
+import org.wisteriapost.policy.fleet.RendezvousHashing;
+import org.wisteriapost.policy.fleet.StoreRole;
+import org.wisteriapost.policy.fleet.UpstreamSelector;
 import org.wisteriapost.protocol.site.Kind;
 import org.wisteriapost.protocol.site.ObjectStore;
 import org.wisteriapost.protocol.wire.Frame;
@@ -41,7 +41,7 @@
 
 	private final DecisionLog log = DecisionLog.start("test", new PrintStream(OutputStream.nullOutputStream()));
 
-	private final String readerName = Rendezvous.order(List.of("a", "b"), "store").getFirst();
+	private final String readerName = RendezvousHashing.rank(List.of("a", "b"), "store").getFirst();
 
 	private final String resterName = this.readerName.equals("a") ? "b" : "a";
 
@@ -255,8 +255,8 @@
 		private Entry(String name, String other) {
 			this.name = name;
 			this.other = other;
-			StoreDuty duty = StoreDuty.of(name);
-			this.news = new SiteNews(new NamedObjects(), duty, UpstreamChoice.of(name), this::send,
+			StoreRole duty = StoreRole.of(name);
+			this.news = new SiteNews(new NamedObjects(), duty, UpstreamSelector.of(name), this::send,
 					() -> LossyNewsTests.this.now, LossyNewsTests.this.log);
 			this.reading = new StoreReading(duty, this.news, new Following(), this::send, LossyNewsTests.this.log);
 		}
--- a/entry/src/test/java/org/wisteriapost/entry/direct/NewsAgeTests.java
+++ b/entry/src/test/java/org/wisteriapost/entry/direct/NewsAgeTests.java
@@ -12,8 +12,8 @@
 import org.junit.jupiter.api.Test;
 import org.wisteriapost.kernel.log.DecisionLog;
 import org.wisteriapost.policy.fleet.LinkedEntry;
-import org.wisteriapost.policy.fleet.StoreDuty;
-import org.wisteriapost.policy.fleet.UpstreamChoice;
+import org.wisteriapost.policy.fleet.StoreRole;
+import org.wisteriapost.policy.fleet.UpstreamSelector;
 import org.wisteriapost.protocol.site.Kind;
 import org.wisteriapost.protocol.site.ObjectStore;
 import org.wisteriapost.protocol.wire.Frame;
@@ -40,12 +40,12 @@
 
 	private final List<Frame> requests = new ArrayList<>();
 
-	private final SiteNews reader = new SiteNews(new NamedObjects(), StoreDuty.of("reader"),
-			UpstreamChoice.of("reader"), (peer, frame) -> this.answers.add(frame), () -> this.now + READER_AHEAD,
+	private final SiteNews reader = new SiteNews(new NamedObjects(), StoreRole.of("reader"),
+			UpstreamSelector.of("reader"), (peer, frame) -> this.answers.add(frame), () -> this.now + READER_AHEAD,
 			this.log);
 
-	private final SiteNews hearer = new SiteNews(new NamedObjects(), StoreDuty.of("hearer"),
-			UpstreamChoice.of("hearer"), (peer, frame) -> this.requests.add(frame), () -> this.now, this.log);
+	private final SiteNews hearer = new SiteNews(new NamedObjects(), StoreRole.of("hearer"),
+			UpstreamSelector.of("hearer"), (peer, frame) -> this.requests.add(frame), () -> this.now, this.log);
 
 	private long now = 1000 * MILLI;
 
--- a/entry/src/test/java/org/wisteriapost/entry/direct/PlaceNewsTests.java
+++ b/entry/src/test/java/org/wisteriapost/entry/direct/PlaceNewsTests.java
@@ -13,12 +13,12 @@
 import org.junit.jupiter.api.Test;
 import org.wisteriapost.policy.dispatch.DispatchLimits;
 import org.wisteriapost.policy.dispatch.Dispatcher;
-import org.wisteriapost.policy.dispatch.EngineWord;
-import org.wisteriapost.policy.dispatch.PeerLoad;
+import org.wisteriapost.policy.dispatch.EngineStatus;
+import org.wisteriapost.policy.dispatch.InFlightLoad;
 import org.wisteriapost.policy.dispatch.RunnerLoad;
 import org.wisteriapost.policy.fleet.EntryInfo;
+import org.wisteriapost.policy.fleet.RunnerIncarnation;
 import org.wisteriapost.policy.fleet.RunnerInfo;
-import org.wisteriapost.policy.fleet.RunnerStart;
 import org.wisteriapost.protocol.wire.EngineState;
 import org.wisteriapost.protocol.wire.Frame;
 
@@ -71,21 +71,21 @@
 	private Entry any(String place) {
 		return this.entries.values()
 			.stream()
-			.filter((entry) -> entry.info.place().equals(place))
+			.filter((entry) -> entry.info.failureDomain().equals(place))
 			.findFirst()
 			.orElseThrow();
 	}
 
 	private void takes(Entry entry, String place, int active) {
-		entry.dispatcher.peerLoad(place + "-other",
-				new RunnerLoad("engine-" + place, RunnerStart.UNKNOWN, new PeerLoad(active, 0, 0)),
+		entry.dispatcher.updatePeerLoad(place + "-other",
+				new RunnerLoad("engine-" + place, RunnerIncarnation.UNKNOWN, new InFlightLoad(active, 0, 0)),
 				this.ticks * TICK_NANOS);
 	}
 
 	private void allOf(String place, int active) {
 		this.entries.values()
 			.stream()
-			.filter((entry) -> entry.info.place().equals(place))
+			.filter((entry) -> entry.info.failureDomain().equals(place))
 			.forEach((entry) -> takes(entry, place, active));
 	}
 
@@ -96,7 +96,7 @@
 		assertThat(this.crossed, Matchers.hasSize(PLACES.size() - 1));
 		long knowing = this.entries.values()
 			.stream()
-			.filter((entry) -> !entry.info.place().equals("hall-a"))
+			.filter((entry) -> !entry.info.failureDomain().equals("hall-a"))
 			.filter((entry) -> entry.heardLoads > 0)
 			.count();
 		assertThat(knowing, Matchers.equalTo(2L * EACH));
@@ -132,11 +132,11 @@
 
 	@Test
 	void whatAnAgentSaysIsKnownElsewhere() {
-		EngineWord word = new EngineWord(OptionalInt.of(2), true, OptionalLong.empty(), RunnerStart.UNKNOWN);
+		EngineStatus word = new EngineStatus(OptionalInt.of(2), true, OptionalLong.empty(), RunnerIncarnation.UNKNOWN);
 		this.entries.values()
 			.stream()
-			.filter((entry) -> entry.info.place().equals("hall-b"))
-			.forEach((entry) -> entry.dispatcher.agentSays(engine("hall-b"), word, 0));
+			.filter((entry) -> entry.info.failureDomain().equals("hall-b"))
+			.forEach((entry) -> entry.dispatcher.updateEngineStatus(engine("hall-b"), word, 0));
 		run(PlaceNews.TICKS);
 		assertThat(any("hall-c").heardEngines.stream().map(EngineState::getAddress).toList(),
 				Matchers.contains(engine("hall-b")));
@@ -179,16 +179,16 @@
 			all.forEach((one) -> this.roster.put(one, 1, 0));
 			this.roster.toLink().forEach((one) -> this.roster.linked(one.name(), true, 0));
 			this.dispatcher = Dispatcher.create(
-					new DispatchLimits(info.place(), 0.2, 100, Duration.ofSeconds(10), Duration.ofSeconds(8)),
+					new DispatchLimits(info.failureDomain(), 0.2, 100, Duration.ofSeconds(10), Duration.ofSeconds(8)),
 					RandomSource.XO_RO_SHI_RO_128_PP.create(1));
-			PLACES.forEach((place) -> this.dispatcher.runner(new RunnerInfo("engine-" + place, "lm", engine(place),
-					place, 8, false, 0, Map.of("m", 1), 1, RunnerStart.UNKNOWN), 0));
-			this.news = new PlaceNews(info.place(), this.roster, this.dispatcher, this::send);
+			PLACES.forEach((place) -> this.dispatcher.updateRunner(new RunnerInfo("engine-" + place, "lm",
+					engine(place), place, 8, false, 0, Map.of("m", 1), 1, RunnerIncarnation.UNKNOWN), 0));
+			this.news = new PlaceNews(info.failureDomain(), this.roster, this.dispatcher, this::send);
 		}
 
 		private void send(String peer, Frame frame) {
 			Entry to = PlaceNewsTests.this.entries.get(peer);
-			if (!to.info.place().equals(this.info.place())) {
+			if (!to.info.failureDomain().equals(this.info.failureDomain())) {
 				PlaceNewsTests.this.crossed.add(this.info.name() + ">" + peer);
 			}
 			to.heardLoads += frame.getPlaceState().getLoadsCount();
--- a/entry/src/test/java/org/wisteriapost/entry/direct/ReaderPlace.java
+++ b/entry/src/test/java/org/wisteriapost/entry/direct/ReaderPlace.java
@@ -19,9 +19,9 @@
 import org.wisteriapost.kernel.log.DecisionLog;
 import org.wisteriapost.policy.fleet.LinkedEntry;
 import org.wisteriapost.policy.fleet.LinkedEntry.Distance;
-import org.wisteriapost.policy.fleet.Rendezvous;
-import org.wisteriapost.policy.fleet.StoreDuty;
-import org.wisteriapost.policy.fleet.UpstreamChoice;
+import org.wisteriapost.policy.fleet.RendezvousHashing;
+import org.wisteriapost.policy.fleet.StoreRole;
+import org.wisteriapost.policy.fleet.UpstreamSelector;
 import org.wisteriapost.protocol.site.Kind;
 import org.wisteriapost.protocol.site.ObjectStore;
 import org.wisteriapost.protocol.wire.Frame;
@@ -90,7 +90,10 @@
 	}
 
 	List<Entry> order() {
-		return Rendezvous.order(List.copyOf(this.entries.keySet()), "store").stream().map(this.entries::get).toList();
+		return RendezvousHashing.rank(List.copyOf(this.entries.keySet()), "store")
+			.stream()
+			.map(this.entries::get)
+			.toList();
 	}
 
 	Entry settled() {
@@ -205,9 +208,9 @@
 
 		final int offset;
 
-		final StoreDuty duty;
+		final StoreRole duty;
 
-		final UpstreamChoice upstream;
+		final UpstreamSelector upstream;
 
 		final SiteNews news;
 
@@ -239,8 +242,8 @@
 		private Entry(String name, int offset) {
 			this.name = name;
 			this.offset = offset;
-			this.duty = StoreDuty.of(name);
-			this.upstream = UpstreamChoice.of(name);
+			this.duty = StoreRole.of(name);
+			this.upstream = UpstreamSelector.of(name);
 			this.news = new SiteNews(new NamedObjects(), this.duty, this.upstream, this::send, ReaderPlace.this::now,
 					ReaderPlace.this.log);
 			this.reading = new StoreReading(this.duty, this.news, new Following(), this::send, ReaderPlace.this.log);
@@ -258,7 +261,8 @@
 					.filter((entry) -> !ReaderPlace.this.closed.contains(entry.name + " to " + this.name))
 					.map((entry) -> entry.name)
 					.collect(Collectors.toSet());
-				this.news.tick(others.stream().map((other) -> new LinkedEntry(other, Distance.OWN_PLACE)).toList(),
+				this.news.tick(
+						others.stream().map((other) -> new LinkedEntry(other, Distance.SAME_FAILURE_DOMAIN)).toList(),
 						now());
 				this.reading.tick(others, this.readAll || this.rested, now());
 			}
@@ -338,8 +342,8 @@
 				this.news.asked(sent.from, sent.frame.getNewsRequest());
 				return;
 			}
-			if (sent.frame.getNews().getCurrent() && !this.duty.believes(sent.from)
-					&& !this.upstream.believes(sent.from)) {
+			if (sent.frame.getNews().getCurrent() && !this.duty.acceptsUpdatesFrom(sent.from)
+					&& !this.upstream.acceptsUpdatesFrom(sent.from)) {
 				ReaderPlace.this.unbelieved.add(sent.from + " to " + this.name);
 			}
 			for (DirectEvent event : this.reading.heard(sent.from, sent.frame.getNews(), now())) {
--- a/entry/src/test/java/org/wisteriapost/entry/direct/SiteNewsTests.java
+++ b/entry/src/test/java/org/wisteriapost/entry/direct/SiteNewsTests.java
@@ -12,8 +12,8 @@
 import org.junit.jupiter.api.Test;
 import org.wisteriapost.kernel.log.DecisionLog;
 import org.wisteriapost.policy.fleet.LinkedEntry;
-import org.wisteriapost.policy.fleet.StoreDuty;
-import org.wisteriapost.policy.fleet.UpstreamChoice;
+import org.wisteriapost.policy.fleet.StoreRole;
+import org.wisteriapost.policy.fleet.UpstreamSelector;
 import org.wisteriapost.protocol.site.Kind;
 import org.wisteriapost.protocol.site.ObjectStore;
 import org.wisteriapost.protocol.wire.Frame;
@@ -40,10 +40,10 @@
 	// alive.
 	private final List<String> requests = new ArrayList<>();
 
-	private final SiteNews source = new SiteNews(new NamedObjects(), StoreDuty.of("source"),
-			UpstreamChoice.of("source"), (peer, frame) -> this.toCut.add(frame), () -> SECOND, this.log);
+	private final SiteNews source = new SiteNews(new NamedObjects(), StoreRole.of("source"),
+			UpstreamSelector.of("source"), (peer, frame) -> this.toCut.add(frame), () -> SECOND, this.log);
 
-	private final SiteNews cut = new SiteNews(new NamedObjects(), StoreDuty.of("cut"), UpstreamChoice.of("cut"),
+	private final SiteNews cut = new SiteNews(new NamedObjects(), StoreRole.of("cut"), UpstreamSelector.of("cut"),
 			this::fromCut, () -> SECOND, this.log);
 
 	@BeforeEach
@@ -234,12 +234,12 @@
 	// as long as it rests.
 	@Test
 	void whatItsOwnLastCallFoundIsNothingToWhoRests() {
-		StoreDuty duty = StoreDuty.of("cut");
-		SiteNews resting = new SiteNews(new NamedObjects(), duty, UpstreamChoice.of("cut"), this::fromCut, () -> SECOND,
-				this.log);
+		StoreRole duty = StoreRole.of("cut");
+		SiteNews resting = new SiteNews(new NamedObjects(), duty, UpstreamSelector.of("cut"), this::fromCut,
+				() -> SECOND, this.log);
 		resting.reachable(true);
 		List.of(0L, 2 * SECOND).forEach((nanos) -> duty.tick(List.of("source"), true, nanos));
-		duty.heard("source", true, true, 2 * SECOND);
+		duty.statusReceived("source", true, true, 2 * SECOND);
 		resting.stopReading();
 		this.requests.clear();
 		resting.reachable(false);
@@ -254,13 +254,13 @@
 	// beside its reader, over regions too, and that one would never rest.
 	@Test
 	void whatItsOwnLastCallFoundBeforeItRestedIsNothingToWhoRests() {
-		StoreDuty duty = StoreDuty.of("cut");
-		SiteNews resting = new SiteNews(new NamedObjects(), duty, UpstreamChoice.of("cut"), this::fromCut, () -> SECOND,
-				this.log);
+		StoreRole duty = StoreRole.of("cut");
+		SiteNews resting = new SiteNews(new NamedObjects(), duty, UpstreamSelector.of("cut"), this::fromCut,
+				() -> SECOND, this.log);
 		resting.reachable(true);
 		List.of(0L, 2 * SECOND).forEach((nanos) -> duty.tick(List.of("source"), true, nanos));
 		resting.reachable(false);
-		duty.heard("source", true, true, 2 * SECOND);
+		duty.statusReceived("source", true, true, 2 * SECOND);
 		resting.stopReading();
 		this.requests.clear();
 		resting.tick(linked("source", "third"), 3 * SECOND);
--- a/entry/src/test/java/org/wisteriapost/entry/direct/StateBench.java
+++ b/entry/src/test/java/org/wisteriapost/entry/direct/StateBench.java
@@ -28,11 +28,11 @@
 import org.wisteriapost.policy.dispatch.Dispatcher;
 import org.wisteriapost.policy.fleet.EntryInfo;
 import org.wisteriapost.policy.fleet.LinkedEntry;
-import org.wisteriapost.policy.fleet.Rendezvous;
+import org.wisteriapost.policy.fleet.RendezvousHashing;
+import org.wisteriapost.policy.fleet.RunnerIncarnation;
 import org.wisteriapost.policy.fleet.RunnerInfo;
-import org.wisteriapost.policy.fleet.RunnerStart;
-import org.wisteriapost.policy.fleet.StoreDuty;
-import org.wisteriapost.policy.fleet.UpstreamChoice;
+import org.wisteriapost.policy.fleet.StoreRole;
+import org.wisteriapost.policy.fleet.UpstreamSelector;
 import org.wisteriapost.policy.routing.CallLimits;
 import org.wisteriapost.policy.routing.Organisation;
 import org.wisteriapost.policy.routing.Route;
@@ -66,7 +66,7 @@
 
 	private static final int NEIGHBOUR_TICKS = 5;
 
-	private static final List<String> NAMES = Rendezvous.order(List.of("a", "b"), "store");
+	private static final List<String> NAMES = RendezvousHashing.rank(List.of("a", "b"), "store");
 
 	/** The neighbour, which by rendezvous reads for both. */
 	static final String READER = NAMES.getFirst();
@@ -111,7 +111,7 @@
 		this.state = new DirectState(settings(), entry(SELF), Dispatcher.create(limits, random), new Answers(),
 				this.log, DirectMetrics.in(new SimpleMeterRegistry()), random, clock, this.view);
 		this.state.connect(new Sender(), this.store, this.following);
-		this.reader = new SiteNews(this.store, StoreDuty.of(READER), UpstreamChoice.of(READER),
+		this.reader = new SiteNews(this.store, StoreRole.of(READER), UpstreamSelector.of(READER),
 				(peer, frame) -> this.fromReader.add(frame), () -> this.now, this.log);
 	}
 
@@ -142,8 +142,8 @@
 	}
 
 	ObjectStore.Item runner(long revision, String address) {
-		return this.store.item("r1", revision, new Declared.Runner(
-				new RunnerInfo("r1", "api", address, "p1", 6, false, 0, Map.of(), revision, RunnerStart.UNKNOWN)));
+		return this.store.item("r1", revision, new Declared.Runner(new RunnerInfo("r1", "api", address, "p1", 6, false,
+				0, Map.of(), revision, RunnerIncarnation.UNKNOWN)));
 	}
 
 	/**
@@ -152,7 +152,7 @@
 	List<ObjectStore.Item> entries() {
 		List<ObjectStore.Item> entries = new ArrayList<>();
 		entries.add(this.store.item(READER, 2, new Declared.Entry(entry(READER))));
-		for (int i = 1; i < StoreDuty.MOST_READING_ALL; i++) {
+		for (int i = 1; i < StoreRole.MAX_ENTRIES_WITHOUT_LEADER; i++) {
 			entries.add(this.store.item("n" + i, 2, new Declared.Entry(entry("n" + i))));
 		}
 		return entries;
--- a/entry/src/test/java/org/wisteriapost/entry/direct/StoreReadingTests.java
+++ b/entry/src/test/java/org/wisteriapost/entry/direct/StoreReadingTests.java
@@ -11,9 +11,9 @@
 import org.junit.jupiter.api.Test;
 import org.wisteriapost.kernel.log.DecisionLog;
 import org.wisteriapost.policy.fleet.LinkedEntry;
-import org.wisteriapost.policy.fleet.Rendezvous;
-import org.wisteriapost.policy.fleet.StoreDuty;
-import org.wisteriapost.policy.fleet.UpstreamChoice;
+import org.wisteriapost.policy.fleet.RendezvousHashing;
+import org.wisteriapost.policy.fleet.StoreRole;
+import org.wisteriapost.policy.fleet.UpstreamSelector;
 import org.wisteriapost.protocol.site.Kind;
 import org.wisteriapost.protocol.site.ObjectStore;
 import org.wisteriapost.protocol.wire.Frame;
@@ -30,7 +30,7 @@
 
 	private final DecisionLog log = DecisionLog.start("test", new PrintStream(OutputStream.nullOutputStream()));
 
-	private final String readerName = Rendezvous.order(List.of("a", "b"), "store").getFirst();
+	private final String readerName = RendezvousHashing.rank(List.of("a", "b"), "store").getFirst();
 
 	private final String resterName = this.readerName.equals("a") ? "b" : "a";
 
@@ -142,8 +142,8 @@
 
 		private Entry(String name) {
 			this.name = name;
-			StoreDuty duty = StoreDuty.of(name);
-			this.news = new SiteNews(new NamedObjects(), duty, UpstreamChoice.of(name), this::send,
+			StoreRole duty = StoreRole.of(name);
+			this.news = new SiteNews(new NamedObjects(), duty, UpstreamSelector.of(name), this::send,
 					() -> StoreReadingTests.this.now, StoreReadingTests.this.log);
 			this.reading = new StoreReading(duty, this.news, new Following(), this::send, StoreReadingTests.this.log);
 		}
--- a/entry/src/test/java/org/wisteriapost/entry/process/EntryStateTests.java
+++ b/entry/src/test/java/org/wisteriapost/entry/process/EntryStateTests.java
@@ -22,8 +22,8 @@
 import org.wisteriapost.policy.bundle.Head;
 import org.wisteriapost.policy.claim.ClaimTable;
 import org.wisteriapost.policy.membership.Member;
-import org.wisteriapost.policy.request.RequestMachine;
 import org.wisteriapost.policy.request.RequestPolicySettings;
+import org.wisteriapost.policy.request.RequestStateMachine;
 import org.wisteriapost.protocol.outside.FakePlatform;
 
 import static org.hamcrest.MatcherAssert.assertThat;
@@ -57,7 +57,8 @@
 
 	private EntryState state() {
 		Invariants invariants = Invariants.create();
-		EntryWiring wiring = new EntryWiring(RequestMachine.create(RequestPolicySettings.defaults(), 7, invariants),
+		EntryWiring wiring = new EntryWiring(
+				RequestStateMachine.create(RequestPolicySettings.defaults(), 7, invariants),
 				ClaimTable.create(50, RandomSource.SPLIT_MIX_64.create(7), this.now),
 				ClaimStore.of(new FakePlatform(), (reply) -> {
 				}), EntryMetrics.of(new SimpleMeterRegistry()), invariants, () -> this.now, () -> this.dayMillis,
--- a/standin/src/main/java/org/wisteriapost/standin/soak/SoakEntry.java
+++ b/standin/src/main/java/org/wisteriapost/standin/soak/SoakEntry.java
@@ -24,8 +24,8 @@
 import org.wisteriapost.policy.bundle.Head;
 import org.wisteriapost.policy.claim.ClaimTable;
 import org.wisteriapost.policy.membership.Member;
-import org.wisteriapost.policy.request.RequestMachine;
 import org.wisteriapost.policy.request.RequestPolicySettings;
+import org.wisteriapost.policy.request.RequestStateMachine;
 import org.wisteriapost.protocol.outside.Platform;
 import org.wisteriapost.protocol.wire.Role;
 
@@ -64,7 +64,7 @@
 		ClaimStore store = ClaimStore.of(world.platform(),
 				(reply) -> this.time.after(0, () -> hear(new EntryEvent.ClaimAnswered(reply))));
 		EntryWiring wiring = new EntryWiring(
-				RequestMachine.create(RequestPolicySettings.defaults(), seed, world.invariants()),
+				RequestStateMachine.create(RequestPolicySettings.defaults(), seed, world.invariants()),
 				ClaimTable.create(CLAIM_WRITES, RandomSource.SPLIT_MIX_64.create(seed), this.time.now()), store,
 				EntryMetrics.of(new SimpleMeterRegistry()), world.invariants(), this.time::now, this.time::wallMillis,
 				MAX_HELD_BYTES);
