--- a/agent/src/main/java/org/wisteriapost/agent/transfer/ChunkServer.java
+++ b/agent/src/main/java/org/wisteriapost/agent/transfer/ChunkServer.java
@@ -21,12 +21,13 @@
 import org.wisteriapost.protocol.wire.Frame;
 
 /**
- * Gives held chunks to peers and tells them of new ones. Used by the transfer's thread
- * alone.
+ * Serves verified chunks to peers and announces newly verified ones to them. Confined to
+ * the transfer thread.
  *
- * Every chunk is read back from the VM's store and hashed before it is sent, so that a
- * store that went bad does not spread; at most {@value #HELD} and, of those sent last,
- * {@value #KEPT_BYTES} bytes are in memory at once, whatever the size of the weights.
+ * Every chunk is read back from the VM's store and hashed before it is sent, so that
+ * corruption in one store does not spread. At most {@value #MAX_ACTIVE_UPLOADS} chunks
+ * being sent and {@value #MAX_CACHED_BYTES} bytes of recently sent ones are in memory at
+ * once, whatever the size of the weights.
  */
 final class ChunkServer {
 
@@ -35,117 +36,118 @@
 	private static final Code STORED_CORRUPT = Code.warning("stored-chunk-corrupt",
 			"A chunk read back from the VM's weight store has a wrong hash; it is fetched again.");
 
-	private static final int HELD = 4;
+	private static final int MAX_ACTIVE_UPLOADS = 4;
 
-	private static final int KEPT_BYTES = 512 << 10;
+	private static final int MAX_CACHED_BYTES = 512 << 10;
 
-	private static final int UPLOADS_PER_PEER = 2;
+	private static final int MAX_UPLOADS_PER_PEER = 2;
 
-	// A peer that asked for more files than any bundle has would grow this map.
-	private static final int MOST_FILES_PER_LINK = 256;
+	// Bounds the subscriptions of a peer that requests more files than any bundle has.
+	private static final int MAX_FILES_PER_LINK = 256;
 
 	private final TransferContext context;
 
 	private final TransferThread thread;
 
-	private final TransferMeters meters;
+	private final TransferMetrics metrics;
 
-	private final ChunkShelf shelf;
+	private final VerifiedChunks verifiedChunks;
 
-	private final Uploads<Upload> uploads;
+	private final Uploads<Upload> uploadQueue;
 
-	private final PacedReplies replies;
+	private final ReplyPacer replyPacer;
 
-	private final Map<Link, Map<String, Long>> watchers = new HashMap<>();
+	private final Map<Link, Map<String, Long>> subscriptions = new HashMap<>();
 
-	// Chunks that were sent last, by their hashes.
-	private final Map<String, byte[]> kept = new LinkedHashMap<>(16, 0.75F, true);
+	// Recently sent chunks by hash, in access order.
+	private final Map<String, byte[]> chunkCache = new LinkedHashMap<>(16, 0.75F, true);
 
-	private int held;
+	private int activeUploads;
 
-	ChunkServer(TransferContext context, TransferThread thread, TransferMeters meters, ChunkShelf shelf,
-			int uploadsWaiting) {
+	ChunkServer(TransferContext context, TransferThread thread, TransferMetrics metrics, VerifiedChunks verifiedChunks,
+			int maxQueuedUploads) {
 		this.context = context;
 		this.thread = thread;
-		this.meters = meters;
-		this.shelf = shelf;
-		this.uploads = Uploads.create(uploadsWaiting, UPLOADS_PER_PEER);
-		this.replies = new PacedReplies(context.frames(), context.timer(), thread::run,
-				(sending) -> thread.run(this::released));
+		this.metrics = metrics;
+		this.verifiedChunks = verifiedChunks;
+		this.uploadQueue = Uploads.create(maxQueuedUploads, MAX_UPLOADS_PER_PEER);
+		this.replyPacer = new ReplyPacer(context.frameFactory(), context.timer(), thread::execute,
+				(chunk) -> thread.execute(this::uploadEnded));
 	}
 
-	void rate(double bytesPerSecond) {
-		this.replies.rate(bytesPerSecond);
+	void setRate(double bytesPerSecond) {
+		this.replyPacer.setRate(bytesPerSecond);
 	}
 
 	/**
-	 * Answers with all held chunks of a file and keeps telling of new ones, also when
-	 * this VM has not heard of the file yet.
+	 * Sends the chunk map of a file and subscribes the peer to updates of it. A file that
+	 * is not known on this VM yet has an empty map.
 	 */
-	void map(Link link, ChunkMapRequest request) {
-		Map<String, Long> files = this.watchers.computeIfAbsent(link, (key) -> new HashMap<>());
-		if (files.size() >= MOST_FILES_PER_LINK) {
+	void subscribe(Link link, ChunkMapRequest request) {
+		Map<String, Long> files = this.subscriptions.computeIfAbsent(link, (key) -> new HashMap<>());
+		if (files.size() >= MAX_FILES_PER_LINK) {
 			return;
 		}
 		files.put(request.getFile(), request.getId());
-		send(link, whole(request.getId(), request.getFile()));
+		send(link, fullChunkMap(request.getId(), request.getFile()));
 	}
 
 	/**
-	 * Tells who asked for a file before this VM knew it that it is fetched here now, so
-	 * that nobody takes over what this VM is to read.
+	 * Tells peers that subscribed before this VM knew the file that it is being fetched
+	 * here, so that no peer takes over the origin reads assigned to this VM.
 	 */
-	void begun(String file) {
-		this.watchers.forEach((link, files) -> {
+	void fetchStarted(String file) {
+		this.subscriptions.forEach((link, files) -> {
 			Long id = files.get(file);
 			if (id != null) {
-				send(link, whole(id, file));
+				send(link, fullChunkMap(id, file));
 			}
 		});
 	}
 
 	/**
-	 * Tells of chunks that were added to a file.
+	 * Sends the newly verified chunks of a file to the peers that subscribed to it.
 	 */
 	void announce(String file, BitSet added) {
-		this.watchers.forEach((link, files) -> {
+		this.subscriptions.forEach((link, files) -> {
 			Long id = files.get(file);
 			if (id != null) {
-				ChunkMap.Builder change = ChunkMap.newBuilder().setId(id);
-				added.stream().forEach(change::addAdded);
-				send(link, this.context.frames().get().setChunkMap(change).build());
+				ChunkMap.Builder update = ChunkMap.newBuilder().setId(id);
+				added.stream().forEach(update::addAdded);
+				send(link, this.context.frameFactory().get().setChunkMap(update).build());
 			}
 		});
 	}
 
-	void request(Link link, ChunkRequest request) {
-		if (!this.shelf.held(request.getFile()).get(request.getIndex()) || !within(request)) {
-			refuse(link, request, ChunkStatus.CHUNK_MISSING);
+	void handleRequest(Link link, ChunkRequest request) {
+		if (!this.verifiedChunks.chunks(request.getFile()).get(request.getIndex()) || !isWithinChunk(request)) {
+			reject(link, request, ChunkStatus.CHUNK_MISSING);
 			return;
 		}
-		// A peer that asks but does not read would fill the send buffer with chunks.
-		if (!link.writable() || !this.uploads.offer(link, new Upload(link, request))) {
-			refuse(link, request, ChunkStatus.CHUNK_BUSY);
+		// A peer that sends requests but does not read replies would fill the send
+		// buffer.
+		if (!link.writable() || !this.uploadQueue.offer(link, new Upload(link, request))) {
+			reject(link, request, ChunkStatus.CHUNK_BUSY);
 			return;
 		}
-		pump();
+		startUploads();
 	}
 
-	private boolean within(ChunkRequest request) {
-		int length = this.shelf.length(request.getFile(), request.getIndex());
+	private boolean isWithinChunk(ChunkRequest request) {
+		int length = this.verifiedChunks.chunkLength(request.getFile(), request.getIndex());
 		return request.getOffset() >= 0 && request.getLength() >= 0 && request.getOffset() < length
 				&& request.getLength() <= length - request.getOffset();
 	}
 
-	void closed(Link link) {
-		this.watchers.remove(link);
-		this.uploads.drop(link);
-		this.replies.drop(link);
+	void linkClosed(Link link) {
+		this.subscriptions.remove(link);
+		this.uploadQueue.drop(link);
+		this.replyPacer.removeLink(link);
 	}
 
-	private void pump() {
-		while (this.held < HELD) {
-			Optional<Upload> next = this.uploads.next();
+	private void startUploads() {
+		while (this.activeUploads < MAX_ACTIVE_UPLOADS) {
+			Optional<Upload> next = this.uploadQueue.next();
 			if (next.isEmpty()) {
 				return;
 			}
@@ -156,69 +158,69 @@
 	private void upload(Upload upload) {
 		String file = upload.request.getFile();
 		int index = upload.request.getIndex();
-		if (!this.shelf.held(file).get(index)) {
-			refuse(upload.link, upload.request, ChunkStatus.CHUNK_MISSING);
+		if (!this.verifiedChunks.chunks(file).get(index)) {
+			reject(upload.link, upload.request, ChunkStatus.CHUNK_MISSING);
 			return;
 		}
-		String hash = this.shelf.hash(file, index);
-		this.held++;
-		byte[] kept = this.kept.get(hash);
-		if (kept != null) {
-			finish(upload, Optional.of(kept), true);
+		String hash = this.verifiedChunks.chunkHash(file, index);
+		this.activeUploads++;
+		byte[] cached = this.chunkCache.get(hash);
+		if (cached != null) {
+			chunkRead(upload, Optional.of(cached), true);
 			return;
 		}
-		this.context.store().get(file, index).whenComplete((found, failure) -> this.thread.compute(() -> {
+		this.context.store().get(file, index).whenComplete((found, failure) -> this.thread.executeHashing(() -> {
 			Optional<byte[]> bytes = (failure != null) ? Optional.empty() : found;
-			boolean good = bytes.isPresent() && ChunkShelf.matches(bytes.get(), hash);
-			this.thread.run(() -> finish(upload, good ? bytes : Optional.empty(), failure == null));
+			boolean valid = bytes.isPresent() && VerifiedChunks.matches(bytes.get(), hash);
+			this.thread.execute(() -> chunkRead(upload, valid ? bytes : Optional.empty(), failure == null));
 		}));
 	}
 
-	private void finish(Upload upload, Optional<byte[]> bytes, boolean answered) {
+	private void chunkRead(Upload upload, Optional<byte[]> bytes, boolean readSucceeded) {
 		if (bytes.isPresent()) {
-			keep(upload, bytes.get());
-			PacedReplies.Sending sending = new PacedReplies.Sending(upload.link, upload.request, bytes.get());
-			this.meters.toPeers().increment(sending.length());
-			this.replies.add(sending);
+			addToCache(upload, bytes.get());
+			ReplyPacer.OutgoingChunk outgoing = new ReplyPacer.OutgoingChunk(upload.link, upload.request, bytes.get());
+			this.metrics.bytesToPeers().increment(outgoing.remainingBytes());
+			this.replyPacer.add(outgoing);
 			return;
 		}
-		if (answered) {
+		if (readSucceeded) {
 			LOG.log(Level.WARNING,
 					STORED_CORRUPT.name() + ": " + upload.request.getFile() + " chunk " + upload.request.getIndex());
-			this.thread.lost(upload.request.getFile(), upload.request.getIndex());
+			this.thread.onChunkLost(upload.request.getFile(), upload.request.getIndex());
 		}
-		refuse(upload.link, upload.request, ChunkStatus.CHUNK_MISSING);
-		released();
+		reject(upload.link, upload.request, ChunkStatus.CHUNK_MISSING);
+		uploadEnded();
 	}
 
-	// The parts of a chunk are asked for one by one, and each would cost a reading and a
-	// hash.
-	private void keep(Upload upload, byte[] bytes) {
-		this.kept.put(this.shelf.hash(upload.request.getFile(), upload.request.getIndex()), bytes);
-		Iterator<byte[]> oldest = this.kept.values().iterator();
-		while (this.kept.size() > 1 && (long) this.kept.size() * bytes.length > KEPT_BYTES) {
+	// Peers request a chunk part by part; without the cache each part would cost a read
+	// from the store and a hash.
+	private void addToCache(Upload upload, byte[] bytes) {
+		this.chunkCache.put(this.verifiedChunks.chunkHash(upload.request.getFile(), upload.request.getIndex()), bytes);
+		Iterator<byte[]> oldest = this.chunkCache.values().iterator();
+		while (this.chunkCache.size() > 1 && (long) this.chunkCache.size() * bytes.length > MAX_CACHED_BYTES) {
 			oldest.next();
 			oldest.remove();
 		}
 	}
 
-	private void released() {
-		this.held--;
-		pump();
+	private void uploadEnded() {
+		this.activeUploads--;
+		startUploads();
 	}
 
-	private void refuse(Link link, ChunkRequest request, ChunkStatus status) {
+	private void reject(Link link, ChunkRequest request, ChunkStatus status) {
 		send(link, reply(request, status));
 	}
 
-	private Frame whole(long id, String file) {
+	private Frame fullChunkMap(long id, String file) {
 		ChunkMap map = ChunkMap.newBuilder()
 			.setId(id)
 			.setFile(file)
-			.setChunks(this.shelf.size(file))
-			.setBits(ByteString.copyFrom(this.shelf.held(file).toByteArray()))
+			.setChunks(this.verifiedChunks.chunkCount(file))
+			.setBits(ByteString.copyFrom(this.verifiedChunks.chunks(file).toByteArray()))
 			.build();
-		return this.context.frames().get().setChunkMap(map).build();
+		return this.context.frameFactory().get().setChunkMap(map).build();
 	}
 
 	private Frame reply(ChunkRequest request, ChunkStatus status) {
@@ -227,11 +229,11 @@
 			.setIndex(request.getIndex())
 			.setStatus(status)
 			.build();
-		return this.context.frames().get().setChunkReply(reply).build();
+		return this.context.frameFactory().get().setChunkReply(reply).build();
 	}
 
 	private void send(Link link, Frame frame) {
-		link.send(this.meters.counted(frame));
+		link.send(this.metrics.countControl(frame));
 	}
 
 	private record Upload(Link link, ChunkRequest request) {
--- a/agent/src/main/java/org/wisteriapost/agent/transfer/Fetch.java
+++ b/agent/src/main/java/org/wisteriapost/agent/transfer/Fetch.java
@@ -24,8 +24,8 @@
 import org.wisteriapost.protocol.outside.VmList;
 
 /**
- * Carries out one fetch's effects. Used by the transfer's thread, but for where it says
- * otherwise.
+ * Executes the effects of one fetch's {@link TransferMachine}. Confined to the transfer
+ * thread unless a method says otherwise.
  */
 final class Fetch implements PeerLinks.Receiver {
 
@@ -37,75 +37,75 @@
 
 	private final TransferThread thread;
 
-	private final TransferMeters meters;
+	private final TransferMetrics metrics;
 
-	private final ChunkShelf shelf;
+	private final VerifiedChunks verifiedChunks;
 
 	private final ChunkServer server;
 
-	private final Pieces pieces;
+	private final Pieces chunks;
 
-	private final TransferMachine machine;
+	private final TransferMachine stateMachine;
 
 	private final PeerLinks links;
 
 	private final CompletableFuture<Void> result;
 
-	private final Map<Integer, byte[]> arrived = new HashMap<>();
+	private final Map<Integer, byte[]> unstoredChunks = new HashMap<>();
 
-	private final ScheduledFuture<?> ticks;
+	private final ScheduledFuture<?> tickTimer;
 
 	private boolean stopped;
 
-	private volatile int verified;
+	private volatile int verifiedCount;
 
-	Fetch(TransferContext context, TransferThread thread, TransferMeters meters, ChunkShelf shelf, ChunkServer server,
-			Pieces pieces, TransferLimits limits, CompletableFuture<Void> result) {
+	Fetch(TransferContext context, TransferThread thread, TransferMetrics metrics, VerifiedChunks verifiedChunks,
+			ChunkServer server, Pieces chunks, TransferLimits limits, CompletableFuture<Void> result) {
 		this.context = context;
 		this.thread = thread;
-		this.meters = meters;
-		this.shelf = shelf;
+		this.metrics = metrics;
+		this.verifiedChunks = verifiedChunks;
 		this.server = server;
-		this.pieces = pieces;
+		this.chunks = chunks;
 		this.result = result;
 		long seed = System.nanoTime() ^ context.vm().hashCode();
-		this.machine = TransferMachine.create(pieces, new Peer(context.vm(), context.place()), limits,
+		this.stateMachine = TransferMachine.create(chunks, new Peer(context.vm(), context.failureDomain()), limits,
 				RandomSource.XO_RO_SHI_RO_128_PP.create(seed), Invariants.create());
-		this.links = new PeerLinks(context, thread, meters, pieces, this);
-		this.ticks = context.timer()
-			.scheduleWithFixedDelay(() -> thread.runIfCalm(() -> event(new TransferEvent.Tick())), TICK_MILLIS,
+		this.links = new PeerLinks(context, thread, metrics, chunks, this);
+		this.tickTimer = context.timer()
+			.scheduleWithFixedDelay(() -> thread.tryExecute(() -> event(new TransferEvent.Tick())), TICK_MILLIS,
 					TICK_MILLIS, TimeUnit.MILLISECONDS);
 	}
 
-	Pieces pieces() {
-		return this.pieces;
+	Pieces chunks() {
+		return this.chunks;
 	}
 
 	/**
-	 * Returns how many pieces are verified and stored; for any thread.
+	 * Returns how many chunks are verified and stored. Safe for use by any thread.
 	 */
-	int verified() {
-		return this.verified;
+	int verifiedCount() {
+		return this.verifiedCount;
 	}
 
 	boolean stopped() {
 		return this.stopped;
 	}
 
-	void peers(List<VmList.Vm> agents) {
-		event(new TransferEvent.PeersSeen(this.links.meet(agents)));
+	void updatePeers(List<VmList.Vm> agents) {
+		event(new TransferEvent.PeersSeen(this.links.updatePeers(agents)));
 	}
 
 	void start(BitSet held) {
-		held.stream().forEach((piece) -> this.shelf.add(this.pieces.digest(piece), this.pieces.index(piece)));
+		held.stream().forEach((chunk) -> this.verifiedChunks.add(this.chunks.digest(chunk), this.chunks.index(chunk)));
 		event(new TransferEvent.Held(held));
 	}
 
 	void stop() {
 		this.stopped = true;
-		this.ticks.cancel(false);
+		this.tickTimer.cancel(false);
 		this.links.close();
-		this.arrived.clear();
+		this.unstoredChunks.clear();
 	}
 
 	@Override
@@ -113,93 +113,96 @@
 		if (this.stopped) {
 			return;
 		}
-		List<TransferEffect> effects = this.machine.apply(event, System.nanoTime());
-		this.verified = this.machine.verified();
-		effects.forEach(this::carryOut);
+		List<TransferEffect> effects = this.stateMachine.apply(event, System.nanoTime());
+		this.verifiedCount = this.stateMachine.verified();
+		effects.forEach(this::execute);
 	}
 
-	// Hashed before the machine hears of it: wrong bytes are gone before anything could
-	// store them or pass them on.
+	// Hashes the chunk before the state machine receives it, so that corrupt bytes are
+	// neither stored nor sent to peers.
 	@Override
-	public void bytes(int piece, String vm, byte[] bytes) {
-		this.thread.compute(() -> {
-			boolean good = ChunkShelf.matches(bytes, this.pieces.hash(piece));
-			this.thread.run(() -> arrive(piece, vm, bytes, good));
+	public void chunkReceived(int chunk, String vm, byte[] bytes) {
+		this.thread.executeHashing(() -> {
+			boolean valid = VerifiedChunks.matches(bytes, this.chunks.hash(chunk));
+			this.thread.execute(() -> chunkHashed(chunk, vm, bytes, valid));
 		});
 	}
 
-	private void arrive(int piece, String source, byte[] bytes, boolean good) {
-		if (!good) {
-			event(new TransferEvent.Corrupt(piece, source));
+	private void chunkHashed(int chunk, String source, byte[] bytes, boolean valid) {
+		if (!valid) {
+			event(new TransferEvent.Corrupt(chunk, source));
 			return;
 		}
 		boolean origin = source.equals(TransferMachine.ORIGIN);
-		(origin ? this.meters.fromOrigin() : this.meters.fromPeers()).increment(bytes.length);
-		this.arrived.put(piece, bytes);
-		event(new TransferEvent.Verified(piece, source));
-		this.arrived.remove(piece);
+		(origin ? this.metrics.bytesFromOrigin() : this.metrics.bytesFromPeers()).increment(bytes.length);
+		this.unstoredChunks.put(chunk, bytes);
+		event(new TransferEvent.Verified(chunk, source));
+		this.unstoredChunks.remove(chunk);
 	}
 
-	private void carryOut(TransferEffect effect) {
+	private void execute(TransferEffect effect) {
 		switch (effect) {
 			case TransferEffect.Connect connect -> this.links.connect(connect.vm());
 			case TransferEffect.Disconnect disconnect -> this.links.disconnect(disconnect.vm());
 			case TransferEffect.Request request -> this.links.request(request);
-			case TransferEffect.Drop drop -> this.links.drop(drop.vm(), drop.piece());
+			case TransferEffect.Drop drop -> this.links.discardParts(drop.vm(), drop.piece());
 			case TransferEffect.ReadOrigin read -> readOrigin(read.piece());
-			case TransferEffect.Store store -> store(store.piece(), this.arrived.get(store.piece()));
+			case TransferEffect.Store store -> store(store.piece(), this.unstoredChunks.get(store.piece()));
 			case TransferEffect.Copy copy -> copy(copy.from(), copy.to());
 			case TransferEffect.Announce announce -> announce(announce.pieces());
 			case TransferEffect.Complete complete -> complete();
-			case TransferEffect.Changed changed -> fail(CodedException.of(Origin.CHANGED, at(changed.piece())));
-			case TransferEffect.Fail fail -> fail(CodedException.of(fail.code(), at(fail.piece())));
+			case TransferEffect.Changed changed -> fail(CodedException.of(Origin.CHANGED, describe(changed.piece())));
+			case TransferEffect.Fail fail -> fail(CodedException.of(fail.code(), describe(fail.piece())));
 			case TransferEffect.Notice notice -> notice(notice);
 		}
 	}
 
-	private void readOrigin(int piece) {
-		long offset = (long) this.pieces.index(piece) * this.pieces.file(piece).chunkBytes();
+	private void readOrigin(int chunk) {
+		long offset = (long) this.chunks.index(chunk) * this.chunks.file(chunk).chunkBytes();
 		this.context.origin()
-			.read(this.pieces.file(piece).path(), this.pieces.file(piece).etag(), offset, this.pieces.length(piece))
+			.read(this.chunks.file(chunk).path(), this.chunks.file(chunk).etag(), offset, this.chunks.length(chunk))
 			.whenComplete((bytes, failure) -> {
 				if (failure == null) {
-					bytes(piece, TransferMachine.ORIGIN, bytes);
+					chunkReceived(chunk, TransferMachine.ORIGIN, bytes);
 					return;
 				}
 				boolean changed = cause(failure) instanceof CodedException coded && coded.code().equals(Origin.CHANGED);
-				this.thread.run(() -> event(new TransferEvent.OriginFailed(piece, changed)));
+				this.thread.execute(() -> event(new TransferEvent.OriginFailed(chunk, changed)));
 			});
 	}
 
-	private void store(int piece, byte[] bytes) {
-		put(this.context.store().put(this.pieces.digest(piece), this.pieces.index(piece), bytes), piece);
+	private void store(int chunk, byte[] bytes) {
+		completeStore(this.context.store().put(this.chunks.digest(chunk), this.chunks.index(chunk), bytes), chunk);
 	}
 
 	private void copy(int from, int to) {
-		put(this.context.store().get(this.pieces.digest(from), this.pieces.index(from)).thenCompose((bytes) -> {
-			byte[] found = bytes.filter((some) -> ChunkShelf.matches(some, this.pieces.hash(to))).orElseThrow();
-			return this.context.store().put(this.pieces.digest(to), this.pieces.index(to), found);
-		}), to);
+		completeStore(
+				this.context.store().get(this.chunks.digest(from), this.chunks.index(from)).thenCompose((bytes) -> {
+					byte[] found = bytes.filter((some) -> VerifiedChunks.matches(some, this.chunks.hash(to)))
+						.orElseThrow();
+					return this.context.store().put(this.chunks.digest(to), this.chunks.index(to), found);
+				}), to);
 	}
 
-	private void put(CompletableFuture<Void> put, int piece) {
-		put.whenComplete((none, failure) -> this.thread.run(() -> {
+	private void completeStore(CompletableFuture<Void> put, int chunk) {
+		put.whenComplete((none, failure) -> this.thread.execute(() -> {
 			if (failure != null) {
-				LOG.log(Level.WARNING, "chunk-not-stored: " + at(piece) + ": " + cause(failure).getMessage());
-				event(new TransferEvent.Lost(piece));
+				LOG.log(Level.WARNING, "chunk-not-stored: " + describe(chunk) + ": " + cause(failure).getMessage());
+				event(new TransferEvent.Lost(chunk));
 				return;
 			}
-			this.shelf.add(this.pieces.digest(piece), this.pieces.index(piece));
-			event(new TransferEvent.Stored(piece));
+			this.verifiedChunks.add(this.chunks.digest(chunk), this.chunks.index(chunk));
+			event(new TransferEvent.Stored(chunk));
 		}));
 	}
 
 	private void announce(BitSet added) {
-		for (int number = 0; number < this.pieces.files().size(); number++) {
-			int first = this.pieces.firstOf(number);
-			BitSet chunks = added.get(first, first + this.pieces.files().get(number).chunks().size());
-			if (!chunks.isEmpty()) {
-				this.server.announce(this.pieces.digestOfFile(number), chunks);
+		for (int fileNumber = 0; fileNumber < this.chunks.files().size(); fileNumber++) {
+			int firstChunk = this.chunks.firstOf(fileNumber);
+			BitSet addedToFile = added.get(firstChunk,
+					firstChunk + this.chunks.files().get(fileNumber).chunks().size());
+			if (!addedToFile.isEmpty()) {
+				this.server.announce(this.chunks.digestOfFile(fileNumber), addedToFile);
 			}
 		}
 	}
@@ -216,12 +219,12 @@
 	}
 
 	private void notice(TransferEffect.Notice notice) {
-		this.meters.notices().increment();
-		LOG.log(Level.WARNING, notice.code().name() + ": " + notice.source() + ", " + at(notice.piece()));
+		this.metrics.notices().increment();
+		LOG.log(Level.WARNING, notice.code().name() + ": " + notice.source() + ", " + describe(notice.piece()));
 	}
 
-	private String at(int piece) {
-		return this.pieces.file(piece).path() + " chunk " + this.pieces.index(piece);
+	private String describe(int chunk) {
+		return this.chunks.file(chunk).path() + " chunk " + this.chunks.index(chunk);
 	}
 
 	private static Throwable cause(Throwable failure) {
--- a/agent/src/main/java/org/wisteriapost/agent/transfer/OriginTransfer.java
+++ b/agent/src/main/java/org/wisteriapost/agent/transfer/OriginTransfer.java
@@ -19,7 +19,7 @@
 import org.wisteriapost.protocol.wire.Frame;
 
 /**
- * Reads every chunk from the origin, one at a time, and gives none to peers.
+ * Reads every chunk from the origin, one at a time, and serves none to peers.
  */
 final class OriginTransfer implements Transfer {
 
@@ -32,9 +32,9 @@
 
 	private final TransferContext context;
 
-	private final AtomicLong verified = new AtomicLong();
+	private final AtomicLong verifiedChunks = new AtomicLong();
 
-	private volatile long total;
+	private volatile long totalChunks;
 
 	private volatile CompletableFuture<Void> current = CompletableFuture.completedFuture(null);
 
@@ -49,15 +49,15 @@
 	@Override
 	public synchronized CompletableFuture<Void> fetch(List<WeightFile> files) {
 		this.current.cancel(false);
-		this.verified.set(0);
-		this.total = files.stream().mapToLong((file) -> file.chunks().size()).sum();
+		this.verifiedChunks.set(0);
+		this.totalChunks = files.stream().mapToLong((file) -> file.chunks().size()).sum();
 		CompletableFuture<Void> result = new CompletableFuture<>();
 		this.current = result;
-		nextFile(files, 0, result);
+		fetchFile(files, 0, result);
 		return result;
 	}
 
-	private void nextFile(List<WeightFile> files, int index, CompletableFuture<Void> result) {
+	private void fetchFile(List<WeightFile> files, int index, CompletableFuture<Void> result) {
 		if (index == files.size()) {
 			result.complete(null);
 			return;
@@ -65,36 +65,36 @@
 		WeightFile file = files.get(index);
 		this.context.store().held(file.digest()).whenComplete((held, failure) -> {
 			if (failure != null) {
-				again(result, failure, () -> nextFile(files, index, result));
+				retryUnlessChanged(result, failure, () -> fetchFile(files, index, result));
 				return;
 			}
-			CompletableFuture<Void> whole = new CompletableFuture<>();
-			whole.whenComplete((none, broken) -> {
+			CompletableFuture<Void> fileFetched = new CompletableFuture<>();
+			fileFetched.whenComplete((none, broken) -> {
 				if (broken != null) {
 					result.completeExceptionally(broken);
 					return;
 				}
-				nextFile(files, index + 1, result);
+				fetchFile(files, index + 1, result);
 			});
-			nextChunk(file, held, 0, whole, result);
+			fetchChunk(file, held, 0, fileFetched, result);
 		});
 	}
 
-	private void nextChunk(WeightFile file, BitSet held, int from, CompletableFuture<Void> whole,
+	private void fetchChunk(WeightFile file, BitSet held, int from, CompletableFuture<Void> fileFetched,
 			CompletableFuture<Void> result) {
 		int index = held.nextClearBit(from);
-		this.verified.addAndGet(Math.min(index, file.chunks().size()) - from);
+		this.verifiedChunks.addAndGet(Math.min(index, file.chunks().size()) - from);
 		if (result.isDone() || index >= file.chunks().size()) {
-			whole.complete(null);
+			fileFetched.complete(null);
 			return;
 		}
 		read(file, index).whenComplete((none, failure) -> {
 			if (failure != null) {
-				again(result, failure, () -> nextChunk(file, held, index, whole, result));
+				retryUnlessChanged(result, failure, () -> fetchChunk(file, held, index, fileFetched, result));
 				return;
 			}
-			this.verified.incrementAndGet();
-			nextChunk(file, held, index + 1, whole, result);
+			this.verifiedChunks.incrementAndGet();
+			fetchChunk(file, held, index + 1, fileFetched, result);
 		});
 	}
 
@@ -103,8 +103,8 @@
 		return this.context.origin()
 			.read(file.path(), file.etag(), offset, file.chunkLength(index))
 			.thenCompose((bytes) -> {
-				// A chunk that went bad on the way would be served as weights: hashed
-				// before it is stored, it never reaches the engine.
+				// Hashed before it is stored, so that a chunk corrupted in transit never
+				// reaches the engine.
 				if (!Digests.sha256(bytes).equals(file.chunks().get(index))) {
 					throw CodedException.of(CHUNK_CORRUPT, file.path() + " chunk " + index);
 				}
@@ -112,7 +112,7 @@
 			});
 	}
 
-	private void again(CompletableFuture<Void> result, Throwable failure, Runnable retry) {
+	private void retryUnlessChanged(CompletableFuture<Void> result, Throwable failure, Runnable retry) {
 		Throwable cause = (failure instanceof CompletionException && failure.getCause() != null) ? failure.getCause()
 				: failure;
 		if (cause instanceof CodedException coded && coded.code().equals(Origin.CHANGED)) {
@@ -127,20 +127,20 @@
 
 	@Override
 	public CompletableFuture<Boolean> verify(List<WeightFile> files) {
-		CompletableFuture<Boolean> all = CompletableFuture.completedFuture(true);
+		CompletableFuture<Boolean> allValid = CompletableFuture.completedFuture(true);
 		for (WeightFile file : files) {
 			for (int index = 0; index < file.chunks().size(); index++) {
 				String hash = file.chunks().get(index);
-				all = all.thenCombine(this.context.store().get(file.digest(), index),
+				allValid = allValid.thenCombine(this.context.store().get(file.digest(), index),
 						(good, bytes) -> good && bytes.map((some) -> Digests.sha256(some).equals(hash)).orElse(false));
 			}
 		}
-		return all;
+		return allValid;
 	}
 
 	@Override
 	public Progress progress() {
-		return new Progress(this.verified.get(), this.total);
+		return new Progress(this.verifiedChunks.get(), this.totalChunks);
 	}
 
 	@Override
--- a/agent/src/main/java/org/wisteriapost/agent/transfer/OriginTransfers.java
+++ b/agent/src/main/java/org/wisteriapost/agent/transfer/OriginTransferProvider.java
@@ -1,9 +1,9 @@
 package org.wisteriapost.agent.transfer;
 
 /**
- * The policy {@code naive}: every chunk from the origin. The baseline of measurements.
+ * The policy {@code naive}: reads every chunk from the origin. Baseline for benchmarks.
  */
-public final class OriginTransfers implements TransferProvider {
+public final class OriginTransferProvider implements TransferProvider {
 
 	@Override
 	public String name() {
--- a/agent/src/main/java/org/wisteriapost/agent/transfer/PeerLinks.java
+++ b/agent/src/main/java/org/wisteriapost/agent/transfer/PeerLinks.java
@@ -23,8 +23,8 @@
 import org.wisteriapost.protocol.wire.Frame;
 
 /**
- * The links that this VM makes to fetch chunks for one fetch. Used by the transfer's
- * thread, but for what a link's handler does.
+ * Links that this VM opens to peers for one fetch. Confined to the transfer thread,
+ * except for the callbacks of a link's handler.
  */
 final class PeerLinks {
 
@@ -32,34 +32,35 @@
 
 	private final TransferThread thread;
 
-	private final TransferMeters meters;
+	private final TransferMetrics metrics;
 
-	private final Pieces pieces;
+	private final Pieces chunks;
 
 	private final Receiver receiver;
 
 	private final Map<String, PeerLink> links = new HashMap<>();
 
-	private Map<String, VmList.Vm> addresses = Map.of();
+	private Map<String, VmList.Vm> agents = Map.of();
 
 	private long nextId = 1;
 
-	PeerLinks(TransferContext context, TransferThread thread, TransferMeters meters, Pieces pieces, Receiver receiver) {
+	PeerLinks(TransferContext context, TransferThread thread, TransferMetrics metrics, Pieces chunks,
+			Receiver receiver) {
 		this.context = context;
 		this.thread = thread;
-		this.meters = meters;
-		this.pieces = pieces;
+		this.metrics = metrics;
+		this.chunks = chunks;
 		this.receiver = receiver;
 	}
 
 	/**
-	 * Takes the live VMs and returns those that need the same files as this VM.
+	 * Sets the live agents and returns those that need the same files as this VM.
 	 */
-	List<Peer> meet(List<VmList.Vm> agents) {
-		Map<String, VmList.Vm> known = new HashMap<>();
-		agents.forEach((vm) -> known.put(vm.vm(), vm));
-		this.addresses = known;
-		String service = Optional.ofNullable(known.get(this.context.vm())).map(VmList.Vm::service).orElse("");
+	List<Peer> updatePeers(List<VmList.Vm> agents) {
+		Map<String, VmList.Vm> byVm = new HashMap<>();
+		agents.forEach((vm) -> byVm.put(vm.vm(), vm));
+		this.agents = byVm;
+		String service = Optional.ofNullable(byVm.get(this.context.vm())).map(VmList.Vm::service).orElse("");
 		return agents.stream()
 			.filter((vm) -> !vm.vm().equals(this.context.vm()) && !vm.leaving())
 			.filter((vm) -> service.isEmpty() || vm.service().equals(service))
@@ -68,17 +69,19 @@
 	}
 
 	void connect(String vm) {
-		VmList.Vm at = this.addresses.get(vm);
-		if (at == null) {
+		VmList.Vm agent = this.agents.get(vm);
+		if (agent == null) {
 			this.receiver.event(new TransferEvent.LinkDown(vm));
 			return;
 		}
 		PeerLink link = new PeerLink(vm);
 		this.links.put(vm, link);
-		this.context.links().connect(new InetSocketAddress(at.host(), at.linkPort()), link).exceptionally((failure) -> {
-			this.thread.run(() -> down(link));
-			return null;
-		});
+		this.context.links()
+			.connect(new InetSocketAddress(agent.host(), agent.linkPort()), link)
+			.exceptionally((failure) -> {
+				this.thread.execute(() -> linkDown(link));
+				return null;
+			});
 	}
 
 	void disconnect(String vm) {
@@ -100,63 +103,63 @@
 	}
 
 	/**
-	 * Forgets what has come of a piece from a peer.
+	 * Discards the parts of a chunk that were received from a peer.
 	 */
-	void drop(String vm, int piece) {
+	void discardParts(String vm, int chunk) {
 		PeerLink link = this.links.get(vm);
 		if (link != null) {
-			link.parts.remove(piece);
+			link.partialChunks.remove(chunk);
 		}
 	}
 
-	private void down(PeerLink link) {
+	private void linkDown(PeerLink link) {
 		if (this.links.remove(link.vm, link)) {
 			this.receiver.event(new TransferEvent.LinkDown(link.vm));
 		}
 	}
 
 	/**
-	 * Hears what peers send.
+	 * Receives events and chunks from peers.
 	 */
 	interface Receiver {
 
 		/**
-		 * Hears an event, on the transfer's thread.
+		 * Called on the transfer thread.
 		 */
 		void event(TransferEvent event);
 
 		/**
-		 * Hears the bytes of a piece, on any thread.
+		 * Receives all bytes of a chunk, not yet verified. Called on any thread.
 		 */
-		void bytes(int piece, String vm, byte[] bytes);
+		void chunkReceived(int chunk, String vm, byte[] bytes);
 
 	}
 
-	/** A piece of which the first bytes have come. */
-	private static final class Partial {
+	/** A chunk of which the first bytes have been received. */
+	private static final class PartialChunk {
 
 		private final byte[] bytes;
 
-		private int come;
+		private int receivedBytes;
 
-		private Partial(byte[] bytes) {
+		private PartialChunk(byte[] bytes) {
 			this.bytes = bytes;
 		}
 
 	}
 
 	/**
-	 * A request without an answer.
+	 * A request for a part of a chunk that has not been answered in full.
 	 *
-	 * @param piece of which a part was asked for
-	 * @param whole the piece's length in bytes
-	 * @param offset where the part begins
-	 * @param end where the part ends
+	 * @param chunk the chunk
+	 * @param chunkLength length of the whole chunk in bytes
+	 * @param offset start of the part, inclusive
+	 * @param end end of the part, exclusive
 	 */
-	private record Asked(int piece, int whole, int offset, int end) {
+	private record PendingRequest(int chunk, int chunkLength, int offset, int end) {
 
-		private Asked all() {
-			return new Asked(this.piece, this.whole, 0, this.whole);
+		private PendingRequest wholeChunk() {
+			return new PendingRequest(this.chunk, this.chunkLength, 0, this.chunkLength);
 		}
 
 	}
@@ -165,17 +168,16 @@
 
 		private final String vm;
 
-		// Requests that the machine gave up on stay here until the link closes: a late
-		// answer is still a good piece. Bounded by one entry for each request.
-		private final Map<Long, Asked> asked = new ConcurrentHashMap<>();
+		// Requests that timed out in the state machine stay here until the link closes,
+		// since a late reply is still a usable chunk. At most one entry a request.
+		private final Map<Long, PendingRequest> pendingRequests = new ConcurrentHashMap<>();
 
-		// A peer of an older version sends a piece from its start, whatever part is asked
-		// for. Each part would cost the whole piece; so it is asked for whole pieces once
-		// that shows.
-		private volatile boolean knowsNoParts;
+		// A peer of an older version ignores the offset and sends the whole chunk. Each
+		// requested part would cost a whole chunk, so once that is detected only whole
+		// chunks are requested from it.
+		private volatile boolean ignoresParts;
 
-		// Pieces of which parts have come.
-		private final Map<Integer, Partial> parts = new ConcurrentHashMap<>();
+		private final Map<Integer, PartialChunk> partialChunks = new ConcurrentHashMap<>();
 
 		private volatile Link link;
 
@@ -192,127 +194,132 @@
 				opened.close();
 				return;
 			}
-			send(PeerLinks.this.context.frames().get().setHello(PeerLinks.this.context.hello().get()).build());
-			for (int number = 0; number < PeerLinks.this.pieces.files().size(); number++) {
-				ChunkMapRequest ask = ChunkMapRequest.newBuilder()
-					.setId(number)
-					.setFile(PeerLinks.this.pieces.digestOfFile(number))
+			send(PeerLinks.this.context.frameFactory()
+				.get()
+				.setHello(PeerLinks.this.context.helloFactory().get())
+				.build());
+			for (int fileNumber = 0; fileNumber < PeerLinks.this.chunks.files().size(); fileNumber++) {
+				ChunkMapRequest request = ChunkMapRequest.newBuilder()
+					.setId(fileNumber)
+					.setFile(PeerLinks.this.chunks.digestOfFile(fileNumber))
 					.build();
-				send(PeerLinks.this.context.frames().get().setChunkMapRequest(ask).build());
+				send(PeerLinks.this.context.frameFactory().get().setChunkMapRequest(request).build());
 			}
-			tell(new TransferEvent.LinkUp(this.vm));
+			notifyReceiver(new TransferEvent.LinkUp(this.vm));
 		}
 
 		@Override
 		public void onFrame(Link from, Frame frame) {
 			switch (frame.getBodyCase()) {
-				case CHUNK_MAP -> map(frame.getChunkMap());
-				case CHUNK_REPLY -> reply(frame.getChunkReply());
-				default -> PeerLinks.this.context.rest().accept(from, frame);
+				case CHUNK_MAP -> handleChunkMap(frame.getChunkMap());
+				case CHUNK_REPLY -> handleReply(frame.getChunkReply());
+				default -> PeerLinks.this.context.otherFrameHandler().accept(from, frame);
 			}
 		}
 
 		@Override
-		public void onClosed(Link gone) {
-			PeerLinks.this.thread.run(() -> down(this));
+		public void onClosed(Link closedLink) {
+			PeerLinks.this.thread.execute(() -> linkDown(this));
 		}
 
 		private void request(long id, TransferEffect.Request request) {
-			int piece = request.piece();
-			int whole = PeerLinks.this.pieces.length(piece);
-			int end = (request.length() == 0) ? whole : request.offset() + request.length();
-			Asked part = new Asked(piece, whole, request.offset(), end);
-			Asked wanted = this.knowsNoParts ? part.all() : part;
-			this.asked.put(id, wanted);
-			ChunkRequest ask = ChunkRequest.newBuilder()
+			int chunk = request.piece();
+			int chunkLength = PeerLinks.this.chunks.length(chunk);
+			int end = (request.length() == 0) ? chunkLength : request.offset() + request.length();
+			PendingRequest part = new PendingRequest(chunk, chunkLength, request.offset(), end);
+			PendingRequest pending = this.ignoresParts ? part.wholeChunk() : part;
+			this.pendingRequests.put(id, pending);
+			ChunkRequest message = ChunkRequest.newBuilder()
 				.setId(id)
-				.setFile(PeerLinks.this.pieces.digest(piece))
-				.setIndex(PeerLinks.this.pieces.index(piece))
-				.setOffset(wanted.offset())
-				.setLength((wanted.end() == whole) ? 0 : wanted.end() - wanted.offset())
+				.setFile(PeerLinks.this.chunks.digest(chunk))
+				.setIndex(PeerLinks.this.chunks.index(chunk))
+				.setOffset(pending.offset())
+				.setLength((pending.end() == chunkLength) ? 0 : pending.end() - pending.offset())
 				.build();
-			send(PeerLinks.this.context.frames().get().setChunkRequest(ask).build());
+			send(PeerLinks.this.context.frameFactory().get().setChunkRequest(message).build());
 		}
 
-		private void map(ChunkMap map) {
-			if (map.getId() < 0 || map.getId() >= PeerLinks.this.pieces.files().size()) {
+		private void handleChunkMap(ChunkMap map) {
+			if (map.getId() < 0 || map.getId() >= PeerLinks.this.chunks.files().size()) {
 				return;
 			}
-			int number = (int) map.getId();
-			int size = PeerLinks.this.pieces.files().get(number).chunks().size();
-			int first = PeerLinks.this.pieces.firstOf(number);
+			int fileNumber = (int) map.getId();
+			int chunkCount = PeerLinks.this.chunks.files().get(fileNumber).chunks().size();
+			int firstChunk = PeerLinks.this.chunks.firstOf(fileNumber);
 			BitSet held = new BitSet();
 			BitSet.valueOf(map.getBits().toByteArray())
 				.stream()
-				.filter((index) -> index < size)
-				.forEach((index) -> held.set(first + index));
+				.filter((index) -> index < chunkCount)
+				.forEach((index) -> held.set(firstChunk + index));
 			map.getAddedList()
 				.stream()
-				.filter((index) -> index >= 0 && index < size)
-				.forEach((index) -> held.set(first + index));
-			// Who knows the file says how many chunks it has; a change names those added.
-			boolean idle = map.getChunks() == 0 && held.isEmpty();
-			tell(idle ? new TransferEvent.PeerIdle(this.vm) : new TransferEvent.PeerHolds(this.vm, held));
+				.filter((index) -> index >= 0 && index < chunkCount)
+				.forEach((index) -> held.set(firstChunk + index));
+			// A full map states the file's chunk count, 0 if the peer does not know the
+			// file; an update lists the added chunks.
+			boolean fileUnknown = map.getChunks() == 0 && held.isEmpty();
+			notifyReceiver(
+					fileUnknown ? new TransferEvent.PeerIdle(this.vm) : new TransferEvent.PeerHolds(this.vm, held));
 		}
 
-		// An answer counts only for the request it names: what comes late, twice or for
-		// another piece is dropped here.
-		private void reply(ChunkReply reply) {
+		// Ignores replies that match no pending request, such as duplicates.
+		private void handleReply(ChunkReply reply) {
 			if (reply.getStatus() == ChunkStatus.CHUNK_OK) {
-				part(reply);
+				handlePart(reply);
 				return;
 			}
-			Asked request = this.asked.remove(reply.getId());
+			PendingRequest request = this.pendingRequests.remove(reply.getId());
 			if (request == null) {
 				return;
 			}
 			boolean busy = reply.getStatus() == ChunkStatus.CHUNK_BUSY;
-			tell(new TransferEvent.Refused(request.piece(), this.vm, busy));
+			notifyReceiver(new TransferEvent.Refused(request.chunk(), this.vm, busy));
 		}
 
-		// Whether the bytes are right is seen by their hash; here only that they fit.
-		private void part(ChunkReply reply) {
-			Asked request = this.asked.get(reply.getId());
+		// Checks only that the part fits into the chunk; the hash check comes later.
+		private void handlePart(ChunkReply reply) {
+			PendingRequest request = this.pendingRequests.get(reply.getId());
 			if (request == null) {
 				return;
 			}
-			int piece = request.piece();
-			int whole = request.whole();
+			int chunk = request.chunk();
+			int chunkLength = request.chunkLength();
 			int end = reply.getOffset() + reply.getData().size();
-			if (reply.getLength() != whole || reply.getOffset() < 0 || end > whole) {
-				this.asked.remove(reply.getId());
-				PeerLinks.this.receiver.bytes(piece, this.vm, reply.getData().toByteArray());
+			if (reply.getLength() != chunkLength || reply.getOffset() < 0 || end > chunkLength) {
+				this.pendingRequests.remove(reply.getId());
+				PeerLinks.this.receiver.chunkReceived(chunk, this.vm, reply.getData().toByteArray());
 				return;
 			}
 			if (reply.getOffset() < request.offset()) {
-				this.knowsNoParts = true;
-				request = request.all();
-				this.asked.put(reply.getId(), request);
-				this.parts.remove(piece);
+				this.ignoresParts = true;
+				request = request.wholeChunk();
+				this.pendingRequests.put(reply.getId(), request);
+				this.partialChunks.remove(chunk);
 			}
-			Partial partial = this.parts.computeIfAbsent(piece, (number) -> new Partial(new byte[whole]));
-			if (reply.getOffset() > partial.come) {
-				// What came before was forgotten meanwhile.
-				this.asked.remove(reply.getId());
-				tell(new TransferEvent.Refused(piece, this.vm, true));
+			PartialChunk partial = this.partialChunks.computeIfAbsent(chunk,
+					(key) -> new PartialChunk(new byte[chunkLength]));
+			if (reply.getOffset() > partial.receivedBytes) {
+				// The parts before this one have been discarded meanwhile.
+				this.pendingRequests.remove(reply.getId());
+				notifyReceiver(new TransferEvent.Refused(chunk, this.vm, true));
 				return;
 			}
 			reply.getData().copyTo(partial.bytes, reply.getOffset());
-			partial.come = Math.max(partial.come, end);
+			partial.receivedBytes = Math.max(partial.receivedBytes, end);
 			if (end < request.end()) {
 				return;
 			}
-			this.asked.remove(reply.getId());
-			if (request.end() < whole) {
-				tell(new TransferEvent.PartCame(piece, this.vm, request.end()));
+			this.pendingRequests.remove(reply.getId());
+			if (request.end() < chunkLength) {
+				notifyReceiver(new TransferEvent.PartCame(chunk, this.vm, request.end()));
 				return;
 			}
-			this.parts.remove(piece);
-			PeerLinks.this.receiver.bytes(piece, this.vm, partial.bytes);
+			this.partialChunks.remove(chunk);
+			PeerLinks.this.receiver.chunkReceived(chunk, this.vm, partial.bytes);
 		}
 
-		private void tell(TransferEvent event) {
-			PeerLinks.this.thread.run(() -> {
+		private void notifyReceiver(TransferEvent event) {
+			PeerLinks.this.thread.execute(() -> {
 				if (PeerLinks.this.links.get(this.vm) == this) {
 					PeerLinks.this.receiver.event(event);
 				}
@@ -322,7 +329,7 @@
 		private void send(Frame frame) {
 			Link to = this.link;
 			if (to != null) {
-				to.send(PeerLinks.this.meters.counted(frame));
+				to.send(PeerLinks.this.metrics.countControl(frame));
 			}
 		}
 
--- a/agent/src/main/java/org/wisteriapost/agent/transfer/PeerTransfer.java
+++ b/agent/src/main/java/org/wisteriapost/agent/transfer/PeerTransfer.java
@@ -19,33 +19,33 @@
 import org.wisteriapost.protocol.wire.Frame;
 
 /**
- * Fetches chunks from peers and, for its own share, from the origin, and serves what it
- * holds.
+ * Fetches chunks from peers and, for the share assigned to this VM, from the origin, and
+ * serves verified chunks to peers.
  */
 final class PeerTransfer implements Transfer {
 
 	private static final Code CHUNK_TOO_LARGE = Code.error("chunk-too-large",
 			"A weight file's chunks do not fit into a message between peers.");
 
-	private static final int FRAME_HEAD_BYTES = 64 << 10;
+	private static final int FRAME_OVERHEAD_BYTES = 64 << 10;
 
 	private final TransferContext context;
 
 	private final TransferOptions options;
 
-	private final TransferThread thread = new TransferThread(this::lost);
+	private final TransferThread thread = new TransferThread(this::chunkLost);
 
-	private final ChunkShelf shelf = new ChunkShelf();
+	private final VerifiedChunks verifiedChunks = new VerifiedChunks();
 
-	private final TransferMeters meters;
+	private final TransferMetrics metrics;
 
 	private final ChunkServer server;
 
 	private Optional<List<VmList.Vm>> agents = Optional.empty();
 
-	private Optional<Runnable> waiting = Optional.empty();
+	private Optional<Runnable> pendingStart = Optional.empty();
 
-	private double lateness;
+	private double lateShare;
 
 	private boolean idle;
 
@@ -54,8 +54,9 @@
 	private PeerTransfer(TransferContext context, TransferOptions options) {
 		this.context = context;
 		this.options = options;
-		this.meters = TransferMeters.in(context.meters());
-		this.server = new ChunkServer(context, this.thread, this.meters, this.shelf, options.uploadsWaiting());
+		this.metrics = TransferMetrics.create(context.meterRegistry());
+		this.server = new ChunkServer(context, this.thread, this.metrics, this.verifiedChunks,
+				options.maxQueuedUploads());
 	}
 
 	static PeerTransfer start(TransferContext context, TransferOptions options) {
@@ -67,115 +68,115 @@
 	@Override
 	public CompletableFuture<Void> fetch(List<WeightFile> files) {
 		CompletableFuture<Void> result = new CompletableFuture<>();
-		Optional<WeightFile> large = files.stream()
-			.filter((file) -> file.chunkBytes() > Links.MAX_FRAME_BYTES - FRAME_HEAD_BYTES)
+		Optional<WeightFile> oversized = files.stream()
+			.filter((file) -> file.chunkBytes() > Links.MAX_FRAME_BYTES - FRAME_OVERHEAD_BYTES)
 			.findFirst();
-		if (large.isPresent()) {
-			return CompletableFuture.failedFuture(CodedException.of(CHUNK_TOO_LARGE, large.get().path()));
+		if (oversized.isPresent()) {
+			return CompletableFuture.failedFuture(CodedException.of(CHUNK_TOO_LARGE, oversized.get().path()));
 		}
-		this.thread.run(() -> begin(Pieces.of(files), result));
+		this.thread.execute(() -> startFetch(Pieces.of(files), result));
 		return result;
 	}
 
-	private void begin(Pieces pieces, CompletableFuture<Void> result) {
+	private void startFetch(Pieces chunks, CompletableFuture<Void> result) {
 		if (this.current != null) {
 			this.current.stop();
 		}
-		BitSet known = known(pieces);
-		for (int number = 0; number < pieces.files().size(); number++) {
-			this.shelf.know(pieces.digestOfFile(number), pieces.files().get(number));
-			this.server.begun(pieces.digestOfFile(number));
+		BitSet verified = alreadyVerified(chunks);
+		for (int fileNumber = 0; fileNumber < chunks.files().size(); fileNumber++) {
+			this.verifiedChunks.addFile(chunks.digestOfFile(fileNumber), chunks.files().get(fileNumber));
+			this.server.fetchStarted(chunks.digestOfFile(fileNumber));
 		}
-		Fetch fetch = new Fetch(this.context, this.thread, this.meters, this.shelf, this.server, pieces,
+		Fetch fetch = new Fetch(this.context, this.thread, this.metrics, this.verifiedChunks, this.server, chunks,
 				this.options.limits(), result);
 		this.current = fetch;
 		fetch.event(new TransferEvent.RateSet(rate()));
 		result.whenComplete((none, failure) -> {
 			if (result.isCancelled()) {
-				this.thread.run(fetch::stop);
+				this.thread.execute(fetch::stop);
 			}
 		});
-		ReadBack readBack = new ReadBack(this.context.store(), this.thread, pieces);
-		readBack.held(known).thenAccept((found) -> this.thread.run(() -> {
-			found.or(known);
-			copy(fetch, readBack, found);
+		StoreScanner scanner = new StoreScanner(this.context.store(), this.thread, chunks);
+		scanner.findValidChunks(verified).thenAccept((found) -> this.thread.execute(() -> {
+			found.or(verified);
+			copyFromOtherFiles(fetch, scanner, found);
 		}));
 	}
 
 	@Override
 	public CompletableFuture<Boolean> verify(List<WeightFile> files) {
-		Pieces pieces = Pieces.of(files);
+		Pieces chunks = Pieces.of(files);
 		CompletableFuture<Boolean> result = new CompletableFuture<>();
-		new ReadBack(this.context.store(), this.thread, pieces).held(new BitSet())
-			.thenAccept((found) -> this.thread.run(() -> {
-				for (int piece = found.nextClearBit(0); piece < pieces.count(); piece = found.nextClearBit(piece + 1)) {
-					this.shelf.remove(pieces.digest(piece), pieces.index(piece));
+		new StoreScanner(this.context.store(), this.thread, chunks).findValidChunks(new BitSet())
+			.thenAccept((found) -> this.thread.execute(() -> {
+				for (int chunk = found.nextClearBit(0); chunk < chunks.count(); chunk = found.nextClearBit(chunk + 1)) {
+					this.verifiedChunks.remove(chunks.digest(chunk), chunks.index(chunk));
 				}
-				result.complete(found.cardinality() == pieces.count());
+				result.complete(found.cardinality() == chunks.count());
 			}));
 		return result;
 	}
 
-	private BitSet known(Pieces pieces) {
-		BitSet known = new BitSet();
-		for (int piece = 0; piece < pieces.count(); piece++) {
-			known.set(piece, this.shelf.held(pieces.digest(piece)).get(pieces.index(piece)));
+	private BitSet alreadyVerified(Pieces chunks) {
+		BitSet verified = new BitSet();
+		for (int chunk = 0; chunk < chunks.count(); chunk++) {
+			verified.set(chunk, this.verifiedChunks.chunks(chunks.digest(chunk)).get(chunks.index(chunk)));
 		}
-		return known;
+		return verified;
 	}
 
-	private void copy(Fetch fetch, ReadBack readBack, BitSet held) {
-		List<LocalCopies.Copy> copies = LocalCopies.plan(fetch.pieces(), this.shelf.all(), held);
-		readBack.copy(copies).thenAccept((copied) -> this.thread.run(() -> {
+	private void copyFromOtherFiles(Fetch fetch, StoreScanner scanner, BitSet held) {
+		List<LocalCopies.Copy> copies = LocalCopies.plan(fetch.chunks(), this.verifiedChunks.files(), held);
+		scanner.copy(copies).thenAccept((copied) -> this.thread.execute(() -> {
 			held.or(copied);
-			await(fetch, () -> fetch.start(held));
+			startWhenPeersKnown(fetch, () -> fetch.start(held));
 		}));
 	}
 
-	// A VM that has not seen the list believes itself alone and would read a whole copy
-	// from the origin: N of them, N copies. It waits for the first list, but not without
-	// end: with the list down for long, weights from the origin are better than none.
-	private void await(Fetch fetch, Runnable start) {
+	// Without a VM list a VM knows no peers and would read all weights from the origin: N
+	// starting VMs would read N copies. So the fetch waits for the first list, but only
+	// up to a timeout, so that weights still arrive while the list is unavailable.
+	private void startWhenPeersKnown(Fetch fetch, Runnable start) {
 		if (this.agents.isPresent()) {
-			fetch.peers(this.agents.get());
+			fetch.updatePeers(this.agents.get());
 			start.run();
 			return;
 		}
-		this.waiting = Optional.of(start);
+		this.pendingStart = Optional.of(start);
 		this.context.timer()
-			.schedule(() -> this.thread.run(this::startWaiting), this.options.aloneAfter().toMillis(),
+			.schedule(() -> this.thread.execute(this::startPendingFetch), this.options.vmListTimeout().toMillis(),
 					TimeUnit.MILLISECONDS);
 	}
 
-	private void startWaiting() {
-		Optional<Runnable> start = this.waiting;
-		this.waiting = Optional.empty();
+	private void startPendingFetch() {
+		Optional<Runnable> start = this.pendingStart;
+		this.pendingStart = Optional.empty();
 		start.ifPresent(Runnable::run);
 	}
 
 	@Override
 	public Progress progress() {
 		Fetch fetch = this.current;
-		return (fetch != null) ? new Progress(fetch.verified(), fetch.pieces().count()) : Progress.NONE;
+		return (fetch != null) ? new Progress(fetch.verifiedCount(), fetch.chunks().count()) : Progress.NONE;
 	}
 
 	@Override
-	public void peers(List<VmList.Vm> live) {
-		this.thread.run(() -> {
-			this.agents = Optional.of(List.copyOf(live));
+	public void peers(List<VmList.Vm> liveAgents) {
+		this.thread.execute(() -> {
+			this.agents = Optional.of(List.copyOf(liveAgents));
 			if (this.current != null) {
-				this.current.peers(live);
+				this.current.updatePeers(liveAgents);
 			}
-			startWaiting();
+			startPendingFetch();
 		});
 	}
 
 	@Override
 	public void onFrame(Link link, Frame frame) {
-		this.thread.run(() -> {
+		this.thread.execute(() -> {
 			switch (frame.getBodyCase()) {
-				case CHUNK_MAP_REQUEST -> this.server.map(link, frame.getChunkMapRequest());
-				case CHUNK_REQUEST -> this.server.request(link, frame.getChunkRequest());
+				case CHUNK_MAP_REQUEST -> this.server.subscribe(link, frame.getChunkMapRequest());
+				case CHUNK_REQUEST -> this.server.handleRequest(link, frame.getChunkRequest());
 				default -> {
 				}
 			}
@@ -184,52 +185,52 @@
 
 	@Override
 	public void onClosed(Link link) {
-		this.thread.run(() -> this.server.closed(link));
+		this.thread.execute(() -> this.server.linkClosed(link));
 	}
 
 	@Override
 	public void busy(double share) {
-		this.thread.run(() -> {
-			this.lateness = share;
-			pace();
+		this.thread.execute(() -> {
+			this.lateShare = share;
+			updateRate();
 		});
 	}
 
 	@Override
 	public void idle(boolean now) {
-		this.thread.run(() -> {
+		this.thread.execute(() -> {
 			this.idle = now;
-			pace();
+			updateRate();
 		});
 	}
 
-	private void pace() {
-		this.server.rate(rate());
+	private void updateRate() {
+		this.server.setRate(rate());
 		if (this.current != null) {
 			this.current.event(new TransferEvent.RateSet(rate()));
 		}
 	}
 
 	private double rate() {
-		return this.idle ? this.options.share().idleRate() : this.options.share().rate(this.lateness);
+		return this.idle ? this.options.linkShare().idleRate() : this.options.linkShare().rate(this.lateShare);
 	}
 
-	private void lost(String file, int index) {
-		this.shelf.remove(file, index);
-		if (this.current == null || this.current.pieces().piece(file, index).isEmpty()) {
+	private void chunkLost(String file, int index) {
+		this.verifiedChunks.remove(file, index);
+		if (this.current == null || this.current.chunks().piece(file, index).isEmpty()) {
 			return;
 		}
 		if (this.current.stopped()) {
-			begin(this.current.pieces(), new CompletableFuture<>());
+			startFetch(this.current.chunks(), new CompletableFuture<>());
 			return;
 		}
-		OptionalInt piece = this.current.pieces().piece(file, index);
-		piece.ifPresent((number) -> this.current.event(new TransferEvent.Lost(number)));
+		OptionalInt chunk = this.current.chunks().piece(file, index);
+		chunk.ifPresent((found) -> this.current.event(new TransferEvent.Lost(found)));
 	}
 
 	@Override
 	public void close() {
-		this.thread.run(() -> {
+		this.thread.execute(() -> {
 			if (this.current != null) {
 				this.current.stop();
 			}
--- a/agent/src/main/java/org/wisteriapost/agent/transfer/PeerTransfers.java
+++ b/agent/src/main/java/org/wisteriapost/agent/transfer/PeerTransfers.java
@@ -1,7 +1,7 @@
 package org.wisteriapost.agent.transfer;
 
 /**
- * The policy {@code peers}: about one copy from the origin, the rest from one another.
+ * The policy {@code peers}: VMs exchange chunks, so that the origin is read about once.
  */
 public final class PeerTransfers implements TransferProvider {
 
@@ -16,7 +16,7 @@
 	}
 
 	/**
-	 * Returns a transfer with options of one's own; for measurements.
+	 * Returns a transfer with options that do not come from the settings.
 	 */
 	public static Transfer create(TransferContext context, TransferOptions options) {
 		return PeerTransfer.start(context, options);
--- a/agent/src/main/java/org/wisteriapost/agent/transfer/Progress.java
+++ b/agent/src/main/java/org/wisteriapost/agent/transfer/Progress.java
@@ -1,14 +1,14 @@
 package org.wisteriapost.agent.transfer;
 
 /**
- * How much of the files asked for is in the weight store.
+ * Progress of a fetch.
  *
- * @param verified chunks that are hashed and stored
- * @param total chunks of all files
+ * @param verified chunks that have been verified and stored
+ * @param total chunks of all files of the fetch
  */
 public record Progress(long verified, long total) {
 
-	/** Nothing was asked for. */
+	/** Progress before the first fetch. */
 	public static final Progress NONE = new Progress(0, 0);
 
 }
--- a/agent/src/main/java/org/wisteriapost/agent/transfer/Transfer.java
+++ b/agent/src/main/java/org/wisteriapost/agent/transfer/Transfer.java
@@ -9,8 +9,8 @@
 import org.wisteriapost.protocol.wire.Frame;
 
 /**
- * Brings weight files into the VM's weight store, every chunk verified before it is
- * stored, and serves held chunks to peers.
+ * Transfers weight files into the VM's weight store, verifying every chunk before it is
+ * stored, and serves stored chunks to peers.
  *
  * Methods are called from any thread and must not block.
  */
@@ -18,48 +18,50 @@
 
 	/**
 	 * Completes when every chunk of every file is verified and in the weight store. Fails
-	 * with a {@link org.wisteriapost.kernel.CodedException} when that cannot come true by
-	 * waiting, for example {@link org.wisteriapost.protocol.outside.Origin#CHANGED}.
-	 * Cancelling the future ends the fetch; chunks that are stored stay.
+	 * with a {@link org.wisteriapost.kernel.CodedException} on an error that retries
+	 * cannot resolve, for example
+	 * {@link org.wisteriapost.protocol.outside.Origin#CHANGED}. Cancelling the future
+	 * ends the fetch; stored chunks are kept.
 	 */
 	CompletableFuture<Void> fetch(List<WeightFile> files);
 
 	/**
 	 * Reads every chunk of the files back from the store and completes with whether all
-	 * are there and right; those that are not count as not held from then on.
+	 * of them are present and valid. Chunks that are not are no longer served.
 	 */
 	CompletableFuture<Boolean> verify(List<WeightFile> files);
 
 	/**
-	 * Returns how far the latest fetch has come.
+	 * Returns the progress of the latest fetch.
 	 */
 	Progress progress();
 
 	/**
-	 * Hears the live agents of the VM list, this VM included, after each reading.
+	 * Sets the live agents, this VM included. Called after each read of the VM list.
 	 */
 	void peers(List<VmList.Vm> agents);
 
 	/**
-	 * Hears a chunk frame ({@code ChunkMapRequest}, {@code ChunkMap},
+	 * Receives a chunk frame ({@code ChunkMapRequest}, {@code ChunkMap},
 	 * {@code ChunkRequest}, {@code ChunkReply}) from a link of the agent's link server.
 	 */
 	void onFrame(Link link, Frame frame);
 
 	/**
-	 * Hears that a link of the agent's link server is gone.
+	 * Called when a link of the agent's link server has closed.
 	 */
 	void onClosed(Link link);
 
 	/**
-	 * Hears how late live traffic is, so that weights use less of the link.
-	 * @param share 0 when calm, 1 when every answer is late
+	 * Sets the share of live responses that are late. The more are late, the less of the
+	 * link the transfer uses.
+	 * @param share between 0, none is late, and 1, every response is late
 	 */
 	void busy(double share);
 
 	/**
-	 * Hears whether there is no live traffic on this VM, so that weights may use nearly
-	 * all of the link.
+	 * Sets whether this VM has no live traffic, so that the transfer may use nearly all
+	 * of the link.
 	 */
 	void idle(boolean now);
 
--- a/agent/src/main/java/org/wisteriapost/agent/transfer/TransferContext.java
+++ b/agent/src/main/java/org/wisteriapost/agent/transfer/TransferContext.java
@@ -14,23 +14,23 @@
 import org.wisteriapost.protocol.wire.Hello;
 
 /**
- * What the agent gives a transfer to work with. The agent closes all of it.
+ * Dependencies that the agent provides to a transfer. The agent owns and closes them.
  *
- * @param settings checked whole
+ * @param settings validated settings of the process
  * @param vm this VM
- * @param place its failure domain
- * @param links for connections to peers
- * @param hello the first frame to send on a link that the transfer makes
- * @param frames a frame with the highest head generation that the agent has seen; every
- * frame the transfer sends starts from one
- * @param rest hears frames other than Hello and chunk frames on links that the transfer
- * made
+ * @param failureDomain the failure domain of this VM
+ * @param links opens links to peers
+ * @param helloFactory creates the first message on each link that the transfer opens
+ * @param frameFactory creates the frames that the transfer sends, with the highest head
+ * generation that the agent has seen
+ * @param otherFrameHandler receives frames other than chunk maps and chunk replies on
+ * links that the transfer opened
  * @param origin the origin of weights
  * @param store the VM's weight store
- * @param timer the process's one timer thread; tasks must not block
- * @param meters the process's metrics
+ * @param timer the single timer thread of the process; tasks must not block
+ * @param meterRegistry the metrics of the process
  */
-public record TransferContext(Settings settings, String vm, String place, Links links, Supplier<Hello> hello,
-		Supplier<Frame.Builder> frames, BiConsumer<Link, Frame> rest, Origin origin, WeightStore store,
-		ScheduledExecutorService timer, MeterRegistry meters) {
+public record TransferContext(Settings settings, String vm, String failureDomain, Links links,
+		Supplier<Hello> helloFactory, Supplier<Frame.Builder> frameFactory, BiConsumer<Link, Frame> otherFrameHandler,
+		Origin origin, WeightStore store, ScheduledExecutorService timer, MeterRegistry meterRegistry) {
 }
--- a/agent/src/main/java/org/wisteriapost/agent/transfer/TransferOptions.java
+++ b/agent/src/main/java/org/wisteriapost/agent/transfer/TransferOptions.java
@@ -8,33 +8,36 @@
 import org.wisteriapost.policy.transfer.TransferLimits.Design;
 
 /**
- * How one VM's transfer behaves.
+ * Options of one VM's transfer.
  *
- * @param limits of the decisions
- * @param share of the VM's link
- * @param uploadsWaiting requests of peers that may wait at once
- * @param aloneAfter how long to wait for a first VM list
+ * @param limits limits on requests to peers and the origin
+ * @param linkShare share of the VM's link that chunks may use
+ * @param maxQueuedUploads most requests of peers that wait; further ones are rejected
+ * @param vmListTimeout longest wait for a first VM list before the fetch starts without
+ * peers
  */
-public record TransferOptions(TransferLimits limits, LinkShare share, int uploadsWaiting, Duration aloneAfter) {
+public record TransferOptions(TransferLimits limits, LinkShare linkShare, int maxQueuedUploads,
+		Duration vmListTimeout) {
 
 	/**
-	 * Returns what the settings say.
+	 * Returns the options from the section {@code [transfer]}.
 	 */
 	public static TransferOptions of(Settings settings) {
-		TransferLimits standard = TransferLimits.standard();
-		TransferLimits limits = new TransferLimits(Design.SWARM, number(TransferSettings.ORIGIN_COPIES, settings),
-				number(TransferSettings.ORIGIN_READS, settings), number(TransferSettings.NEIGHBOURS, settings),
-				number(TransferSettings.OUTSTANDING, settings), number(TransferSettings.PER_PEER, settings),
-				TransferSettings.PROGRESS_DEADLINE.get(settings), TransferSettings.ANNOUNCE_INTERVAL.get(settings),
-				standard.rarestOf(), standard.samePlaceFirst());
-		LinkShare share = new LinkShare(TransferSettings.LINK_BYTES.get(settings), TransferSettings.SHARE.get(settings),
-				TransferSettings.SHARE_WHILE_LATE.get(settings));
-		return new TransferOptions(limits, share, number(TransferSettings.UPLOADS_WAITING, settings),
-				TransferSettings.ALONE_AFTER.get(settings));
+		TransferLimits defaults = TransferLimits.standard();
+		TransferLimits limits = new TransferLimits(Design.SWARM,
+				toInt(TransferSettings.ORIGIN_READERS_PER_CHUNK, settings),
+				toInt(TransferSettings.MAX_ORIGIN_READS, settings), toInt(TransferSettings.MAX_PEERS, settings),
+				toInt(TransferSettings.MAX_CHUNKS_IN_PROGRESS, settings),
+				toInt(TransferSettings.MAX_CHUNKS_PER_PEER, settings), TransferSettings.PROGRESS_DEADLINE.get(settings),
+				TransferSettings.ANNOUNCE_INTERVAL.get(settings), defaults.rarestOf(), defaults.samePlaceFirst());
+		LinkShare linkShare = new LinkShare(TransferSettings.LINK_BYTES_PER_SECOND.get(settings),
+				TransferSettings.LINK_SHARE.get(settings), TransferSettings.LINK_SHARE_WHILE_LATE.get(settings));
+		return new TransferOptions(limits, linkShare, toInt(TransferSettings.MAX_QUEUED_UPLOADS, settings),
+				TransferSettings.VM_LIST_TIMEOUT.get(settings));
 	}
 
-	private static int number(org.wisteriapost.kernel.settings.Setting<Long> key, Settings settings) {
-		return Math.toIntExact(key.get(settings));
+	private static int toInt(org.wisteriapost.kernel.settings.Setting<Long> setting, Settings settings) {
+		return Math.toIntExact(setting.get(settings));
 	}
 
 }
--- a/agent/src/main/java/org/wisteriapost/agent/transfer/TransferProvider.java
+++ b/agent/src/main/java/org/wisteriapost/agent/transfer/TransferProvider.java
@@ -1,17 +1,18 @@
 package org.wisteriapost.agent.transfer;
 
 /**
- * Makes one policy's transfer; registers with the service loader.
+ * Creates transfers of one policy. Providers are found by the
+ * {@link java.util.ServiceLoader}.
  */
 public interface TransferProvider {
 
 	/**
-	 * Returns the name that {@code [transfer] policy} chooses it by.
+	 * Returns the value of {@code [transfer] policy} that selects this provider.
 	 */
 	String name();
 
 	/**
-	 * Returns a transfer for this process.
+	 * Creates a running transfer.
 	 */
 	Transfer create(TransferContext context);
 
--- a/agent/src/main/java/org/wisteriapost/agent/transfer/TransferThread.java
+++ b/agent/src/main/java/org/wisteriapost/agent/transfer/TransferThread.java
@@ -10,41 +10,40 @@
 import org.wisteriapost.kernel.EventLoop;
 
 /**
- * The one thread that owns a transfer's state, and where hashing is done beside it.
+ * The thread that owns the state of a transfer, and an executor for hashing.
  *
- * A chunk takes milliseconds to hash: on the thread that reads links it would hold up
- * every other frame of this process.
+ * Hashing a chunk takes milliseconds; on the thread that reads links it would delay all
+ * other frames of this process.
  */
 final class TransferThread implements AutoCloseable {
 
-	// Every event ends work that a limit has admitted: requests, reads, links.
-	private static final int RING = 1024;
+	// Enough for the events of all requests, reads and links within their limits.
+	private static final int QUEUE_CAPACITY = 1024;
 
-	private final EventLoop<Runnable> loop = EventLoop.start("transfer", RING, this::consume);
+	private final EventLoop<Runnable> loop = EventLoop.start("transfer", QUEUE_CAPACITY, this::consume);
 
-	private final Deque<Runnable> own = new ArrayDeque<>();
+	private final Deque<Runnable> ownTasks = new ArrayDeque<>();
 
-	private final ExecutorService hashing = Executors.newVirtualThreadPerTaskExecutor();
+	private final ExecutorService hashExecutor = Executors.newVirtualThreadPerTaskExecutor();
 
-	private final ObjIntConsumer<String> lost;
+	private final ObjIntConsumer<String> onChunkLost;
 
 	private volatile Thread owner;
 
 	private volatile boolean closed;
 
-	TransferThread(ObjIntConsumer<String> lost) {
-		this.lost = lost;
+	TransferThread(ObjIntConsumer<String> onChunkLost) {
+		this.onChunkLost = onChunkLost;
 	}
 
 	/**
-	 * Runs a task on the transfer's thread, later and in order.
+	 * Runs a task on the transfer thread. Tasks of one thread run in order.
 	 */
-	void run(Runnable task) {
+	void execute(Runnable task) {
 		if (Thread.currentThread() == this.owner) {
-			// The ring may be full of what only this thread can take out: waiting for
-			// room
-			// in it would stop the transfer for good.
-			this.own.add(task);
+			// Only this thread empties the event loop's queue, so waiting here for free
+			// capacity in it would deadlock.
+			this.ownTasks.add(task);
 		}
 		else if (!this.closed) {
 			this.loop.put(task);
@@ -52,9 +51,10 @@
 	}
 
 	/**
-	 * Runs a task unless there is much to do; for what comes again soon.
+	 * Runs a task on the transfer thread, or drops it if the queue is full. For periodic
+	 * tasks.
 	 */
-	void runIfCalm(Runnable task) {
+	void tryExecute(Runnable task) {
 		if (!this.closed) {
 			this.loop.offer(task);
 		}
@@ -63,34 +63,35 @@
 	private void consume(Runnable task) {
 		this.owner = Thread.currentThread();
 		task.run();
-		for (Runnable next = this.own.poll(); next != null; next = this.own.poll()) {
+		for (Runnable next = this.ownTasks.poll(); next != null; next = this.ownTasks.poll()) {
 			next.run();
 		}
 	}
 
 	/**
-	 * Runs a task that only computes.
+	 * Runs a task that hashes a chunk, outside the transfer thread.
 	 */
-	void compute(Runnable task) {
+	void executeHashing(Runnable task) {
 		try {
-			this.hashing.execute(task);
+			this.hashExecutor.execute(task);
 		}
 		catch (RejectedExecutionException ex) {
-			// The process is closing; nobody waits for the result.
+			// The transfer is closing, so the result is not needed.
 		}
 	}
 
 	/**
-	 * Hears on this thread that a stored chunk is no longer good.
+	 * Reports a chunk that is corrupt or missing in the store. Called on the transfer
+	 * thread.
 	 */
-	void lost(String file, int index) {
-		this.lost.accept(file, index);
+	void onChunkLost(String file, int index) {
+		this.onChunkLost.accept(file, index);
 	}
 
 	@Override
 	public void close() {
 		this.closed = true;
-		this.hashing.shutdownNow();
+		this.hashExecutor.shutdownNow();
 		this.loop.close();
 	}
 
--- a/agent/src/main/java/org/wisteriapost/agent/transfer/ChunkShelf.java
+++ b/agent/src/main/java/org/wisteriapost/agent/transfer/VerifiedChunks.java
@@ -10,53 +10,53 @@
 import org.wisteriapost.policy.transfer.LocalCopies.HeldFile;
 
 /**
- * Which chunks of which files this process has verified in the VM's store. Used by the
- * transfer's thread alone.
+ * Chunks in the VM's weight store that this process has verified, by file digest.
+ * Confined to the transfer thread.
  */
-final class ChunkShelf {
+final class VerifiedChunks {
 
 	private final Map<String, HeldFile> files = new HashMap<>();
 
-	void know(String digest, WeightFile file) {
+	void addFile(String digest, WeightFile file) {
 		this.files.computeIfAbsent(digest, (key) -> new HeldFile(file, key, new BitSet()));
 	}
 
-	boolean knows(String digest) {
+	boolean hasFile(String digest) {
 		return this.files.containsKey(digest);
 	}
 
-	Collection<HeldFile> all() {
+	Collection<HeldFile> files() {
 		return this.files.values();
 	}
 
-	int size(String digest) {
+	int chunkCount(String digest) {
 		HeldFile file = this.files.get(digest);
 		return (file != null) ? file.file().chunks().size() : 0;
 	}
 
-	BitSet held(String digest) {
+	BitSet chunks(String digest) {
 		HeldFile file = this.files.get(digest);
 		return (file != null) ? file.chunks() : new BitSet();
 	}
 
 	void add(String digest, int index) {
-		held(digest).set(index);
+		chunks(digest).set(index);
 	}
 
 	void remove(String digest, int index) {
-		held(digest).clear(index);
+		chunks(digest).clear(index);
 	}
 
-	int length(String digest, int index) {
+	int chunkLength(String digest, int index) {
 		return this.files.get(digest).file().chunkLength(index);
 	}
 
-	String hash(String digest, int index) {
+	String chunkHash(String digest, int index) {
 		return this.files.get(digest).file().chunks().get(index);
 	}
 
 	/**
-	 * Returns whether bytes are what the manifest says.
+	 * Returns whether the SHA-256 hash of a chunk equals the one in the manifest.
 	 */
 	static boolean matches(byte[] bytes, String hash) {
 		return Digests.sha256(bytes).equals(hash);
--- a/agent/src/main/java/org/wisteriapost/agent/transfer/package-info.java
+++ b/agent/src/main/java/org/wisteriapost/agent/transfer/package-info.java
@@ -1,5 +1,5 @@
 /**
- * How the chunks of weight files come into a VM's weight store. The policy is a plug-in,
- * {@link org.wisteriapost.agent.transfer.TransferProvider}.
+ * Transfer of weight files, chunk by chunk, into a VM's weight store. Implementations are
+ * plug-ins, see {@link org.wisteriapost.agent.transfer.TransferProvider}.
  */
 package org.wisteriapost.agent.transfer;
--- a/agent/src/test/java/org/wisteriapost/agent/transfer/ChunkServerTests.java
+++ b/agent/src/test/java/org/wisteriapost/agent/transfer/ChunkServerTests.java
@@ -29,13 +29,13 @@
 
 	private static final int CHUNKS = 8;
 
-	private static final int ASKERS = 12;
+	private static final int PEERS = 12;
 
-	private static final double SECOND = 1e9;
+	private static final double NANOS_PER_SECOND = 1e9;
 
-	private static final double DECLARED = 565_000;
+	private static final double CONFIGURED_BYTES_PER_SECOND = 565_000;
 
-	private static final double SQUEEZED = 44_000;
+	private static final double ACTUAL_BYTES_PER_SECOND = 44_000;
 
 	private static final int EVENT_BYTES = 1_500;
 
@@ -57,34 +57,36 @@
 		this.links.close();
 	}
 
-	// The link of a VM carries a tenth of what it is declared to, and a dozen peers fetch
-	// from there. What its engine answers waits behind parts of weights, callers hear
-	// nothing for seconds, and entries take its silence for its end.
+	// The VM's link has a tenth of its configured bandwidth and a dozen peers fetch
+	// from it. Guards against responses of the engine queueing behind chunks for
+	// seconds, after which entries would consider the engine unreachable.
 	@Test
 	void answersOfTheEngineWaitLittleBehindUploads() throws Exception {
 		ChunkServer server = server();
-		this.thread.run(() -> server.rate(DECLARED));
-		for (int i = 0; i < ASKERS; i++) {
-			new Asker(server).next(0);
+		this.thread.execute(() -> server.setRate(CONFIGURED_BYTES_PER_SECOND));
+		for (int i = 0; i < PEERS; i++) {
+			new FetchingPeer(server).requestPart(0);
 		}
-		this.timer.scheduleWithFixedDelay(() -> this.uplink.enter(EVENT_BYTES), 0, 100, TimeUnit.MILLISECONDS);
+		this.timer.scheduleWithFixedDelay(() -> this.uplink.enqueue(EVENT_BYTES), 0, 100, TimeUnit.MILLISECONDS);
 		TimeUnit.MILLISECONDS.sleep(3500);
-		this.uplink.forget();
+		this.uplink.reset();
 		TimeUnit.MILLISECONDS.sleep(2500);
-		assertThat("seconds", this.uplink.longest(), Matchers.lessThan(0.7));
-		assertThat("bytes of weights", this.uplink.delivered(), Matchers.greaterThan((long) (0.1 * 2.5 * SQUEEZED)));
+		assertThat("seconds", this.uplink.maxDelay(), Matchers.lessThan(0.7));
+		assertThat("bytes of weights", this.uplink.deliveredBytes(),
+				Matchers.greaterThan((long) (0.1 * 2.5 * ACTUAL_BYTES_PER_SECOND)));
 	}
 
 	private ChunkServer server() {
 		MemoryStore store = new MemoryStore();
 		store.fill(this.file, new byte[CHUNKS * CHUNK]);
-		ChunkShelf shelf = new ChunkShelf();
-		shelf.know(this.file.digest(), this.file);
-		IntStream.range(0, CHUNKS).forEach((index) -> shelf.add(this.file.digest(), index));
+		VerifiedChunks verifiedChunks = new VerifiedChunks();
+		verifiedChunks.addFile(this.file.digest(), this.file);
+		IntStream.range(0, CHUNKS).forEach((index) -> verifiedChunks.add(this.file.digest(), index));
 		TransferContext context = new TransferContext(Settings.parse("test", ""), "vm", "place", this.links,
 				Hello::getDefaultInstance, Frame::newBuilder, (link, frame) -> {
 				}, new ContentOrigin(), store, this.timer, new SimpleMeterRegistry());
-		return new ChunkServer(context, this.thread, TransferMeters.in(context.meters()), shelf, 24);
+		return new ChunkServer(context, this.thread, TransferMetrics.create(context.meterRegistry()), verifiedChunks,
+				24);
 	}
 
 	private static WeightFile file() {
@@ -94,53 +96,53 @@
 		return new WeightFile("model", "1", "model", "etag", (long) CHUNKS * CHUNK, CHUNK, List.of(hashes));
 	}
 
-	/** What leaves the VM, in the order in which it was sent. */
+	/** The VM's outgoing link: a FIFO queue with a fixed bandwidth. */
 	private final class Uplink {
 
 		private long freeAt = System.nanoTime();
 
-		private long longest;
+		private long maxDelay;
 
-		private long delivered;
+		private long deliveredBytes;
 
-		synchronized long enter(int bytes) {
+		synchronized long enqueue(int bytes) {
 			long now = System.nanoTime();
-			this.freeAt = Math.max(now, this.freeAt) + (long) (bytes / SQUEEZED * SECOND);
-			this.longest = Math.max(this.longest, this.freeAt - now);
+			this.freeAt = Math.max(now, this.freeAt) + (long) (bytes / ACTUAL_BYTES_PER_SECOND * NANOS_PER_SECOND);
+			this.maxDelay = Math.max(this.maxDelay, this.freeAt - now);
 			return this.freeAt - now;
 		}
 
 		synchronized void deliver(int bytes) {
-			this.delivered += bytes;
+			this.deliveredBytes += bytes;
 		}
 
-		synchronized void forget() {
-			this.longest = 0;
-			this.delivered = 0;
+		synchronized void reset() {
+			this.maxDelay = 0;
+			this.deliveredBytes = 0;
 		}
 
-		synchronized double longest() {
-			return this.longest / SECOND;
+		synchronized double maxDelay() {
+			return this.maxDelay / NANOS_PER_SECOND;
 		}
 
-		synchronized long delivered() {
-			return this.delivered;
+		synchronized long deliveredBytes() {
+			return this.deliveredBytes;
 		}
 
 	}
 
-	/** A peer that asks for the next part as soon as one has come. */
-	private final class Asker implements Link {
+	/** A peer that requests the next part as soon as it has received one. */
+	private final class FetchingPeer implements Link {
 
 		private final ChunkServer server;
 
 		private int index;
 
-		private Asker(ChunkServer server) {
+		private FetchingPeer(ChunkServer server) {
 			this.server = server;
 		}
 
-		private void next(int offset) {
+		private void requestPart(int offset) {
 			ChunkRequest request = ChunkRequest.newBuilder()
 				.setId(offset)
 				.setFile(ChunkServerTests.this.file.digest())
@@ -148,33 +150,34 @@
 				.setOffset(offset)
 				.setLength(Math.min(6780, CHUNK - offset))
 				.build();
-			ChunkServerTests.this.thread.run(() -> this.server.request(this, request));
+			ChunkServerTests.this.thread.execute(() -> this.server.handleRequest(this, request));
 		}
 
 		@Override
 		public boolean send(Frame frame) {
 			ChunkReply reply = frame.getChunkReply();
 			int bytes = reply.getData().size();
-			long wait = ChunkServerTests.this.uplink.enter(bytes);
-			ChunkServerTests.this.timer.schedule(() -> came(reply), wait, TimeUnit.NANOSECONDS);
+			long wait = ChunkServerTests.this.uplink.enqueue(bytes);
+			ChunkServerTests.this.timer.schedule(() -> replyReceived(reply), wait, TimeUnit.NANOSECONDS);
 			return true;
 		}
 
-		private void came(ChunkReply reply) {
+		private void replyReceived(ChunkReply reply) {
 			if (reply.getStatus() != ChunkStatus.CHUNK_OK) {
-				ChunkServerTests.this.timer.schedule(() -> next((int) reply.getId()), 100, TimeUnit.MILLISECONDS);
+				ChunkServerTests.this.timer.schedule(() -> requestPart((int) reply.getId()), 100,
+						TimeUnit.MILLISECONDS);
 				return;
 			}
 			ChunkServerTests.this.uplink.deliver(reply.getData().size());
 			int end = reply.getOffset() + reply.getData().size();
-			int asked = (int) reply.getId() + Math.min(6780, CHUNK - (int) reply.getId());
-			if (end < asked) {
+			int requestedEnd = (int) reply.getId() + Math.min(6780, CHUNK - (int) reply.getId());
+			if (end < requestedEnd) {
 				return;
 			}
 			if (end == CHUNK) {
 				this.index = (this.index + 1) % CHUNKS;
 			}
-			next((end == CHUNK) ? 0 : end);
+			requestPart((end == CHUNK) ? 0 : end);
 		}
 
 		@Override
@@ -189,7 +192,7 @@
 
 		@Override
 		public void close() {
-			// Nothing is open.
+			// Nothing to close.
 		}
 
 	}
--- a/agent/src/test/java/org/wisteriapost/agent/transfer/MemoryStore.java
+++ b/agent/src/test/java/org/wisteriapost/agent/transfer/MemoryStore.java
@@ -22,7 +22,7 @@
 		}
 	}
 
-	void damage(String file, int index) {
+	void corrupt(String file, int index) {
 		this.chunks.get(file + index)[0] ^= 1;
 	}
 
--- a/agent/src/test/java/org/wisteriapost/agent/transfer/OlderPeerTests.java
+++ b/agent/src/test/java/org/wisteriapost/agent/transfer/OlderVersionPeerTests.java
@@ -34,7 +34,7 @@
 import static org.hamcrest.Matchers.is;
 import static org.hamcrest.Matchers.lessThan;
 
-class OlderPeerTests {
+class OlderVersionPeerTests {
 
 	private static final int CHUNK = 32_768;
 
@@ -48,15 +48,14 @@
 
 	private final List<Vm> vms = new ArrayList<>();
 
-	private final Set<Link> open = ConcurrentHashMap.newKeySet();
+	private final Set<Link> openLinks = ConcurrentHashMap.newKeySet();
 
-	private final AtomicInteger linksMade = new AtomicInteger();
+	private final AtomicInteger linksOpened = new AtomicInteger();
 
 	private final byte[] content = content(1);
 
-	// However slow the machine, nobody looks for a chunk elsewhere before its first
-	// reader has it, so that the count of reads is exact.
-	private static final String PATIENT = "[transfer]\nprogress-deadline = 30000\n";
+	// Long enough that no chunk times out on a slow machine and is read twice.
+	private static final String LONG_PROGRESS_DEADLINE = "[transfer]\nprogress-deadline = 30000\n";
 
 	private final WeightFile model = file("model", this.content);
 
@@ -67,34 +66,34 @@
 		this.timer.shutdownNow();
 	}
 
-	// A release: the agent of one VM is of the version before, which knows no parts and
-	// sends the whole piece whatever is asked for. What a newer one fetches of it goes
-	// over its link once.
+	// A peer of the previous version ignores offset and length and sends the whole chunk.
+	// Guards against requesting a chunk's parts from it, each of which costs a whole
+	// chunk.
 	@Test
-	void aPeerOfAnOlderVersionSendsEachPieceOnce() throws Exception {
+	void peerOfOlderVersionSendsEachChunkOnce() throws Exception {
 		this.origin.serve("model", this.content);
 		Vm older = new Vm("older");
-		older.older = true;
+		older.ignoresParts = true;
 		fetchAll();
 		Vm newer = new Vm("newer");
-		List<VmList.Vm> all = listed();
+		List<VmList.Vm> all = vmList();
 		this.vms.forEach((vm) -> vm.transfer.peers(all));
 		newer.transfer.fetch(List.of(this.model)).get(60, TimeUnit.SECONDS);
 		assertThat(newer.store.content(this.model), is(this.content));
-		assertThat("bytes that the older one sends for " + this.content.length,
-				older.asked.get() * (double) CHUNK / this.content.length, is(lessThan(1.3)));
+		assertThat("ratio of bytes sent by the older peer to the file size of " + this.content.length,
+				older.chunkRequests.get() * (double) CHUNK / this.content.length, is(lessThan(1.3)));
 	}
 
 	private void fetchAll() throws Exception {
-		List<VmList.Vm> all = listed();
+		List<VmList.Vm> all = vmList();
 		this.vms.forEach((vm) -> vm.transfer.peers(all));
-		for (var whole : this.vms.stream().map((vm) -> vm.transfer.fetch(List.of(this.model))).toList()) {
-			whole.get(60, TimeUnit.SECONDS);
+		for (var fetched : this.vms.stream().map((vm) -> vm.transfer.fetch(List.of(this.model))).toList()) {
+			fetched.get(60, TimeUnit.SECONDS);
 		}
 	}
 
-	private List<VmList.Vm> listed() {
-		return this.vms.stream().map(Vm::listed).toList();
+	private List<VmList.Vm> vmList() {
+		return this.vms.stream().map(Vm::listEntry).toList();
 	}
 
 	private static byte[] content(long seed) {
@@ -120,9 +119,9 @@
 
 		private final LinkServer server;
 
-		private volatile boolean older;
+		private volatile boolean ignoresParts;
 
-		private final AtomicInteger asked = new AtomicInteger();
+		private final AtomicInteger chunkRequests = new AtomicInteger();
 
 		private Vm(String name) {
 			this(name, "");
@@ -131,34 +130,35 @@
 		private Vm(String name, String settings) {
 			this.name = name;
 			TransferContext context = new TransferContext(Settings.parse("test", settings), name, "place",
-					OlderPeerTests.this.links, Hello::getDefaultInstance, Frame::newBuilder, (link, frame) -> {
-					}, OlderPeerTests.this.origin, this.store, OlderPeerTests.this.timer, new SimpleMeterRegistry());
+					OlderVersionPeerTests.this.links, Hello::getDefaultInstance, Frame::newBuilder, (link, frame) -> {
+					}, OlderVersionPeerTests.this.origin, this.store, OlderVersionPeerTests.this.timer,
+					new SimpleMeterRegistry());
 			TransferOptions options = TransferOptions.of(context.settings());
 			this.transfer = PeerTransfers.create(context, new TransferOptions(options.limits(),
 					new LinkShare(665_000, 0.85, 0.85), 16, Duration.ofSeconds(60)));
-			this.server = OlderPeerTests.this.links.listen(new InetSocketAddress("127.0.0.1", 0), this);
-			OlderPeerTests.this.vms.add(this);
+			this.server = OlderVersionPeerTests.this.links.listen(new InetSocketAddress("127.0.0.1", 0), this);
+			OlderVersionPeerTests.this.vms.add(this);
 		}
 
-		private VmList.Vm listed() {
+		private VmList.Vm listEntry() {
 			return new VmList.Vm(this.name, "place", "region", "agent", "service", "127.0.0.1", this.server.port(), 0,
 					false);
 		}
 
 		@Override
 		public void onOpen(Link link) {
-			OlderPeerTests.this.open.add(link);
-			OlderPeerTests.this.linksMade.incrementAndGet();
+			OlderVersionPeerTests.this.openLinks.add(link);
+			OlderVersionPeerTests.this.linksOpened.incrementAndGet();
 		}
 
 		@Override
 		public void onFrame(Link link, Frame frame) {
 			if (frame.hasChunkRequest()) {
-				this.asked.incrementAndGet();
+				this.chunkRequests.incrementAndGet();
 			}
-			if (this.older && frame.hasChunkRequest()) {
-				ChunkRequest whole = frame.getChunkRequest().toBuilder().clearOffset().clearLength().build();
-				this.transfer.onFrame(link, frame.toBuilder().setChunkRequest(whole).build());
+			if (this.ignoresParts && frame.hasChunkRequest()) {
+				ChunkRequest wholeChunk = frame.getChunkRequest().toBuilder().clearOffset().clearLength().build();
+				this.transfer.onFrame(link, frame.toBuilder().setChunkRequest(wholeChunk).build());
 				return;
 			}
 			this.transfer.onFrame(link, frame);
@@ -166,7 +166,7 @@
 
 		@Override
 		public void onClosed(Link link) {
-			OlderPeerTests.this.open.remove(link);
+			OlderVersionPeerTests.this.openLinks.remove(link);
 			this.transfer.onClosed(link);
 		}
 
--- a/agent/src/test/java/org/wisteriapost/agent/transfer/PeerTransferTests.java
+++ b/agent/src/test/java/org/wisteriapost/agent/transfer/PeerTransferTests.java
@@ -53,15 +53,14 @@
 
 	private final List<Vm> vms = new ArrayList<>();
 
-	private final Set<Link> open = ConcurrentHashMap.newKeySet();
+	private final Set<Link> openLinks = ConcurrentHashMap.newKeySet();
 
-	private final AtomicInteger linksMade = new AtomicInteger();
+	private final AtomicInteger linksOpened = new AtomicInteger();
 
 	private final byte[] content = content(1);
 
-	// However slow the machine, nobody looks for a chunk elsewhere before its first
-	// reader has it, so that the count of reads is exact.
-	private static final String PATIENT = "[transfer]\nprogress-deadline = 30000\n";
+	// Long enough that no chunk times out on a slow machine and is read twice.
+	private static final String LONG_PROGRESS_DEADLINE = "[transfer]\nprogress-deadline = 30000\n";
 
 	private final WeightFile model = file("model", this.content);
 
@@ -73,10 +72,10 @@
 	}
 
 	@Test
-	void weightsReachAllVmsAndTheOriginIsReadOnce() throws Exception {
+	void allVmsGetWeightsAndOriginIsReadOnce() throws Exception {
 		this.origin.serve("model", this.content);
 		for (int i = 0; i < 4; i++) {
-			new Vm("vm-" + i, PATIENT);
+			new Vm("vm-" + i, LONG_PROGRESS_DEADLINE);
 		}
 		fetchAll();
 		for (Vm vm : this.vms) {
@@ -86,36 +85,35 @@
 		assertThat(this.origin.reads(), is(CHUNKS));
 	}
 
-	// One VM answers every chunk request with bytes of the right length and the wrong
-	// content. The others drop what it sends before it reaches their stores, and still
-	// finish from the origin and from one another.
+	// One VM answers every request with wrong bytes. The others must drop them
+	// before they are stored, and complete from the origin and each other.
 	@Test
-	void wrongBytesOfAPeerReachNoStore() throws Exception {
+	void corruptChunksFromPeerAreNotStored() throws Exception {
 		this.origin.serve("model", this.content);
 		new Vm("good-1");
 		new Vm("good-2");
-		new Vm("liar").lying = true;
+		new Vm("corrupt").sendsWrongBytes = true;
 		fetchAll();
 		for (Vm vm : this.vms) {
 			assertThat(vm.store.content(this.model), is(this.content));
 		}
 	}
 
-	// The agent restarts; the VM's memory still holds the chunks, one of them damaged
-	// while nobody looked. The damaged one is found by its hash and only it is fetched.
+	// The store outlives the agent, and one chunk was corrupted while the agent was not
+	// running. Only that chunk is fetched again.
 	@Test
-	void restartReadsBackWhatTheStoreHolds() throws Exception {
+	void restartedAgentReusesValidChunksInStore() throws Exception {
 		this.origin.serve("model", this.content);
 		Vm vm = new Vm("vm");
 		vm.store.fill(this.model, this.content);
-		vm.store.damage(this.model.digest(), 7);
+		vm.store.corrupt(this.model.digest(), 7);
 		fetchAll();
 		assertThat(vm.store.content(this.model), is(this.content));
 		assertThat(this.origin.reads(), is(1));
 	}
 
 	@Test
-	void chunksThatDidNotChangeAreCopiedFromTheOldVersion() throws Exception {
+	void unchangedChunksAreCopiedFromPreviousVersion() throws Exception {
 		this.origin.serve("model", this.content);
 		Vm vm = new Vm("vm");
 		fetchAll();
@@ -130,7 +128,7 @@
 	}
 
 	@Test
-	void adapterMovesWithoutItsModel() throws Exception {
+	void adapterIsFetchedWithoutRefetchingModel() throws Exception {
 		byte[] small = Arrays.copyOf(content(2), 2 * CHUNK);
 		this.origin.serve("model", this.content);
 		this.origin.serve("adapter", small);
@@ -141,77 +139,75 @@
 		assertThat(this.origin.reads() - before, is(2));
 	}
 
-	// All have the first version and rest; their links to one another are closed, so that
-	// rest costs no heartbeats. The second version is fetched: the links are made again,
-	// and each piece is read from the origin once and passed on.
+	// Idle VMs must not keep links, which cost heartbeats, yet must still exchange chunks
+	// of the next version, so that the origin is read once.
 	@Test
-	void linksAreClosedAtRestAndMadeAgainForTheNextFetch() throws Exception {
+	void linksCloseAfterFetchAndReopenForNextFetch() throws Exception {
 		this.origin.serve("model", this.content);
 		for (int i = 0; i < 3; i++) {
-			new Vm("vm-" + i, PATIENT);
+			new Vm("vm-" + i, LONG_PROGRESS_DEADLINE);
 		}
 		fetchAll();
 		awaitNoLinks();
-		int made = this.linksMade.get();
+		int openedBefore = this.linksOpened.get();
 		byte[] next = content(3);
 		WeightFile second = file("model-2", next);
 		this.origin.serve("model-2", next);
-		for (var whole : this.vms.stream().map((vm) -> vm.transfer.fetch(List.of(second))).toList()) {
-			whole.get(60, TimeUnit.SECONDS);
+		for (var fetched : this.vms.stream().map((vm) -> vm.transfer.fetch(List.of(second))).toList()) {
+			fetched.get(60, TimeUnit.SECONDS);
 		}
 		for (Vm vm : this.vms) {
 			assertThat(vm.store.content(second), is(next));
 		}
 		assertThat(this.origin.reads(), is(2 * CHUNKS));
-		assertThat(this.linksMade.get(), is(greaterThan(made)));
+		assertThat(this.linksOpened.get(), is(greaterThan(openedBefore)));
 		awaitNoLinks();
 	}
 
 	private void awaitNoLinks() throws InterruptedException {
 		long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(60);
-		while (!this.open.isEmpty()) {
-			assertThat("links are left", System.nanoTime() < until);
+		while (!this.openLinks.isEmpty()) {
+			assertThat("links are still open", System.nanoTime() < until);
 			TimeUnit.MILLISECONDS.sleep(20);
 		}
 	}
 
-	// The first VM has its bundle before its first VM list. Alone, as far as it knows, it
-	// would read a whole copy from the origin; it waits, and then gets it from the
-	// second.
+	// A VM that starts to fetch before its first VM list must wait for the list; without
+	// known peers it would read a second copy from the origin.
 	@Test
-	void vmWithoutAListDoesNotTakeItselfForAlone() throws Exception {
+	void fetchWaitsForFirstVmList() throws Exception {
 		this.origin.serve("model", this.content);
-		Vm early = new Vm("early", PATIENT);
+		Vm early = new Vm("early", LONG_PROGRESS_DEADLINE);
 		Vm second = new Vm("second");
 		var waiting = early.transfer.fetch(List.of(this.model));
-		second.transfer.peers(listed());
+		second.transfer.peers(vmList());
 		second.transfer.fetch(List.of(this.model)).get(60, TimeUnit.SECONDS);
 		assertThat(early.transfer.progress().verified(), is(0L));
-		early.transfer.peers(listed());
+		early.transfer.peers(vmList());
 		waiting.get(60, TimeUnit.SECONDS);
 		assertThat(this.origin.reads(), is(CHUNKS));
 	}
 
 	@Test
-	void versionThatChangedAtTheOriginFailsTheFetchWithItsCode() {
+	void changedVersionAtOriginFailsFetch() {
 		this.origin.change();
 		Vm vm = new Vm("vm");
-		vm.transfer.peers(listed());
+		vm.transfer.peers(vmList());
 		CompletionException failure = assertThrows(CompletionException.class,
 				() -> vm.transfer.fetch(List.of(this.model)).orTimeout(60, TimeUnit.SECONDS).join());
 		assertThat(((CodedException) failure.getCause()).code(), is(Origin.CHANGED));
 	}
 
 	private void fetchAll() throws Exception {
-		List<VmList.Vm> all = listed();
+		List<VmList.Vm> all = vmList();
 		this.vms.forEach((vm) -> vm.transfer.peers(all));
-		for (var whole : this.vms.stream().map((vm) -> vm.transfer.fetch(List.of(this.model))).toList()) {
-			whole.get(60, TimeUnit.SECONDS);
+		for (var fetched : this.vms.stream().map((vm) -> vm.transfer.fetch(List.of(this.model))).toList()) {
+			fetched.get(60, TimeUnit.SECONDS);
 		}
 	}
 
-	private List<VmList.Vm> listed() {
-		return this.vms.stream().map(Vm::listed).toList();
+	private List<VmList.Vm> vmList() {
+		return this.vms.stream().map(Vm::listEntry).toList();
 	}
 
 	private static byte[] content(long seed) {
@@ -237,7 +233,7 @@
 
 		private final LinkServer server;
 
-		private volatile boolean lying;
+		private volatile boolean sendsWrongBytes;
 
 		private Vm(String name) {
 			this(name, "");
@@ -251,30 +247,30 @@
 					new SimpleMeterRegistry());
 			TransferOptions options = TransferOptions.of(context.settings());
 			this.transfer = PeerTransfers.create(context,
-					new TransferOptions(options.limits(), options.share(), 16, Duration.ofSeconds(60)));
+					new TransferOptions(options.limits(), options.linkShare(), 16, Duration.ofSeconds(60)));
 			this.server = PeerTransferTests.this.links.listen(new InetSocketAddress("127.0.0.1", 0), this);
 			PeerTransferTests.this.vms.add(this);
 		}
 
-		private VmList.Vm listed() {
+		private VmList.Vm listEntry() {
 			return new VmList.Vm(this.name, "place", "region", "agent", "service", "127.0.0.1", this.server.port(), 0,
 					false);
 		}
 
 		@Override
 		public void onOpen(Link link) {
-			PeerTransferTests.this.open.add(link);
-			PeerTransferTests.this.linksMade.incrementAndGet();
+			PeerTransferTests.this.openLinks.add(link);
+			PeerTransferTests.this.linksOpened.incrementAndGet();
 		}
 
 		@Override
 		public void onFrame(Link link, Frame frame) {
-			if (this.lying && frame.hasChunkRequest()) {
-				ChunkReply.Builder lie = ChunkReply.newBuilder()
+			if (this.sendsWrongBytes && frame.hasChunkRequest()) {
+				ChunkReply.Builder wrongReply = ChunkReply.newBuilder()
 					.setId(frame.getChunkRequest().getId())
 					.setStatus(ChunkStatus.CHUNK_OK)
 					.setData(ByteString.copyFrom(new byte[CHUNK]));
-				link.send(Frame.newBuilder().setChunkReply(lie).build());
+				link.send(Frame.newBuilder().setChunkReply(wrongReply).build());
 				return;
 			}
 			this.transfer.onFrame(link, frame);
@@ -282,7 +278,7 @@
 
 		@Override
 		public void onClosed(Link link) {
-			PeerTransferTests.this.open.remove(link);
+			PeerTransferTests.this.openLinks.remove(link);
 			this.transfer.onClosed(link);
 		}
 
