--- a/agent/src/main/java/org/wisteriapost/agent/AgentCommand.java
+++ b/agent/src/main/java/org/wisteriapost/agent/AgentCommand.java
@@ -14,7 +14,7 @@
 import org.wisteriapost.kernel.settings.Settings;
 
 /**
- * Runs the agent of one endpoint VM until it is told to leave.
+ * Runs the agent of one endpoint VM until it has drained or stopped on an error.
  */
 public final class AgentCommand implements Command {
 
@@ -56,11 +56,11 @@
 	}
 
 	private static int serve(Settings settings, PrintStream out, PrintStream err) {
-		AgentSettings.checkWhole(settings);
-		try (AgentProcess process = AgentProcess.start(settings, Outside.of(settings))) {
+		AgentSettings.validate(settings);
+		try (AgentProcess process = AgentProcess.start(settings, ExternalSystems.of(settings))) {
 			out.println(process.readyLine());
 			out.flush();
-			Thread hook = new Thread(() -> leaveAndExit(process), "leave");
+			Thread hook = new Thread(() -> drainAndExit(process), "leave");
 			Runtime.getRuntime().addShutdownHook(hook);
 			String code = process.awaitStop();
 			if (!code.isEmpty()) {
@@ -71,10 +71,10 @@
 	}
 
 	/**
-	 * Drains on a signal. The exit code is set here: the virtual machine's own would say
-	 * that the signal killed it, and a supervisor would take a clean drain for a crash.
+	 * Drains on a signal and then halts with an explicit exit code. The JVM's default
+	 * code for a signal would make a supervisor treat a clean drain as a crash.
 	 */
-	private static void leaveAndExit(AgentProcess process) {
+	private static void drainAndExit(AgentProcess process) {
 		process.leave();
 		Runtime.getRuntime().halt(exitCode(process.awaitStop()));
 	}
--- a/agent/src/main/java/org/wisteriapost/agent/AgentLinks.java
+++ b/agent/src/main/java/org/wisteriapost/agent/AgentLinks.java
@@ -19,105 +19,107 @@
 import org.wisteriapost.protocol.wire.Role;
 
 /**
- * The links that entries and other agents have made to this agent.
+ * Links that entries and other agents have opened to this agent.
  */
 final class AgentLinks implements LinkHandler {
 
-	private final AgentIdentity self;
+	private final AgentIdentity identity;
 
 	private final AgentLoop loop;
 
-	private final Map<Link, Peer> peers = new ConcurrentHashMap<>();
+	private final Map<Link, Peer> peersByLink = new ConcurrentHashMap<>();
 
-	private RunnerCalls calls;
+	private RunnerCalls runnerCalls;
 
 	private Transfer transfer;
 
-	private BundleSource bundles;
+	private BundleFetcher bundleFetcher;
 
-	private EngineCalls engine;
+	private EngineClient engineClient;
 
-	AgentLinks(AgentIdentity self, AgentLoop loop) {
-		this.self = self;
+	AgentLinks(AgentIdentity identity, AgentLoop loop) {
+		this.identity = identity;
 		this.loop = loop;
 	}
 
-	void connect(RunnerCalls toRunner, Transfer toTransfer, BundleSource toBundles, EngineCalls toEngine) {
-		this.calls = toRunner;
-		this.transfer = toTransfer;
-		this.bundles = toBundles;
-		this.engine = toEngine;
+	void setHandlers(RunnerCalls runnerCalls, Transfer transfer, BundleFetcher bundleFetcher,
+			EngineClient engineClient) {
+		this.runnerCalls = runnerCalls;
+		this.transfer = transfer;
+		this.bundleFetcher = bundleFetcher;
+		this.engineClient = engineClient;
 	}
 
 	/**
-	 * Returns a frame that carries the highest head generation seen here.
+	 * Returns a frame with the highest head generation that this agent has seen.
 	 */
-	Frame.Builder frame() {
-		return Frame.newBuilder().setGeneration(this.loop.view().headGeneration());
+	Frame.Builder newFrame() {
+		return Frame.newBuilder().setGeneration(this.loop.status().headGeneration());
 	}
 
-	Hello hello() {
+	Hello newHello() {
 		return Hello.newBuilder()
-			.setVm(this.self.vm())
-			.setPlace(this.self.place())
+			.setVm(this.identity.vm())
+			.setPlace(this.identity.place())
 			.setRole(Role.AGENT)
-			.setService(this.self.service())
-			.setEpoch(this.loop.view().epoch())
+			.setService(this.identity.service())
+			.setEpoch(this.loop.status().epoch())
 			.build();
 	}
 
 	List<Link> entries() {
-		return this.peers.entrySet()
+		return this.peersByLink.entrySet()
 			.stream()
 			.filter((entry) -> entry.getValue().role == Role.ENTRY)
 			.map(Map.Entry::getKey)
 			.toList();
 	}
 
-	void report() {
-		Frame frame = frame().setReport(currentReport()).build();
+	void sendReport() {
+		Frame frame = newFrame().setReport(currentReport()).build();
 		entries().forEach((link) -> link.send(frame));
 	}
 
-	void leaving() {
-		Frame frame = frame().setLeaving(Leaving.newBuilder().setVm(this.self.vm())).build();
+	void sendLeaving() {
+		Frame frame = newFrame().setLeaving(Leaving.newBuilder().setVm(this.identity.vm())).build();
 		entries().forEach((link) -> link.send(frame));
 	}
 
 	@Override
 	public void onOpen(Link link) {
-		this.peers.put(link, new Peer());
-		link.send(frame().setHello(hello()).build());
+		this.peersByLink.put(link, new Peer());
+		link.send(newFrame().setHello(newHello()).build());
 	}
 
 	@Override
 	public void onFrame(Link link, Frame frame) {
-		Peer peer = this.peers.get(link);
+		Peer peer = this.peersByLink.get(link);
 		if (peer == null) {
 			return;
 		}
-		compare(link, peer, frame);
+		syncHead(link, peer, frame);
 		switch (frame.getBodyCase()) {
-			case HELLO -> hello(link, peer, frame.getHello());
-			case CALL -> this.calls.arrive(link, frame.getCall());
-			case CALL_CANCEL -> this.calls.cancel(link, frame.getCallCancel().getId());
+			case HELLO -> handleHello(link, peer, frame.getHello());
+			case CALL -> this.runnerCalls.accept(link, frame.getCall());
+			case CALL_CANCEL -> this.runnerCalls.cancel(link, frame.getCallCancel().getId());
 			case CHUNK_MAP_REQUEST, CHUNK_MAP, CHUNK_REQUEST, CHUNK_REPLY -> this.transfer.onFrame(link, frame);
-			default -> onOther(link, frame);
+			default -> onControlFrame(link, frame);
 		}
 	}
 
 	/**
-	 * Takes what may come over any link, also over those that the transfer made.
+	 * Handles frames that may arrive over any link, including those opened by the
+	 * transfer.
 	 */
-	void onOther(Link link, Frame frame) {
+	void onControlFrame(Link link, Frame frame) {
 		switch (frame.getBodyCase()) {
-			case HEAD -> head(frame.getHead());
-			case HEAD_REQUEST -> link.send(frame().setHead(currentHead()).build());
-			case BUNDLE_REQUEST -> link
-				.send(frame().setBundleReply(BundleSource.reply(frame.getBundleRequest().getDigest(), this.loop.view()))
-					.build());
-			case BUNDLE_REPLY -> this.bundles.replied(frame.getBundleReply());
-			case LEAVING -> leaving(frame.getLeaving());
+			case HEAD -> handleHead(frame.getHead());
+			case HEAD_REQUEST -> link.send(newFrame().setHead(currentHead()).build());
+			case BUNDLE_REQUEST -> link.send(newFrame()
+				.setBundleReply(BundleFetcher.createReply(frame.getBundleRequest().getDigest(), this.loop.status()))
+				.build());
+			case BUNDLE_REPLY -> this.bundleFetcher.handleReply(frame.getBundleReply());
+			case LEAVING -> handleLeaving(frame.getLeaving());
 			default -> {
 			}
 		}
@@ -125,11 +127,11 @@
 
 	@Override
 	public void onClosed(Link link) {
-		Peer peer = this.peers.remove(link);
+		Peer peer = this.peersByLink.remove(link);
 		if (peer == null) {
 			return;
 		}
-		this.calls.linkLost(link);
+		this.runnerCalls.linkClosed(link);
 		this.transfer.onClosed(link);
 		if (peer.role == Role.ENTRY) {
 			this.loop.post(new AgentEvent.EntriesConnected(entries().size()));
@@ -138,72 +140,74 @@
 
 	@Override
 	public void onWritable(Link link) {
-		this.calls.writable(link);
+		this.runnerCalls.linkWritable(link);
 	}
 
-	private void hello(Link link, Peer peer, Hello hello) {
+	private void handleHello(Link link, Peer peer, Hello hello) {
 		peer.role = hello.getRole();
 		if (peer.role != Role.ENTRY) {
 			return;
 		}
 		this.loop.post(new AgentEvent.EntriesConnected(entries().size()));
-		link.send(frame().setReport(currentReport()).build());
-		if (this.loop.view().leaving()) {
-			link.send(frame().setLeaving(Leaving.newBuilder().setVm(this.self.vm())).build());
+		link.send(newFrame().setReport(currentReport()).build());
+		if (this.loop.status().leaving()) {
+			link.send(newFrame().setLeaving(Leaving.newBuilder().setVm(this.identity.vm())).build());
 		}
 	}
 
 	/**
-	 * Sets right whoever is behind, once a generation and link.
+	 * Requests the head from a peer with a higher generation, or sends it to a peer with
+	 * a lower one. At most once a generation and link.
 	 */
-	private void compare(Link link, Peer peer, Frame frame) {
-		AgentView view = this.loop.view();
-		boolean aboutHead = frame.hasHead() || frame.hasHello();
-		if (frame.getGeneration() > view.headGeneration() && frame.getGeneration() > peer.asked && !aboutHead) {
-			peer.asked = frame.getGeneration();
-			link.send(frame().setHeadRequest(HeadRequest.getDefaultInstance()).build());
+	private void syncHead(Link link, Peer peer, Frame frame) {
+		AgentView status = this.loop.status();
+		boolean carriesHead = frame.hasHead() || frame.hasHello();
+		if (frame.getGeneration() > status.headGeneration() && frame.getGeneration() > peer.requestedGeneration
+				&& !carriesHead) {
+			peer.requestedGeneration = frame.getGeneration();
+			link.send(newFrame().setHeadRequest(HeadRequest.getDefaultInstance()).build());
 		}
-		if (frame.getGeneration() < view.headGeneration() && view.headGeneration() > peer.told) {
-			peer.told = view.headGeneration();
-			link.send(frame().setHead(currentHead()).build());
+		if (frame.getGeneration() < status.headGeneration() && status.headGeneration() > peer.sentGeneration) {
+			peer.sentGeneration = status.headGeneration();
+			link.send(newFrame().setHead(currentHead()).build());
 		}
 	}
 
-	private void head(Head head) {
+	private void handleHead(Head head) {
 		this.loop.post(new AgentEvent.HeadHeard(head.getGeneration(), head.getDigest(), head.getConfirmed(),
 				head.getConfirmedAgeMillis()));
 	}
 
-	private void leaving(Leaving leaving) {
-		if (leaving.getVm().equals(this.self.vm())) {
+	private void handleLeaving(Leaving leaving) {
+		if (leaving.getVm().equals(this.identity.vm())) {
 			this.loop.post(new AgentEvent.LeaveAsked());
 		}
 	}
 
 	private Head currentHead() {
-		AgentView view = this.loop.view();
-		return Head.newBuilder().setGeneration(view.headGeneration()).setDigest(view.headDigest()).build();
+		AgentView status = this.loop.status();
+		return Head.newBuilder().setGeneration(status.headGeneration()).setDigest(status.headDigest()).build();
 	}
 
 	private Report currentReport() {
-		AgentView view = this.loop.view();
+		AgentView status = this.loop.status();
 		return Report.newBuilder()
-			.setVm(this.self.vm())
-			.setPlace(this.self.place())
-			.setService(this.self.service())
-			.setPlain(this.self.plain())
-			.setAdmitting(view.admitting())
-			.setLeaving(view.leaving())
-			.setWeightsDigest(view.weightsDigest())
-			.setBundleGeneration(view.generation())
-			.setRunning(view.running())
-			.setCapacity(view.capacity())
-			.setQueued(view.queued())
-			.setChunksVerified(view.verified())
-			.setChunksTotal(view.total())
-			.setFailing(view.failing())
-			.addAllPrefixes(this.engine.prefixes())
-			.setEpoch(view.epoch())
+			.setVm(this.identity.vm())
+			.setPlace(this.identity.place())
+			.setService(this.identity.service())
+			.setPlain(this.identity.plain())
+			.setAdmitting(status.admitting())
+			.setLeaving(status.leaving())
+			.setWeightsDigest(status.weightsDigest())
+			.setBundleGeneration(status.generation())
+			.setRunning(status.running())
+			.setCapacity(status.capacity())
+			.setQueued(status.queued())
+			.setChunksVerified(status.verified())
+			.setChunksTotal(status.total())
+			.setFailing(status.failing())
+			.addAllPrefixes(this.engineClient.prefixes())
+			.setEpoch(status.epoch())
 			.build();
 	}
 
@@ -211,9 +215,9 @@
 
 		private volatile Role role = Role.ROLE_UNSPECIFIED;
 
-		private long asked;
+		private long requestedGeneration;
 
-		private long told;
+		private long sentGeneration;
 
 	}
 
--- a/agent/src/main/java/org/wisteriapost/agent/AgentLoop.java
+++ b/agent/src/main/java/org/wisteriapost/agent/AgentLoop.java
@@ -11,59 +11,60 @@
 import org.wisteriapost.policy.agent.AgentView;
 
 /**
- * The one thread that applies events to the agent's decisions.
+ * Single-threaded event loop that applies events to the {@link AgentMachine}.
  */
 final class AgentLoop implements AutoCloseable {
 
-	private static final int RING_EVENTS = 4096;
+	private static final int QUEUE_CAPACITY = 4096;
 
-	private final AgentMachine machine;
+	private final AgentMachine stateMachine;
 
-	private final Consumer<AgentEffect> effects;
+	private final Consumer<AgentEffect> effectHandler;
 
-	private final Deque<AgentEvent> own = new ArrayDeque<>();
+	private final Deque<AgentEvent> ownEvents = new ArrayDeque<>();
 
-	private final long base = System.nanoTime();
+	private final long startNanos = System.nanoTime();
 
 	private EventLoop<AgentEvent> loop;
 
-	private volatile Thread thread;
+	private volatile Thread owner;
 
-	private volatile AgentView view = AgentView.STARTING;
+	private volatile AgentView status = AgentView.STARTING;
 
-	AgentLoop(AgentMachine machine, Consumer<AgentEffect> effects) {
-		this.machine = machine;
-		this.effects = effects;
+	AgentLoop(AgentMachine stateMachine, Consumer<AgentEffect> effectHandler) {
+		this.stateMachine = stateMachine;
+		this.effectHandler = effectHandler;
 	}
 
 	void start() {
-		this.loop = EventLoop.start("agent", RING_EVENTS, this::consume);
+		this.loop = EventLoop.start("agent", QUEUE_CAPACITY, this::consume);
 		post(new AgentEvent.Tick());
 	}
 
 	/**
-	 * Returns the monotonic clock that all of the agent's times are on.
+	 * Returns the monotonic time in nanoseconds since this process started, the time base
+	 * of all events.
 	 */
-	long now() {
-		return System.nanoTime() - this.base;
+	long nowNanos() {
+		return System.nanoTime() - this.startNanos;
 	}
 
-	AgentView view() {
-		return this.view;
+	AgentView status() {
+		return this.status;
 	}
 
 	void post(AgentEvent event) {
-		// An effect that completes at once posts from the loop's own thread; waiting for
-		// room there would wait for itself.
-		if (Thread.currentThread() == this.thread) {
-			this.own.add(event);
+		// An effect that completes immediately posts from the loop's own thread, where
+		// waiting for free capacity in the queue would deadlock.
+		if (Thread.currentThread() == this.owner) {
+			this.ownEvents.add(event);
 			return;
 		}
 		this.loop.put(event);
 	}
 
 	/**
-	 * Returns whether the event was taken; false means that the agent is overrun.
+	 * Posts an event unless the queue is full, and returns whether it was posted.
 	 */
 	boolean offer(AgentEvent event) {
 		return this.loop.offer(event);
@@ -75,19 +76,19 @@
 	}
 
 	private void consume(AgentEvent event) {
-		this.thread = Thread.currentThread();
+		this.owner = Thread.currentThread();
 		apply(event);
-		AgentEvent next = this.own.poll();
+		AgentEvent next = this.ownEvents.poll();
 		while (next != null) {
 			apply(next);
-			next = this.own.poll();
+			next = this.ownEvents.poll();
 		}
 	}
 
 	private void apply(AgentEvent event) {
-		var decided = this.machine.apply(event, now());
-		this.view = this.machine.view();
-		decided.forEach(this.effects);
+		var effects = this.stateMachine.apply(event, nowNanos());
+		this.status = this.stateMachine.view();
+		effects.forEach(this.effectHandler);
 	}
 
 }
--- a/agent/src/main/java/org/wisteriapost/agent/AgentMetrics.java
+++ b/agent/src/main/java/org/wisteriapost/agent/AgentMetrics.java
@@ -8,7 +8,7 @@
 import org.wisteriapost.protocol.wire.CallEnd;
 
 /**
- * The agent's figures for monitoring.
+ * Metrics of the agent.
  */
 final class AgentMetrics {
 
@@ -18,8 +18,8 @@
 		return this.registry;
 	}
 
-	void watch(AgentLoop loop, Invariants invariants) {
-		gauge("agent.admitting", "1 while calls are taken", loop, (view) -> view.admitting() ? 1 : 0);
+	void registerGauges(AgentLoop loop, Invariants invariants) {
+		gauge("agent.admitting", "1 while calls are taken", loop, (status) -> status.admitting() ? 1 : 0);
 		gauge("agent.generation", "generation of the bundle in force", loop, AgentView::generation);
 		gauge("agent.head.generation", "highest head heard of", loop, AgentView::headGeneration);
 		gauge("agent.calls.running", "calls at the runner", loop, AgentView::running);
@@ -28,12 +28,12 @@
 		gauge("agent.chunks.total", "chunks needed", loop, AgentView::total);
 		Gauge
 			.builder("agent.invariants.violated", invariants,
-					(counts) -> counts.violations().values().stream().mapToLong(Long::longValue).sum())
+					(source) -> source.violations().values().stream().mapToLong(Long::longValue).sum())
 			.description("promises found broken inside this process")
 			.register(this.registry);
 	}
 
-	void ended(CallEnd end) {
+	void callEnded(CallEnd end) {
 		this.registry
 			.counter("agent.calls.ended", "outcome", end.getOutcome().name().toLowerCase(java.util.Locale.ROOT), "code",
 					end.getCode())
@@ -42,7 +42,7 @@
 
 	private void gauge(String name, String description, AgentLoop loop,
 			java.util.function.ToDoubleFunction<AgentView> value) {
-		Gauge.builder(name, loop, (one) -> value.applyAsDouble(one.view()))
+		Gauge.builder(name, loop, (source) -> value.applyAsDouble(source.status()))
 			.description(description)
 			.register(this.registry);
 	}
--- a/agent/src/main/java/org/wisteriapost/agent/AgentProcess.java
+++ b/agent/src/main/java/org/wisteriapost/agent/AgentProcess.java
@@ -32,7 +32,8 @@
 import org.wisteriapost.protocol.tls.TlsSettings;
 
 /**
- * One running agent: the decisions, and the I/O that feeds them and carries them out.
+ * A running agent: connects the {@link AgentMachine} to the I/O that supplies its events
+ * and executes its effects.
  */
 final class AgentProcess implements AutoCloseable {
 
@@ -43,19 +44,19 @@
 
 	private static final int LINK_THREADS = 2;
 
-	private static final long SECOND_MILLIS = 1000;
+	private static final long TICK_MILLIS = 1000;
 
 	private final Settings settings;
 
-	private final Outside outside;
+	private final ExternalSystems externalSystems;
 
-	private final AgentIdentity self;
+	private final AgentIdentity identity;
 
 	private final Invariants invariants = Invariants.create();
 
 	private final AgentMetrics metrics = new AgentMetrics();
 
-	private final ScheduledExecutorService timer = timer();
+	private final ScheduledExecutorService timer = createTimer();
 
 	private final Links links;
 
@@ -63,67 +64,68 @@
 
 	private final AgentLoop loop;
 
-	private final AgentLinks peers;
+	private final AgentLinks agentLinks;
 
-	private final PlatformCalls platform;
+	private final PlatformClient platformClient;
 
-	private final EngineCalls engine;
+	private final EngineClient engineClient;
 
-	private final RunnerCalls calls;
+	private final RunnerCalls runnerCalls;
 
-	private final BundleSource bundles;
+	private final BundleFetcher bundleFetcher;
 
 	private final Transfer transfer;
 
-	private final Surveys surveys;
+	private final MembershipWatcher membershipWatcher;
 
-	private CompletableFuture<Void> fetch = CompletableFuture.completedFuture(null);
+	private CompletableFuture<Void> currentFetch = CompletableFuture.completedFuture(null);
 
-	private Progress progress = Progress.NONE;
+	private Progress lastProgress = Progress.NONE;
 
-	private LinkServer server;
+	private LinkServer linkServer;
 
-	private AdminServer admin;
+	private AdminServer adminServer;
 
-	private AgentProcess(Settings settings, Outside outside) {
+	private AgentProcess(Settings settings, ExternalSystems externalSystems) {
 		this.settings = settings;
-		this.outside = outside;
+		this.externalSystems = externalSystems;
 		this.links = TlsSettings.links(settings, LINK_THREADS);
-		this.self = AgentSettings.identity(settings, UUID.randomUUID().toString());
-		AgentMachine machine = AgentMachine.create(this.self, AgentSettings.limits(settings),
-				AgentSettings.operators(settings), this.invariants, RandomSource.XO_RO_SHI_RO_128_PP.create());
-		this.loop = new AgentLoop(machine, this::carryOut);
-		this.peers = new AgentLinks(this.self, this.loop);
-		this.platform = new PlatformCalls(outside.platform(), this.loop);
-		this.engine = new EngineCalls(outside.engine(), this.loop);
-		this.calls = new RunnerCalls(this.self.service(), AgentSettings.RUNNER.get(settings),
-				AgentSettings.MAX_CALL.get(settings), outside.caller(), this.loop, this.metrics);
-		this.bundles = new BundleSource(this.loop, this.peers, outside.platform(), this.timer);
-		this.transfer = transfer();
-		this.surveys = new Surveys(this.self, this.loop, outside, this.transfer, this.timer);
+		this.identity = AgentSettings.identity(settings, UUID.randomUUID().toString());
+		AgentMachine stateMachine = AgentMachine.create(this.identity, AgentSettings.limits(settings),
+				AgentSettings.approvalPolicy(settings), this.invariants, RandomSource.XO_RO_SHI_RO_128_PP.create());
+		this.loop = new AgentLoop(stateMachine, this::execute);
+		this.agentLinks = new AgentLinks(this.identity, this.loop);
+		this.platformClient = new PlatformClient(externalSystems.platform(), this.loop);
+		this.engineClient = new EngineClient(externalSystems.engine(), this.loop);
+		this.runnerCalls = new RunnerCalls(this.identity.service(), AgentSettings.RUNNER.get(settings),
+				AgentSettings.CALL_TIMEOUT.get(settings), externalSystems.caller(), this.loop, this.metrics);
+		this.bundleFetcher = new BundleFetcher(this.loop, this.agentLinks, externalSystems.platform(), this.timer);
+		this.transfer = createTransfer();
+		this.membershipWatcher = new MembershipWatcher(this.identity, this.loop, externalSystems, this.transfer,
+				this.timer);
 	}
 
 	/**
-	 * Returns an agent that takes links.
-	 * @param settings checked whole
+	 * Starts an agent that accepts links.
+	 * @param settings validated settings
 	 */
-	static AgentProcess start(Settings settings, Outside outside) {
-		AgentProcess process = new AgentProcess(settings, outside);
+	static AgentProcess start(Settings settings, ExternalSystems externalSystems) {
+		AgentProcess process = new AgentProcess(settings, externalSystems);
 		process.open();
 		return process;
 	}
 
 	String readyLine() {
-		return "{\"ready\":\"agent\",\"vm\":\"%s\",\"linkPort\":%d,\"adminPort\":%d}".formatted(this.self.vm(),
-				this.server.port(), this.admin.port());
+		return "{\"ready\":\"agent\",\"vm\":\"%s\",\"linkPort\":%d,\"adminPort\":%d}".formatted(this.identity.vm(),
+				this.linkServer.port(), this.adminServer.port());
 	}
 
 	int linkPort() {
-		return this.server.port();
+		return this.linkServer.port();
 	}
 
-	AgentView view() {
-		return this.loop.view();
+	AgentView status() {
+		return this.loop.status();
 	}
 
 	Invariants invariants() {
@@ -131,15 +133,15 @@
 	}
 
 	/**
-	 * Asks to drain and stop.
+	 * Starts to drain the agent, which then stops.
 	 */
 	void leave() {
 		this.loop.post(new AgentEvent.LeaveAsked());
 	}
 
 	/**
-	 * Waits until the agent has stopped by itself and returns the code why, empty when it
-	 * has drained.
+	 * Waits until the agent has stopped and returns the error code, empty if it has
+	 * drained.
 	 */
 	String awaitStop() {
 		return this.stopped.join();
@@ -147,58 +149,58 @@
 
 	@Override
 	public void close() {
-		this.surveys.stop();
-		this.server.close();
+		this.membershipWatcher.stop();
+		this.linkServer.close();
 		this.transfer.close();
 		this.links.close();
 		this.loop.close();
 		this.timer.shutdownNow();
-		this.admin.close();
-		this.outside.close();
+		this.adminServer.close();
+		this.externalSystems.close();
 	}
 
 	private void open() {
-		this.calls.connect(this.peers);
-		this.peers.connect(this.calls, this.transfer, this.bundles, this.engine);
-		this.metrics.watch(this.loop, this.invariants);
+		this.runnerCalls.setLinks(this.agentLinks);
+		this.agentLinks.setHandlers(this.runnerCalls, this.transfer, this.bundleFetcher, this.engineClient);
+		this.metrics.registerGauges(this.loop, this.invariants);
 		this.loop.start();
-		this.server = this.links.listen(new InetSocketAddress(AgentSettings.LINK_HOST.get(this.settings),
-				AgentSettings.LINK_PORT.get(this.settings).intValue()), this.peers);
-		this.admin = AdminServer.start(
+		this.linkServer = this.links.listen(new InetSocketAddress(AgentSettings.LINK_HOST.get(this.settings),
+				AgentSettings.LINK_PORT.get(this.settings).intValue()), this.agentLinks);
+		this.adminServer = AdminServer.start(
 				new InetSocketAddress(CommonSettings.ADMIN_HOST.get(this.settings),
 						CommonSettings.ADMIN_PORT.get(this.settings).intValue()),
-				this.metrics.registry(), () -> view().admitting());
-		this.surveys.start(AgentSettings.VM_LIST_PERIOD.get(this.settings));
-		this.timer.scheduleAtFixedRate(this::second, SECOND_MILLIS, SECOND_MILLIS, TimeUnit.MILLISECONDS);
+				this.metrics.registry(), () -> status().admitting());
+		this.membershipWatcher.start(AgentSettings.VM_LIST_INTERVAL.get(this.settings));
+		this.timer.scheduleAtFixedRate(this::tick, TICK_MILLIS, TICK_MILLIS, TimeUnit.MILLISECONDS);
 	}
 
-	private void second() {
-		Progress now = this.transfer.progress();
-		if (!now.equals(this.progress)) {
-			this.progress = now;
-			this.loop.post(new AgentEvent.FetchProgress(now.verified(), now.total()));
+	private void tick() {
+		Progress progress = this.transfer.progress();
+		if (!progress.equals(this.lastProgress)) {
+			this.lastProgress = progress;
+			this.loop.post(new AgentEvent.FetchProgress(progress.verified(), progress.total()));
 		}
 		this.loop.post(new AgentEvent.Tick());
-		this.peers.report();
+		this.agentLinks.sendReport();
 	}
 
-	private void carryOut(AgentEffect effect) {
+	private void execute(AgentEffect effect) {
 		switch (effect) {
 			case AgentEffect.Wake wake -> this.timer.schedule(() -> this.loop.post(new AgentEvent.Tick()),
 					wake.delayNanos(), TimeUnit.NANOSECONDS);
-			case AgentEffect.ReadObject read -> this.platform.read(read.key());
-			case AgentEffect.WriteObject write -> this.platform.write(write);
-			case AgentEffect.FetchBundle bundle -> this.bundles.fetch(bundle.digest());
+			case AgentEffect.ReadObject read -> this.platformClient.read(read.key());
+			case AgentEffect.WriteObject write -> this.platformClient.write(write);
+			case AgentEffect.FetchBundle bundle -> this.bundleFetcher.fetch(bundle.digest());
 			case AgentEffect.FetchWeights weights -> fetch(weights);
-			case AgentEffect.DropWeights drop -> drop.files().forEach(this::drop);
-			case AgentEffect.ReadEngine read -> this.engine.read();
-			case AgentEffect.SendOrder order -> this.engine.order(order);
-			case AgentEffect.StartCall call -> this.calls.start(call.call());
+			case AgentEffect.DropWeights drop -> drop.files().forEach(this::deleteWeights);
+			case AgentEffect.ReadEngine read -> this.engineClient.readStatus();
+			case AgentEffect.SendOrder order -> this.engineClient.sendOrder(order);
+			case AgentEffect.StartCall call -> this.runnerCalls.start(call.call());
 			case AgentEffect.RefuseCall refuse ->
-				this.calls.refuse(refuse.call(), refuse.code(), refuse.retryAfterMillis());
-			case AgentEffect.CancelCall cancel -> this.calls.cancel(cancel.call());
-			case AgentEffect.ReportNow report -> this.peers.report();
-			case AgentEffect.SayLeaving leaving -> this.peers.leaving();
+				this.runnerCalls.refuse(refuse.call(), refuse.code(), refuse.retryAfterMillis());
+			case AgentEffect.CancelCall cancel -> this.runnerCalls.cancel(cancel.call());
+			case AgentEffect.ReportNow report -> this.agentLinks.sendReport();
+			case AgentEffect.SayLeaving leaving -> this.agentLinks.sendLeaving();
 			case AgentEffect.SlowTransfer slow -> this.transfer.busy(slow.share());
 			case AgentEffect.Stop stop -> {
 				LOG.log(Level.INFO, "agent-stopped: " + (stop.code().isEmpty() ? "drained" : stop.code()));
@@ -207,21 +209,21 @@
 		}
 	}
 
-	private void drop(String file) {
-		this.outside.store().drop(file).exceptionally((failure) -> {
+	private void deleteWeights(String file) {
+		this.externalSystems.store().drop(file).exceptionally((failure) -> {
 			LOG.log(Level.WARNING, "weights-not-dropped: " + file + ": " + failure.getMessage());
 			return null;
 		});
 	}
 
 	private void fetch(AgentEffect.FetchWeights weights) {
-		this.fetch.cancel(false);
+		this.currentFetch.cancel(false);
 		LOG.log(Level.INFO, "fetch-started: weights " + weights.weightsDigest());
 		CompletableFuture<Void> next = this.transfer.fetch(weights.files());
-		this.fetch = next;
+		this.currentFetch = next;
 		next.whenComplete((none, failure) -> {
-			Progress now = this.transfer.progress();
-			this.loop.post(new AgentEvent.FetchProgress(now.verified(), now.total()));
+			Progress progress = this.transfer.progress();
+			this.loop.post(new AgentEvent.FetchProgress(progress.verified(), progress.total()));
 			if (failure == null) {
 				this.loop.post(new AgentEvent.WeightsFetched(weights.weightsDigest()));
 			}
@@ -238,16 +240,16 @@
 				: (cause instanceof CodedException inner) ? inner.code().name() : "fetch-failed";
 	}
 
-	private Transfer transfer() {
+	private Transfer createTransfer() {
 		String name = AgentSettings.transferPolicy(this.settings);
-		TransferProvider provider = Plugins.find(TransferProvider.class, (one) -> one.name().equals(name))
+		TransferProvider provider = Plugins.find(TransferProvider.class, (candidate) -> candidate.name().equals(name))
 			.orElseThrow(() -> CodedException.of(POLICY_UNKNOWN, name));
-		return provider.create(new TransferContext(this.settings, this.self.vm(), this.self.place(), this.links,
-				this.peers::hello, this.peers::frame, this.peers::onOther, this.outside.origin(), this.outside.store(),
-				this.timer, this.metrics.registry()));
+		return provider.create(new TransferContext(this.settings, this.identity.vm(), this.identity.place(), this.links,
+				this.agentLinks::newHello, this.agentLinks::newFrame, this.agentLinks::onControlFrame,
+				this.externalSystems.origin(), this.externalSystems.store(), this.timer, this.metrics.registry()));
 	}
 
-	private static ScheduledExecutorService timer() {
+	private static ScheduledExecutorService createTimer() {
 		ScheduledThreadPoolExecutor executor = new ScheduledThreadPoolExecutor(1, (task) -> {
 			Thread thread = Executors.defaultThreadFactory().newThread(task);
 			thread.setDaemon(true);
--- a/agent/src/main/java/org/wisteriapost/agent/EngineCalls.java
+++ b/agent/src/main/java/org/wisteriapost/agent/EngineClient.java
@@ -10,14 +10,14 @@
 import org.wisteriapost.protocol.outside.Engine;
 
 /**
- * Orders the engine and reads its state for the agent's decisions.
+ * Sends orders to the engine and reads its state, posting the results as events.
  */
-final class EngineCalls {
+final class EngineClient {
 
-	private static final Logger LOG = System.getLogger(EngineCalls.class.getName());
+	private static final Logger LOG = System.getLogger(EngineClient.class.getName());
 
-	// A hint that is late and has gaps anyhow: bounded, so that the reports of a second
-	// stay well under six kilobytes to all entries together.
+	// Prefixes are only a routing hint. The limit keeps the reports that are sent each
+	// second well below six kilobytes for all entries together.
 	private static final int MAX_PREFIXES = 64;
 
 	private final Engine engine;
@@ -26,7 +26,7 @@
 
 	private volatile List<Long> prefixes = List.of();
 
-	EngineCalls(Engine engine, AgentLoop loop) {
+	EngineClient(Engine engine, AgentLoop loop) {
 		this.engine = engine;
 		this.loop = loop;
 	}
@@ -35,7 +35,7 @@
 		return this.prefixes;
 	}
 
-	void read() {
+	void readStatus() {
 		this.engine.state().whenComplete((state, failure) -> {
 			if (failure != null) {
 				this.loop.post(new AgentEvent.EngineUnread());
@@ -47,11 +47,10 @@
 		});
 	}
 
-	void order(AgentEffect.SendOrder order) {
-		// Between the decision and this line the process may have been paused. The clock
-		// is
-		// read last, so that a lapsed lease sends nothing.
-		if (this.loop.now() > order.notAfterNanos()) {
+	void sendOrder(AgentEffect.SendOrder order) {
+		// The process may have been paused since the order was decided. The clock is read
+		// immediately before sending, so that no order is sent after the lease expired.
+		if (this.loop.nowNanos() > order.notAfterNanos()) {
 			this.loop.post(new AgentEvent.OrderLapsed());
 			return;
 		}
@@ -62,7 +61,7 @@
 					return;
 				}
 				LOG.log(Level.WARNING, "order-failed: generation " + order.generation() + ": " + failure.getMessage());
-				this.loop.post(PlatformCalls.has(failure, Engine.FENCED) ? new AgentEvent.OrderFenced()
+				this.loop.post(PlatformClient.hasCode(failure, Engine.FENCED) ? new AgentEvent.OrderFenced()
 						: new AgentEvent.OrderUnconfirmed());
 			});
 		LOG.log(Level.INFO, "engine-ordered: generation " + order.generation() + " weights " + order.weightsDigest());
--- a/agent/src/main/java/org/wisteriapost/agent/Outside.java
+++ b/agent/src/main/java/org/wisteriapost/agent/ExternalSystems.java
@@ -14,26 +14,26 @@
 import org.wisteriapost.protocol.outside.WeightStore;
 
 /**
- * The outside systems that an agent works with.
+ * Clients of the external systems that an agent uses.
  *
- * @param caller for calls to the runner and the adapters
- * @param platform the object API
+ * @param caller the HTTP client for the runner and the other clients
+ * @param platform the object store of the platform
  * @param vmList the VM list
  * @param origin the origin of weights
  * @param store the VM's weight store
- * @param engine orders and state of the engine; not used for a plain service
+ * @param engine the engine's orders and state; not used for a plain service
  */
-record Outside(HttpCaller caller, Platform platform, VmList vmList, Origin origin, WeightStore store,
+record ExternalSystems(HttpCaller caller, Platform platform, VmList vmList, Origin origin, WeightStore store,
 		Engine engine) implements AutoCloseable {
 
 	private static final int IO_THREADS = 2;
 
-	static Outside of(Settings settings) {
+	static ExternalSystems of(Settings settings) {
 		OutsideProvider provider = OutsideProviders.of(settings);
 		HttpCaller caller = HttpCaller.create(IO_THREADS);
 		URI runner = AgentSettings.RUNNER.get(settings);
 		URI store = AgentSettings.WEIGHT_STORE.get(settings).orElse(runner);
-		return new Outside(caller, provider.platform(caller, CommonSettings.PLATFORM.get(settings)),
+		return new ExternalSystems(caller, provider.platform(caller, CommonSettings.PLATFORM.get(settings)),
 				provider.vmList(caller, CommonSettings.VM_LIST.get(settings)),
 				provider.origin(caller, CommonSettings.ORIGIN.get(settings)), provider.weightStore(caller, store),
 				provider.engine(caller, runner));
--- a/agent/src/main/java/org/wisteriapost/agent/PlatformCalls.java
+++ b/agent/src/main/java/org/wisteriapost/agent/PlatformClient.java
@@ -9,28 +9,28 @@
 import org.wisteriapost.protocol.outside.Platform.PutResult;
 
 /**
- * Reads and writes platform objects for the agent's decisions.
+ * Reads and writes objects in the platform, posting the results as events.
  */
-final class PlatformCalls {
+final class PlatformClient {
 
 	private final Platform platform;
 
 	private final AgentLoop loop;
 
-	PlatformCalls(Platform platform, AgentLoop loop) {
+	PlatformClient(Platform platform, AgentLoop loop) {
 		this.platform = platform;
 		this.loop = loop;
 	}
 
 	void read(String key) {
-		long sent = this.loop.now();
+		long requestedAtNanos = this.loop.nowNanos();
 		this.platform.get(key).whenComplete((stored, failure) -> {
 			if (failure != null) {
 				this.loop.post(new AgentEvent.ObjectUnread(key));
 				return;
 			}
 			this.loop.post(new AgentEvent.ObjectRead(key,
-					stored.map((found) -> new StoredObject(found.value(), found.version())), sent));
+					stored.map((found) -> new StoredObject(found.value(), found.version())), requestedAtNanos));
 		});
 	}
 
@@ -54,7 +54,7 @@
 		return (version == AgentEffect.WriteObject.ANYTHING) ? new Expected.Anything() : new Expected.Version(version);
 	}
 
-	static boolean has(Throwable failure, org.wisteriapost.kernel.Code code) {
+	static boolean hasCode(Throwable failure, org.wisteriapost.kernel.Code code) {
 		Throwable cause = failure;
 		while (cause != null) {
 			if (cause instanceof CodedException coded && coded.code().equals(code)) {
--- a/agent/src/main/java/org/wisteriapost/agent/RunnerCall.java
+++ b/agent/src/main/java/org/wisteriapost/agent/RunnerCall.java
@@ -21,14 +21,14 @@
 import org.wisteriapost.protocol.wire.Outcome;
 
 /**
- * One call at the runner; passes the answer on piece by piece.
+ * A call at the runner, whose response is streamed to the entry.
  */
 final class RunnerCall implements HttpListener {
 
 	private static final Code NOT_REACHED = Code.warning("runner-not-reached",
 			"No connection to the runner could be made; not a byte of the call was sent.");
 
-	private static final Code REFUSED = Code.refusal("runner-refused",
+	private static final Code RUNNER_REFUSED = Code.refusal("runner-refused",
 			"The runner itself said that it did not run the call.");
 
 	private static final Code CUT = Code.warning("runner-cut", "The runner's answer ended before it was whole.");
@@ -37,21 +37,21 @@
 			"The runner's answer was not whole when the caller's deadline passed.");
 
 	/**
-	 * The call ran, so it is not "not run". But not a byte of the answer went out, so an
-	 * entry may send an idempotent call to another runner on this code.
+	 * The call ran, so its outcome is not {@code NOT_RUN}. No byte of the response was
+	 * sent, so on this code an entry may retry an idempotent call at another runner.
 	 */
 	private static final Code WITHHELD = Code.error("answer-withheld",
 			"The runner answered from other weights than the call asked for; the answer was withheld.");
 
-	private static final int UNAVAILABLE = 503;
+	private static final int SERVICE_UNAVAILABLE = 503;
 
-	private static final int FIRST_ERROR = 400;
+	private static final int MIN_ERROR_STATUS = 400;
 
 	private static final String NOT_RUN = "not-run";
 
-	// Hop by hop; the entry sets its own towards the caller.
-	private static final Set<String> NOT_PASSED = Set.of("connection", "keep-alive", "transfer-encoding", "trailer",
-			"upgrade", "te");
+	// The entry sets its own towards the caller.
+	private static final Set<String> HOP_BY_HOP_HEADERS = Set.of("connection", "keep-alive", "transfer-encoding",
+			"trailer", "upgrade", "te");
 
 	private final long key;
 
@@ -61,7 +61,7 @@
 
 	private final long deadlineNanos;
 
-	private final RunnerCalls owner;
+	private final RunnerCalls runnerCalls;
 
 	private final AtomicBoolean ended = new AtomicBoolean();
 
@@ -69,14 +69,14 @@
 
 	private volatile boolean paused;
 
-	private volatile Optional<CallEnd> verdict = Optional.empty();
+	private volatile Optional<CallEnd> decidedEnd = Optional.empty();
 
-	RunnerCall(long key, Link link, Call call, long deadlineNanos, RunnerCalls owner) {
+	RunnerCall(long key, Link link, Call call, long deadlineNanos, RunnerCalls runnerCalls) {
 		this.key = key;
 		this.link = link;
 		this.call = call;
 		this.deadlineNanos = deadlineNanos;
-		this.owner = owner;
+		this.runnerCalls = runnerCalls;
 	}
 
 	Link link() {
@@ -91,9 +91,9 @@
 		return this.deadlineNanos;
 	}
 
-	void started(HttpExchange running) {
+	void exchangeStarted(HttpExchange running) {
 		this.exchange = running;
-		if (this.verdict.isPresent()) {
+		if (this.decidedEnd.isPresent()) {
 			running.cancel();
 		}
 		else if (this.paused && !this.link.writable()) {
@@ -102,7 +102,7 @@
 	}
 
 	/**
-	 * Returns whether there was anything to cancel at the runner.
+	 * Cancels the call at the runner and returns whether it had been started there.
 	 */
 	boolean cancel() {
 		HttpExchange running = this.exchange;
@@ -123,18 +123,17 @@
 
 	@Override
 	public void onHead(int status, Map<String, String> headers) {
-		this.owner.loop().post(new AgentEvent.CallAnswered(this.key));
-		if (status == UNAVAILABLE && NOT_RUN.equals(headers.get(lower(CallerHeaders.OUTCOME)))) {
-			this.verdict = Optional.of(verdict(Outcome.NOT_RUN, REFUSED.name(), retryAfter(headers)));
+		this.runnerCalls.loop().post(new AgentEvent.CallAnswered(this.key));
+		if (status == SERVICE_UNAVAILABLE && NOT_RUN.equals(headers.get(lowerCase(CallerHeaders.OUTCOME)))) {
+			this.decidedEnd = Optional.of(callEnd(Outcome.NOT_RUN, RUNNER_REFUSED.name(), retryAfter(headers)));
 			return;
 		}
-		String weights = headers.getOrDefault(lower(CallerHeaders.WEIGHTS), "");
-		if (foreign(status, weights)) {
-			// The caller would read tokens of a model that the bundle does not name. The
-			// check stands before the first byte goes out, so nothing has to be taken
-			// back.
-			this.verdict = Optional.of(verdict(Outcome.UNKNOWN, WITHHELD.name(), 0));
-			this.owner.loop().post(new AgentEvent.WrongWeightsAnswered());
+		String weights = headers.getOrDefault(lowerCase(CallerHeaders.WEIGHTS), "");
+		if (isFromOtherWeights(status, weights)) {
+			// Checked before the first byte is sent, so that the caller never reads
+			// tokens of a model other than the one in the bundle.
+			this.decidedEnd = Optional.of(callEnd(Outcome.UNKNOWN, WITHHELD.name(), 0));
+			this.runnerCalls.loop().post(new AgentEvent.WrongWeightsAnswered());
 			cancel();
 			return;
 		}
@@ -143,20 +142,20 @@
 			.setStatus(status)
 			.setWeightsDigest(this.call.getWeightsDigest());
 		headers.forEach((name, value) -> {
-			if (!NOT_PASSED.contains(name)) {
+			if (!HOP_BY_HOP_HEADERS.contains(name)) {
 				started.addHeaders(Header.newBuilder().setName(name).setValue(value));
 			}
 		});
-		this.link.send(this.owner.links().frame().setCallStarted(started).build());
+		this.link.send(this.runnerCalls.agentLinks().newFrame().setCallStarted(started).build());
 	}
 
 	@Override
 	public void onData(byte[] data) {
-		if (this.verdict.isPresent()) {
+		if (this.decidedEnd.isPresent()) {
 			return;
 		}
-		this.link.send(this.owner.links()
-			.frame()
+		this.link.send(this.runnerCalls.agentLinks()
+			.newFrame()
 			.setCallData(CallData.newBuilder().setId(this.call.getId()).setData(ByteString.copyFrom(data)))
 			.build());
 		if (!this.link.writable()) {
@@ -166,45 +165,45 @@
 
 	@Override
 	public void onEnd() {
-		finish(this.verdict.orElseGet(() -> verdict(Outcome.RAN, "", 0)));
+		finish(this.decidedEnd.orElseGet(() -> callEnd(Outcome.RAN, "", 0)));
 	}
 
 	@Override
 	public void onFailure(boolean sent, Throwable cause) {
-		if (this.verdict.isPresent()) {
-			finish(this.verdict.get());
+		if (this.decidedEnd.isPresent()) {
+			finish(this.decidedEnd.get());
 			return;
 		}
 		if (!sent) {
-			this.owner.loop().post(new AgentEvent.RunnerUnreachable());
-			finish(verdict(Outcome.NOT_RUN, NOT_REACHED.name(), 0));
+			this.runnerCalls.loop().post(new AgentEvent.RunnerUnreachable());
+			finish(callEnd(Outcome.NOT_RUN, NOT_REACHED.name(), 0));
 			return;
 		}
 		Code code = (cause instanceof TimeoutException) ? TIMEOUT : CUT;
-		finish(verdict(Outcome.UNKNOWN, code.name(), 0));
+		finish(callEnd(Outcome.UNKNOWN, code.name(), 0));
 	}
 
 	/**
-	 * Ends a call that never reached the runner.
+	 * Ends a call that was not sent to the runner.
 	 */
 	void end(Outcome outcome, String code, long retryAfterMillis) {
-		send(verdict(outcome, code, retryAfterMillis));
+		send(callEnd(outcome, code, retryAfterMillis));
 	}
 
 	private void finish(CallEnd end) {
-		this.owner.forget(this.key);
+		this.runnerCalls.remove(this.key);
 		send(end);
-		this.owner.loop().post(new AgentEvent.CallEnded(this.key));
+		this.runnerCalls.loop().post(new AgentEvent.CallEnded(this.key));
 	}
 
 	private void send(CallEnd end) {
 		if (this.ended.compareAndSet(false, true)) {
-			this.owner.metrics().ended(end);
-			this.link.send(this.owner.links().frame().setCallEnd(end).build());
+			this.runnerCalls.metrics().callEnded(end);
+			this.link.send(this.runnerCalls.agentLinks().newFrame().setCallEnd(end).build());
 		}
 	}
 
-	private CallEnd verdict(Outcome outcome, String code, long retryAfterMillis) {
+	private CallEnd callEnd(Outcome outcome, String code, long retryAfterMillis) {
 		return CallEnd.newBuilder()
 			.setId(this.call.getId())
 			.setOutcome(outcome)
@@ -214,19 +213,19 @@
 	}
 
 	/**
-	 * Returns whether an answer is not from the weights that the call asked for. An error
-	 * without the header was not computed from any.
+	 * Returns whether a response was computed from weights other than the requested ones.
+	 * Errors without the weights header were not computed from weights.
 	 */
-	private boolean foreign(int status, String weights) {
-		if (this.call.getWeightsDigest().isEmpty() || (status >= FIRST_ERROR && weights.isEmpty())) {
+	private boolean isFromOtherWeights(int status, String weights) {
+		if (this.call.getWeightsDigest().isEmpty() || (status >= MIN_ERROR_STATUS && weights.isEmpty())) {
 			return false;
 		}
 		return !weights.equals(this.call.getWeightsDigest());
 	}
 
 	/**
-	 * Stops reading while the link is full, so that one slow entry fills neither this
-	 * process's heap nor the other calls' time.
+	 * Stops reading the response while the link is not writable, so that a slow entry
+	 * neither fills this process's heap nor delays other calls.
 	 */
 	private void pause() {
 		HttpExchange running = this.exchange;
@@ -235,8 +234,8 @@
 			return;
 		}
 		running.pause();
-		// The link may have drained between the look at it and the pause; its one signal
-		// is then gone, and the answer would stand still for good.
+		// The link may have become writable before the pause. Its only notification was
+		// then missed, and the response would never resume.
 		if (this.link.writable()) {
 			resume();
 		}
@@ -244,14 +243,14 @@
 
 	private static long retryAfter(Map<String, String> headers) {
 		try {
-			return Long.parseLong(headers.getOrDefault(lower(CallerHeaders.RETRY_AFTER_MILLIS), "0"));
+			return Long.parseLong(headers.getOrDefault(lowerCase(CallerHeaders.RETRY_AFTER_MILLIS), "0"));
 		}
 		catch (NumberFormatException ex) {
 			return 0;
 		}
 	}
 
-	private static String lower(String header) {
+	private static String lowerCase(String header) {
 		return header.toLowerCase(java.util.Locale.ROOT);
 	}
 
--- a/agent/src/main/java/org/wisteriapost/agent/RunnerCalls.java
+++ b/agent/src/main/java/org/wisteriapost/agent/RunnerCalls.java
@@ -22,7 +22,7 @@
 import org.wisteriapost.protocol.wire.Outcome;
 
 /**
- * Calls from entries on their way to the runner.
+ * Calls from entries that are queued for the runner or running there.
  */
 final class RunnerCalls {
 
@@ -34,15 +34,15 @@
 
 	private static final long OVERRUN_RETRY_MILLIS = 200;
 
-	// Set anew for the runner's connection.
-	private static final Set<String> NOT_PASSED = Set.of("host", "connection", "keep-alive", "transfer-encoding",
+	// Not forwarded, since the connection to the runner sets its own.
+	private static final Set<String> EXCLUDED_HEADERS = Set.of("host", "connection", "keep-alive", "transfer-encoding",
 			"content-length", "trailer", "upgrade", "te", "expect", "proxy-connection");
 
 	private final String service;
 
 	private final URI runner;
 
-	private final long maxNanos;
+	private final long maxCallNanos;
 
 	private final HttpCaller caller;
 
@@ -52,103 +52,104 @@
 
 	private final Map<Long, RunnerCall> calls = new ConcurrentHashMap<>();
 
-	private final Map<LinkCall, Long> keys = new ConcurrentHashMap<>();
+	private final Map<LinkCall, Long> keysByLinkCall = new ConcurrentHashMap<>();
 
 	private final AtomicLong lastKey = new AtomicLong();
 
-	private AgentLinks links;
+	private AgentLinks agentLinks;
 
-	RunnerCalls(String service, URI runner, Duration longest, HttpCaller caller, AgentLoop loop, AgentMetrics metrics) {
+	RunnerCalls(String service, URI runner, Duration maxCallDuration, HttpCaller caller, AgentLoop loop,
+			AgentMetrics metrics) {
 		this.service = service;
 		this.runner = runner;
-		this.maxNanos = longest.toNanos();
+		this.maxCallNanos = maxCallDuration.toNanos();
 		this.caller = caller;
 		this.loop = loop;
 		this.metrics = metrics;
 	}
 
-	void connect(AgentLinks toLinks) {
-		this.links = toLinks;
+	void setLinks(AgentLinks agentLinks) {
+		this.agentLinks = agentLinks;
 	}
 
-	void arrive(Link link, Call call) {
-		long now = this.loop.now();
+	void accept(Link link, Call call) {
+		long now = this.loop.nowNanos();
 		long key = this.lastKey.incrementAndGet();
-		long remaining = Math.min(TimeUnit.MILLISECONDS.toNanos(call.getRemainingMillis()), this.maxNanos);
-		RunnerCall task = new RunnerCall(key, link, call, now + remaining, this);
+		long remaining = Math.min(TimeUnit.MILLISECONDS.toNanos(call.getRemainingMillis()), this.maxCallNanos);
+		RunnerCall runnerCall = new RunnerCall(key, link, call, now + remaining, this);
 		if (!call.getService().equals(this.service)) {
-			task.end(Outcome.NOT_RUN, OTHER_SERVICE.name(), 0);
+			runnerCall.end(Outcome.NOT_RUN, OTHER_SERVICE.name(), 0);
 			return;
 		}
-		this.calls.put(key, task);
-		this.keys.put(new LinkCall(link, call.getId()), key);
-		boolean taken = this.loop
-			.offer(new AgentEvent.CallArrived(key, priority(call), call.getWeightsDigest(), now, task.deadlineNanos()));
-		if (!taken) {
+		this.calls.put(key, runnerCall);
+		this.keysByLinkCall.put(new LinkCall(link, call.getId()), key);
+		boolean queued = this.loop.offer(new AgentEvent.CallArrived(key, priority(call), call.getWeightsDigest(), now,
+				runnerCall.deadlineNanos()));
+		if (!queued) {
 			refuse(key, OVERRUN.name(), OVERRUN_RETRY_MILLIS);
 		}
 	}
 
 	void start(long key) {
-		RunnerCall task = this.calls.get(key);
-		long remaining = (task != null) ? task.deadlineNanos() - this.loop.now() : 0;
-		if (task == null) {
+		RunnerCall runnerCall = this.calls.get(key);
+		long remaining = (runnerCall != null) ? runnerCall.deadlineNanos() - this.loop.nowNanos() : 0;
+		if (runnerCall == null) {
 			this.loop.post(new AgentEvent.CallEnded(key));
 			return;
 		}
-		task.started(this.caller.stream(request(task.call(), Math.max(1, remaining)), task));
+		runnerCall.exchangeStarted(this.caller.stream(request(runnerCall.call(), Math.max(1, remaining)), runnerCall));
 	}
 
 	void refuse(long key, String code, long retryAfterMillis) {
-		forget(key).ifPresent((task) -> task.end(Outcome.NOT_RUN, code, retryAfterMillis));
+		remove(key).ifPresent((runnerCall) -> runnerCall.end(Outcome.NOT_RUN, code, retryAfterMillis));
 	}
 
 	void cancel(Link link, long id) {
-		Long key = this.keys.get(new LinkCall(link, id));
+		Long key = this.keysByLinkCall.get(new LinkCall(link, id));
 		if (key != null) {
 			this.loop.post(new AgentEvent.CallCancelled(key));
 		}
 	}
 
 	/**
-	 * Cancels at the runner, or forgets a call that never started.
+	 * Cancels a call at the runner, or removes a call that was not started.
 	 */
 	void cancel(long key) {
-		RunnerCall task = this.calls.get(key);
-		if (task != null && !task.cancel()) {
-			forget(key);
+		RunnerCall runnerCall = this.calls.get(key);
+		if (runnerCall != null && !runnerCall.cancel()) {
+			remove(key);
 		}
 	}
 
 	/**
-	 * Gives up the work of a link that is gone: nobody can take its answers.
+	 * Cancels the calls of a closed link, whose responses can no longer be delivered.
 	 */
-	void linkLost(Link link) {
-		this.calls.forEach((key, task) -> {
-			if (task.link() == link) {
+	void linkClosed(Link link) {
+		this.calls.forEach((key, runnerCall) -> {
+			if (runnerCall.link() == link) {
 				this.loop.post(new AgentEvent.CallCancelled(key));
 			}
 		});
 	}
 
-	void writable(Link link) {
-		this.calls.values().stream().filter((task) -> task.link() == link).forEach(RunnerCall::resume);
+	void linkWritable(Link link) {
+		this.calls.values().stream().filter((runnerCall) -> runnerCall.link() == link).forEach(RunnerCall::resume);
 	}
 
-	Optional<RunnerCall> forget(long key) {
-		RunnerCall task = this.calls.remove(key);
-		if (task != null) {
-			this.keys.remove(new LinkCall(task.link(), task.call().getId()));
+	Optional<RunnerCall> remove(long key) {
+		RunnerCall runnerCall = this.calls.remove(key);
+		if (runnerCall != null) {
+			this.keysByLinkCall.remove(new LinkCall(runnerCall.link(), runnerCall.call().getId()));
 		}
-		return Optional.ofNullable(task);
+		return Optional.ofNullable(runnerCall);
 	}
 
 	AgentLoop loop() {
 		return this.loop;
 	}
 
-	AgentLinks links() {
-		return this.links;
+	AgentLinks agentLinks() {
+		return this.agentLinks;
 	}
 
 	AgentMetrics metrics() {
@@ -160,7 +161,7 @@
 		HttpCall request = HttpCall.of(call.getMethod(), this.runner.resolve(call.getPath()), timeout)
 			.body(call.getBody().toByteArray());
 		for (Header header : call.getHeadersList()) {
-			if (!NOT_PASSED.contains(header.getName().toLowerCase(Locale.ROOT))) {
+			if (!EXCLUDED_HEADERS.contains(header.getName().toLowerCase(Locale.ROOT))) {
 				request = request.header(header.getName(), header.getValue());
 			}
 		}
--- a/agent/src/test/java/org/wisteriapost/agent/AgentProcessTests.java
+++ b/agent/src/test/java/org/wisteriapost/agent/AgentProcessTests.java
@@ -32,7 +32,7 @@
 import static org.hamcrest.Matchers.is;
 
 /**
- * A whole agent over real links and HTTP, with fakes for what is outside.
+ * Tests of a whole agent over real links and HTTP, with fake external systems.
  */
 class AgentProcessTests {
 
@@ -60,168 +60,162 @@
 	}
 
 	@Test
-	void rolledBundleIsFetchedOrderedReadBackAndServed() {
-		Bundle bundle = roll(1, "model-a");
-		FakeEntry entry = entryOf(start());
+	void rolledOutBundleIsFetchedAndServed() {
+		Bundle bundle = rollOut(1, "model-a");
+		FakeEntry entry = connectEntry(start());
 		awaitServing(entry, bundle);
 		StringBuilder answer = new StringBuilder();
 		entry.call(1, "/v1/chat/completions", "hello", digestOf(bundle));
-		assertThat(entry.end(1, answer).getOutcome(), is(Outcome.RAN));
+		assertThat(entry.awaitEnd(1, answer).getOutcome(), is(Outcome.RAN));
 		assertThat(answer.toString(), equalTo("echo hello"));
 	}
 
 	@Test
-	void callForOtherWeightsIsRefusedAndDoesNotRun() {
-		Bundle bundle = roll(1, "model-a");
-		FakeEntry entry = entryOf(start());
+	void callForOtherWeightsIsRefused() {
+		Bundle bundle = rollOut(1, "model-a");
+		FakeEntry entry = connectEntry(start());
 		awaitServing(entry, bundle);
 		entry.call(1, "/x", "hello", "other");
-		assertThat(entry.end(1, new StringBuilder()).getOutcome(), is(Outcome.NOT_RUN));
+		assertThat(entry.awaitEnd(1, new StringBuilder()).getOutcome(), is(Outcome.NOT_RUN));
 		assertThat(this.engine.calls(), is(0));
 	}
 
-	// A call runs on the old weights while a new bundle arrives. The caller sees its
-	// whole
-	// answer, from the weights it asked for; only then is the engine switched. Ordering
-	// it
-	// at once would cut the answer or end it on other weights.
+	// A new bundle arrives while a call runs. Switching the engine before the call has
+	// completed would truncate the response or finish it from other weights.
 	@Test
-	void runningCallEndsWholeBeforeTheSwitch() {
-		Bundle first = roll(1, "model-a");
-		FakeEntry entry = entryOf(start());
+	void runningCallCompletesBeforeWeightsSwitch() {
+		Bundle first = rollOut(1, "model-a");
+		FakeEntry entry = connectEntry(start());
 		awaitServing(entry, first);
 		entry.call(1, "/slow", "old", digestOf(first));
-		entry.next((frame) -> frame.getCallData().getId() == 1);
-		Bundle second = roll(2, "model-b");
-		entry.tellHead(2, Digests.sha256(BundleCodec.encode(second)), true);
-		entry.next((frame) -> frame.hasReport() && !frame.getReport().getAdmitting());
-		assertThat(this.engine.now().weightsDigest(), equalTo(digestOf(first)));
-		this.engine.letSlowCallsEnd();
+		entry.awaitFrame((frame) -> frame.getCallData().getId() == 1);
+		Bundle second = rollOut(2, "model-b");
+		entry.sendHead(2, Digests.sha256(BundleCodec.encode(second)), true);
+		entry.awaitFrame((frame) -> frame.hasReport() && !frame.getReport().getAdmitting());
+		assertThat(this.engine.currentState().weightsDigest(), equalTo(digestOf(first)));
+		this.engine.completeSlowCalls();
 		StringBuilder rest = new StringBuilder();
-		assertThat(entry.end(1, rest).getOutcome(), is(Outcome.RAN));
+		assertThat(entry.awaitEnd(1, rest).getOutcome(), is(Outcome.RAN));
 		assertThat(rest.toString(), equalTo("old"));
 		awaitServing(entry, second);
 	}
 
-	// An engine that ignores fencing was switched behind the agent's back. It answers a
-	// call from other weights; the caller gets not a byte of it, and the entry learns
-	// that
-	// it ran and may be sent elsewhere.
+	// An engine that ignores fencing responds from other weights. No byte may reach the
+	// caller, and the code must tell the entry that the call ran and can be retried.
 	@Test
-	void answerFromOtherWeightsIsWithheldBeforeItsFirstByte() {
-		Bundle bundle = roll(1, "model-a");
-		FakeEntry entry = entryOf(start());
+	void responseFromOtherWeightsIsWithheld() {
+		Bundle bundle = rollOut(1, "model-a");
+		FakeEntry entry = connectEntry(start());
 		awaitServing(entry, bundle);
-		this.engine.labelAnswers("foreign");
+		this.engine.setReportedWeights("foreign");
 		StringBuilder answer = new StringBuilder();
 		entry.call(1, "/x", "hello", digestOf(bundle));
-		CallEnd end = entry.end(1, answer);
+		CallEnd end = entry.awaitEnd(1, answer);
 		assertThat(end.getOutcome(), is(Outcome.UNKNOWN));
 		assertThat(end.getCode(), equalTo("answer-withheld"));
 		assertThat(answer.length(), is(0));
 	}
 
-	// The agent is killed while the platform is down and a new one starts: it can neither
-	// take an epoch nor confirm the head. The engine serves the head that the entry
-	// tells,
-	// so calls are answered again, and not a byte is fetched twice.
+	// An agent that restarts during a platform outage can neither take an epoch nor
+	// confirm the head. It must still serve the weights that the engine has loaded,
+	// without fetching them again.
 	@Test
-	void restartWithoutThePlatformServesWhatTheEngineServes() {
-		Bundle bundle = roll(1, "model-a");
+	void agentRestartedDuringPlatformOutageServesLoadedWeights() {
+		Bundle bundle = rollOut(1, "model-a");
 		AgentProcess first = start();
-		awaitServing(entryOf(first), bundle);
+		awaitServing(connectEntry(first), bundle);
 		first.close();
 		this.agents.remove(first);
-		long given = this.origin.given();
-		this.platform.down(true);
+		long readBefore = this.origin.bytesRead();
+		this.platform.setDown(true);
 		FakeEntry entry = FakeEntry.connect(this.links, start().linkPort());
 		String digest = Digests.sha256(BundleCodec.encode(bundle));
-		entry.tellHead(1, digest, false);
-		entry.next((frame) -> frame.hasBundleRequest());
-		entry.giveBundle(digest, BundleCodec.encode(bundle), sign(digest));
+		entry.sendHead(1, digest, false);
+		entry.awaitFrame((frame) -> frame.hasBundleRequest());
+		entry.sendBundle(digest, BundleCodec.encode(bundle), sign(digest));
 		awaitServing(entry, bundle);
-		assertThat(this.origin.given(), is(given));
+		assertThat(this.origin.bytesRead(), is(readBefore));
 	}
 
 	@Test
-	void leavingEndsRunningCallsRefusesNewOnesAndStops() {
-		Bundle bundle = roll(1, "model-a");
+	void leavingAgentCompletesRunningCallsAndRefusesNewOnes() {
+		Bundle bundle = rollOut(1, "model-a");
 		AgentProcess agent = start();
-		FakeEntry entry = entryOf(agent);
+		FakeEntry entry = connectEntry(agent);
 		awaitServing(entry, bundle);
 		entry.call(1, "/slow", "old", digestOf(bundle));
-		entry.next((frame) -> frame.getCallData().getId() == 1);
+		entry.awaitFrame((frame) -> frame.getCallData().getId() == 1);
 		agent.leave();
-		entry.next((frame) -> frame.hasLeaving());
+		entry.awaitFrame((frame) -> frame.hasLeaving());
 		entry.call(2, "/x", "new", digestOf(bundle));
-		assertThat(entry.end(2, new StringBuilder()).getOutcome(), is(Outcome.NOT_RUN));
-		this.engine.letSlowCallsEnd();
-		assertThat(entry.end(1, new StringBuilder()).getOutcome(), is(Outcome.RAN));
+		assertThat(entry.awaitEnd(2, new StringBuilder()).getOutcome(), is(Outcome.NOT_RUN));
+		this.engine.completeSlowCalls();
+		assertThat(entry.awaitEnd(1, new StringBuilder()).getOutcome(), is(Outcome.RAN));
 		assertThat(agent.awaitStop(), equalTo(""));
 		assertThat(this.engine.calls(), is(1));
 	}
 
 	@Test
-	void unreachableRunnerIsKnownNotToHaveRun() {
-		Bundle bundle = roll(1, "model-a");
-		FakeEntry entry = entryOf(start());
+	void callToUnreachableRunnerIsReportedAsNotRun() {
+		Bundle bundle = rollOut(1, "model-a");
+		FakeEntry entry = connectEntry(start());
 		awaitServing(entry, bundle);
 		this.engine.stop();
 		entry.call(1, "/x", "hello", digestOf(bundle));
-		CallEnd end = entry.end(1, new StringBuilder());
+		CallEnd end = entry.awaitEnd(1, new StringBuilder());
 		assertThat(end.getOutcome(), is(Outcome.NOT_RUN));
 		assertThat(end.getCode(), equalTo("runner-not-reached"));
 	}
 
 	@Test
-	void answerThatBreaksOffIsUnknown() {
-		Bundle bundle = roll(1, "model-a");
-		FakeEntry entry = entryOf(start());
+	void truncatedResponseIsReportedAsUnknownOutcome() {
+		Bundle bundle = rollOut(1, "model-a");
+		FakeEntry entry = connectEntry(start());
 		awaitServing(entry, bundle);
 		entry.call(1, "/slow", "old", digestOf(bundle));
-		entry.next((frame) -> frame.getCallData().getId() == 1);
-		this.engine.cutAnswers();
-		CallEnd end = entry.end(1, new StringBuilder());
+		entry.awaitFrame((frame) -> frame.getCallData().getId() == 1);
+		this.engine.closeConnections();
+		CallEnd end = entry.awaitEnd(1, new StringBuilder());
 		assertThat(end.getOutcome(), is(Outcome.UNKNOWN));
 		assertThat(end.getCode(), equalTo("runner-cut"));
 	}
 
-	// The entry dies while its call runs. Nobody can take the answer any more; left alone
-	// the call would hold one of the runner's places until its deadline.
+	// The link to the entry closes during a call. Unless cancelled, the call occupies the
+	// runner's capacity until its deadline.
 	@Test
-	void lostLinkCancelsItsCallsAtTheRunner() {
-		Bundle bundle = roll(1, "model-a");
+	void closedLinkCancelsItsCallsAtRunner() {
+		Bundle bundle = rollOut(1, "model-a");
 		AgentProcess agent = start();
-		FakeEntry dying = entryOf(agent);
-		FakeEntry other = entryOf(agent);
-		awaitServing(dying, bundle);
-		dying.call(1, "/slow", "old", digestOf(bundle));
-		dying.next((frame) -> frame.getCallData().getId() == 1);
-		other.next((frame) -> frame.getReport().getRunning() == 1);
-		dying.close();
-		other.next((frame) -> frame.hasReport() && frame.getReport().getRunning() == 0);
+		FakeEntry closing = connectEntry(agent);
+		FakeEntry other = connectEntry(agent);
+		awaitServing(closing, bundle);
+		closing.call(1, "/slow", "old", digestOf(bundle));
+		closing.awaitFrame((frame) -> frame.getCallData().getId() == 1);
+		other.awaitFrame((frame) -> frame.getReport().getRunning() == 1);
+		closing.close();
+		other.awaitFrame((frame) -> frame.hasReport() && frame.getReport().getRunning() == 0);
 	}
 
-	// The process was paused after the decision to order and before the order went out.
-	// The clock is read last; a newer agent may own the engine by now.
+	// The process was paused between deciding on an order and sending it. By then a newer
+	// agent may own the engine.
 	@Test
-	void orderWhoseLeaseRanOutOnTheWayIsNotSent() {
+	void orderIsNotSentAfterItsLeaseExpired() {
 		Settings settings = Settings.parse("agent.ini", settings());
-		AgentMachine machine = AgentMachine.create(AgentSettings.identity(settings, "n"),
-				AgentSettings.limits(settings), AgentSettings.operators(settings), Invariants.create(),
+		AgentMachine stateMachine = AgentMachine.create(AgentSettings.identity(settings, "n"),
+				AgentSettings.limits(settings), AgentSettings.approvalPolicy(settings), Invariants.create(),
 				RandomSource.XO_RO_SHI_RO_128_PP.create(1));
-		AgentLoop loop = new AgentLoop(machine, (effect) -> {
+		AgentLoop loop = new AgentLoop(stateMachine, (effect) -> {
 		});
 		loop.start();
-		AgentEffect.SendOrder late = new AgentEffect.SendOrder("w", List.of(), 1, 1, -1);
-		new EngineCalls(this.engine, loop).order(late);
+		AgentEffect.SendOrder expired = new AgentEffect.SendOrder("w", List.of(), 1, 1, -1);
+		new EngineClient(this.engine, loop).sendOrder(expired);
 		loop.close();
-		assertThat(this.engine.now().generation(), is(0L));
+		assertThat(this.engine.currentState().generation(), is(0L));
 	}
 
 	private AgentProcess start() {
 		Settings settings = Settings.parse("agent.ini", settings());
-		AgentSettings.checkWhole(settings);
+		AgentSettings.validate(settings);
 		VmList none = new VmList() {
 			@Override
 			public java.util.concurrent.CompletableFuture<List<Vm>> read() {
@@ -230,31 +224,31 @@
 
 			@Override
 			public void close() {
-				// Nothing is open.
+				// Nothing to close.
 			}
 		};
 		AgentProcess agent = AgentProcess.start(settings,
-				new Outside(HttpCaller.create(1), this.platform, none, this.origin, this.store, this.engine));
+				new ExternalSystems(HttpCaller.create(1), this.platform, none, this.origin, this.store, this.engine));
 		this.agents.add(agent);
 		return agent;
 	}
 
-	private FakeEntry entryOf(AgentProcess agent) {
+	private FakeEntry connectEntry(AgentProcess agent) {
 		return FakeEntry.connect(this.links, agent.linkPort());
 	}
 
 	private void awaitServing(FakeEntry entry, Bundle bundle) {
-		entry.next((frame) -> frame.hasReport() && frame.getReport().getAdmitting()
+		entry.awaitFrame((frame) -> frame.hasReport() && frame.getReport().getAdmitting()
 				&& frame.getReport().getWeightsDigest().equals(digestOf(bundle)));
 	}
 
-	private Bundle roll(long generation, String model) {
+	private Bundle rollOut(long generation, String model) {
 		byte[] content = model.repeat(700).getBytes(StandardCharsets.UTF_8);
 		this.origin.set(model, content);
 		Bundle bundle = bundle(model, content);
-		byte[] bytes = BundleCodec.encode(bundle);
-		String digest = Digests.sha256(bytes);
-		this.platform.set("bundles/" + digest, bytes);
+		byte[] encoded = BundleCodec.encode(bundle);
+		String digest = Digests.sha256(encoded);
+		this.platform.set("bundles/" + digest, encoded);
 		this.platform.set("approvals/" + digest + "/aminata", sign(digest));
 		this.platform.set("head", BundleCodec.encode(new Head(generation, digest, "aminata", 0, "n" + generation)));
 		return bundle;
--- a/agent/src/test/java/org/wisteriapost/agent/FakeEngine.java
+++ b/agent/src/test/java/org/wisteriapost/agent/FakeEngine.java
@@ -16,7 +16,7 @@
 import org.xnio.IoUtils;
 
 /**
- * A model engine in this process: orders in memory, calls over HTTP.
+ * In-process model engine that takes orders directly and calls over HTTP.
  */
 final class FakeEngine implements Engine {
 
@@ -24,18 +24,18 @@
 		.addHttpListener(0, "127.0.0.1")
 		.setIoThreads(1)
 		.setWorkerThreads(8)
-		.setHandler((exchange) -> exchange.dispatch(this::answer))
+		.setHandler((exchange) -> exchange.dispatch(this::handle))
 		.build();
 
 	private final AtomicInteger calls = new AtomicInteger();
 
-	private final CountDownLatch slow = new CountDownLatch(1);
+	private final CountDownLatch slowCallsReleased = new CountDownLatch(1);
 
 	private volatile State state = new State("", false, 0, 0, 4, 0, 0, List.of());
 
-	private volatile String label = "";
+	private volatile String reportedWeights = "";
 
-	private volatile boolean cut;
+	private volatile boolean connectionsClosed;
 
 	FakeEngine() {
 		this.server.start();
@@ -50,30 +50,30 @@
 		return this.calls.get();
 	}
 
-	State now() {
+	State currentState() {
 		return this.state;
 	}
 
-	void labelAnswers(String weightsDigest) {
-		this.label = weightsDigest;
+	void setReportedWeights(String weightsDigest) {
+		this.reportedWeights = weightsDigest;
 	}
 
-	void letSlowCallsEnd() {
-		this.slow.countDown();
+	void completeSlowCalls() {
+		this.slowCallsReleased.countDown();
 	}
 
 	/**
-	 * Closes the connections of running calls in the middle of their answers.
+	 * Closes the connections of running calls before their responses are complete.
 	 */
-	void cutAnswers() {
-		this.cut = true;
-		this.slow.countDown();
+	void closeConnections() {
+		this.connectionsClosed = true;
+		this.slowCallsReleased.countDown();
 	}
 
 	@Override
 	public CompletableFuture<Void> load(Order order) {
 		this.state = new State(order.weightsDigest(), false, 0, 0, 4, order.generation(), order.epoch(), List.of());
-		this.label = order.weightsDigest();
+		this.reportedWeights = order.weightsDigest();
 		return CompletableFuture.completedFuture(null);
 	}
 
@@ -84,26 +84,26 @@
 
 	@Override
 	public void close() {
-		// Outlives the agent, as an engine does.
+		// The engine outlives the agent.
 	}
 
 	void stop() {
-		this.slow.countDown();
+		this.slowCallsReleased.countDown();
 		this.server.stop();
 	}
 
-	private void answer(HttpServerExchange exchange) throws Exception {
+	private void handle(HttpServerExchange exchange) throws Exception {
 		this.calls.incrementAndGet();
 		exchange.startBlocking();
 		byte[] body = exchange.getInputStream().readAllBytes();
-		exchange.getResponseHeaders().put(new HttpString(CallerHeaders.WEIGHTS), this.label);
+		exchange.getResponseHeaders().put(new HttpString(CallerHeaders.WEIGHTS), this.reportedWeights);
 		exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "text/plain");
 		exchange.getOutputStream().write("echo ".getBytes());
 		exchange.getOutputStream().flush();
 		if (exchange.getRequestPath().equals("/slow")) {
-			this.slow.await();
+			this.slowCallsReleased.await();
 		}
-		if (this.cut) {
+		if (this.connectionsClosed) {
 			IoUtils.safeClose(exchange.getConnection());
 			return;
 		}
--- a/agent/src/test/java/org/wisteriapost/agent/FakeEntry.java
+++ b/agent/src/test/java/org/wisteriapost/agent/FakeEntry.java
@@ -20,11 +20,11 @@
 import org.wisteriapost.protocol.wire.Role;
 
 /**
- * An entry's side of a link to the agent.
+ * The entry's end of a link to the agent.
  */
 final class FakeEntry implements LinkHandler {
 
-	private static final long LONG_SECONDS = 30;
+	private static final long TIMEOUT_SECONDS = 30;
 
 	private final BlockingQueue<Frame> frames = new LinkedBlockingQueue<>();
 
@@ -36,14 +36,14 @@
 		return entry;
 	}
 
-	void tellHead(long generation, String digest, boolean confirmed) {
+	void sendHead(long generation, String digest, boolean confirmed) {
 		this.link.send(Frame.newBuilder()
 			.setGeneration(generation)
 			.setHead(Head.newBuilder().setGeneration(generation).setDigest(digest).setConfirmed(confirmed))
 			.build());
 	}
 
-	void giveBundle(String digest, byte[] content, byte[] signature) {
+	void sendBundle(String digest, byte[] content, byte[] signature) {
 		Approval approval = Approval.newBuilder()
 			.setOperator("aminata")
 			.setSignature(ByteString.copyFrom(signature))
@@ -74,11 +74,11 @@
 	}
 
 	/**
-	 * Returns the end of a call, after the answer's bytes in {@code answer}.
+	 * Waits for the end of a call, appending the response body to {@code answer}.
 	 */
-	CallEnd end(long id, StringBuilder answer) {
+	CallEnd awaitEnd(long id, StringBuilder answer) {
 		while (true) {
-			Frame frame = next((one) -> one.getCallEnd().getId() == id || one.getCallData().getId() == id);
+			Frame frame = awaitFrame((one) -> one.getCallEnd().getId() == id || one.getCallData().getId() == id);
 			if (frame.hasCallEnd()) {
 				return frame.getCallEnd();
 			}
@@ -87,15 +87,15 @@
 	}
 
 	/**
-	 * Returns the next frame that matches; others are dropped.
+	 * Waits for the next frame that matches, dropping others.
 	 */
-	Frame next(Predicate<Frame> matches) {
-		long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(LONG_SECONDS);
+	Frame awaitFrame(Predicate<Frame> matches) {
+		long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
 		try {
 			while (true) {
-				Frame frame = this.frames.poll(end - System.nanoTime(), TimeUnit.NANOSECONDS);
+				Frame frame = this.frames.poll(deadlineNanos - System.nanoTime(), TimeUnit.NANOSECONDS);
 				if (frame == null) {
-					throw new AssertionError("no such frame came");
+					throw new AssertionError("timed out waiting for a matching frame");
 				}
 				if (matches.test(frame)) {
 					return frame;
@@ -120,7 +120,7 @@
 
 	@Override
 	public void onClosed(Link closed) {
-		// The tests look at what came before.
+		// Received frames stay available.
 	}
 
 }
--- a/agent/src/test/java/org/wisteriapost/agent/FakeOrigin.java
+++ b/agent/src/test/java/org/wisteriapost/agent/FakeOrigin.java
@@ -10,20 +10,20 @@
 import org.wisteriapost.protocol.outside.Origin;
 
 /**
- * An origin in memory that counts the bytes it gives.
+ * In-memory origin that counts the bytes read from it.
  */
 final class FakeOrigin implements Origin {
 
 	private final Map<String, byte[]> files = new ConcurrentHashMap<>();
 
-	private final AtomicLong given = new AtomicLong();
+	private final AtomicLong bytesRead = new AtomicLong();
 
 	void set(String path, byte[] content) {
 		this.files.put(path, content);
 	}
 
-	long given() {
-		return this.given.get();
+	long bytesRead() {
+		return this.bytesRead.get();
 	}
 
 	@Override
@@ -32,7 +32,7 @@
 		if (content == null) {
 			return CompletableFuture.failedFuture(CodedException.of(CHANGED, path));
 		}
-		this.given.addAndGet(length);
+		this.bytesRead.addAndGet(length);
 		return CompletableFuture.completedFuture(Arrays.copyOfRange(content, (int) offset, (int) offset + length));
 	}
 
@@ -43,7 +43,7 @@
 
 	@Override
 	public void close() {
-		// Nothing is open.
+		// Nothing to close.
 	}
 
 }
--- a/agent/src/test/java/org/wisteriapost/agent/FakePlatform.java
+++ b/agent/src/test/java/org/wisteriapost/agent/FakePlatform.java
@@ -11,7 +11,7 @@
 import org.wisteriapost.protocol.outside.Platform;
 
 /**
- * A platform in memory that can be down.
+ * In-memory platform that can be made unavailable.
  */
 final class FakePlatform implements Platform {
 
@@ -19,7 +19,7 @@
 
 	private boolean down;
 
-	synchronized void down(boolean now) {
+	synchronized void setDown(boolean now) {
 		this.down = now;
 	}
 
@@ -41,12 +41,12 @@
 		if (this.down) {
 			return unavailable();
 		}
-		boolean holds = switch (expected) {
+		boolean conditionMet = switch (expected) {
 			case Expected.Absent absent -> !this.objects.containsKey(key);
 			case Expected.Version version -> version(key) == version.version();
 			case Expected.Anything anything -> true;
 		};
-		if (!holds) {
+		if (!conditionMet) {
 			return CompletableFuture.completedFuture(new PutResult.Conflict(peek(key)));
 		}
 		set(key, value);
@@ -69,7 +69,7 @@
 
 	@Override
 	public void close() {
-		// Nothing is open.
+		// Nothing to close.
 	}
 
 	private long version(String key) {
--- a/agent/src/test/java/org/wisteriapost/agent/FakeStore.java
+++ b/agent/src/test/java/org/wisteriapost/agent/FakeStore.java
@@ -9,7 +9,7 @@
 import org.wisteriapost.protocol.outside.WeightStore;
 
 /**
- * A VM's weight store in memory.
+ * In-memory weight store.
  */
 final class FakeStore implements WeightStore {
 
@@ -42,7 +42,7 @@
 
 	@Override
 	public void close() {
-		// Nothing is open.
+		// Nothing to close.
 	}
 
 }
