--- a/agent/src/main/java/org/wisteriapost/agent/site/EngineKeeper.java
+++ b/agent/src/main/java/org/wisteriapost/agent/site/RolloutExecutor.java
@@ -45,40 +45,41 @@
 import org.wisteriapost.protocol.wire.WeightsNamed;
 
 /**
- * Carries out a {@link Rollout}'s decisions. Runs on the agent's one state thread; what
- * ends elsewhere comes back to it.
+ * Executes the effects of a {@link Rollout}. Confined to the agent's event loop, on which
+ * asynchronous operations also complete.
  */
-final class EngineKeeper implements AutoCloseable {
+final class RolloutExecutor implements AutoCloseable {
 
-	private static final int ORIGIN_READS = 2;
+	private static final int MAX_ORIGIN_READS = 2;
 
-	// In virtual time, 12 to 40 VMs that fetch 64 pieces have them after 1.10 to 1.23
-	// times what the link alone takes with these two, 1.25 to 1.42 with twelve
-	// neighbours and three or four pieces at once (scripts/bench weights-sim). More
-	// neighbours queue at each other.
-	private static final int NEIGHBOURS = 8;
+	// Load: 12 to 40 VMs that fetch 64 chunks. With more peers, requests queue
+	// behind each other at the uplinks. In scripts/bench weights-sim the fetch takes
+	// 1.10 to 1.23 times the transfer time of the link with these limits, 1.25 to
+	// 1.42 times with 12 peers and three or four chunks at once.
+	private static final int MAX_PEERS = 8;
 
-	// Pieces go out in parts by turns (PacedReplies), so several can be on their way
-	// to one VM without holding up its engine's requests. On a link of 5 Mbit/s, while
-	// 12 VMs fetch 2 MB under full load, 492 of 604 first events are in time with
-	// parts and 0.85 of the link, 326 with whole pieces, three at once and 0.95.
-	private static final int OUTSTANDING = 6;
+	// Load: 12 VMs that fetch 2 MB over links of 5 Mbit/s while their engines serve
+	// full load. Several chunks may be in progress to one VM, since they are sent in
+	// interleaved parts. Whole chunks, or more of the link, delay the engine's
+	// requests: 492 of 604 first events were in time with parts and 0.85 of the
+	// link, 326 with whole chunks, three at once, and 0.95.
+	private static final int MAX_CHUNKS_IN_PROGRESS = 6;
 
-	private static final int PER_PEER = 1;
+	private static final int MAX_CHUNKS_PER_PEER = 1;
 
-	private static final int UPLOADS_WAITING = 24;
+	private static final int MAX_QUEUED_UPLOADS = 24;
 
 	private static final double LINK_SHARE = 0.85;
 
-	private static final double LINK_SHARE_LATE = 0.3;
+	private static final double LINK_SHARE_WHILE_LATE = 0.3;
 
 	private static final Duration PROGRESS_DEADLINE = Duration.ofMillis(600);
 
 	private static final Duration ANNOUNCE_INTERVAL = Duration.ofMillis(80);
 
-	private static final Duration ALONE_AFTER = Duration.ofMillis(1500);
+	private static final Duration VM_LIST_TIMEOUT = Duration.ofMillis(1500);
 
-	private static final int RAREST_OF = 16;
+	private static final int RAREST_SAMPLE_SIZE = 16;
 
 	private final SiteSettings settings;
 
@@ -90,7 +91,7 @@
 
 	private final ScheduledExecutorService timer;
 
-	private final Consumer<Runnable> loop;
+	private final Consumer<Runnable> executor;
 
 	private final DecisionLog log;
 
@@ -100,86 +101,87 @@
 
 	private final Set<Link> entries = new HashSet<>();
 
-	private Optional<Weights> weights = Optional.empty();
+	private Optional<ModelTransfer> modelTransfer = Optional.empty();
 
-	private List<VmList.Vm> roster = List.of();
+	private List<VmList.Vm> agents = List.of();
 
 	private Roster lastRoster = Roster.getDefaultInstance();
 
-	private Optional<WeightFile> file = Optional.empty();
+	private Optional<WeightFile> fetchedFile = Optional.empty();
 
 	private boolean idle;
 
-	private Optional<CompletableFuture<Void>> fetch = Optional.empty();
+	private Optional<CompletableFuture<Void>> currentFetch = Optional.empty();
 
-	EngineKeeper(SiteSettings settings, SiteProvider site, HttpCaller caller, Links links,
-			ScheduledExecutorService timer, Consumer<Runnable> loop, DecisionLog log) {
+	RolloutExecutor(SiteSettings settings, SiteProvider site, HttpCaller caller, Links links,
+			ScheduledExecutorService timer, Consumer<Runnable> executor, DecisionLog log) {
 		this.settings = settings;
 		this.site = site;
 		this.caller = caller;
 		this.links = links;
 		this.timer = timer;
-		this.loop = loop;
+		this.executor = executor;
 		this.log = log;
 		this.engine = site.engine(caller, settings.runner().orElseThrow());
 		this.rollout = Rollout.create(settings.bounds().weightsInForce());
 	}
 
-	void heard(Link link, Frame frame) {
+	void onFrame(Link link, Frame frame) {
 		switch (frame.getBodyCase()) {
-			case HELLO -> hello(link, frame.getHello());
-			case WEIGHTS_NAMED -> named(frame.getWeightsNamed());
-			case ROSTER -> roster(frame.getRoster());
-			default -> this.weights.ifPresent((known) -> known.transfer.onFrame(link, frame));
+			case HELLO -> handleHello(link, frame.getHello());
+			case WEIGHTS_NAMED -> handleTargetVersion(frame.getWeightsNamed());
+			case ROSTER -> handleRoster(frame.getRoster());
+			default -> this.modelTransfer.ifPresent((active) -> active.transfer.onFrame(link, frame));
 		}
-		carryOut();
+		executeEffects();
 	}
 
-	void closed(Link link) {
+	void onClosed(Link link) {
 		this.entries.remove(link);
-		this.weights.ifPresent((known) -> known.transfer.onClosed(link));
+		this.modelTransfer.ifPresent((active) -> active.transfer.onClosed(link));
 	}
 
 	void tick() {
-		this.weights.filter((known) -> this.fetch.isPresent()).ifPresent((known) -> {
-			Progress progress = known.transfer.progress();
+		this.modelTransfer.filter((active) -> this.currentFetch.isPresent()).ifPresent((active) -> {
+			Progress progress = active.transfer.progress();
 			double share = (progress.total() > 0) ? (double) progress.verified() / progress.total() : 0;
 			this.rollout.fetching(share, System.nanoTime());
 		});
 		this.rollout.tick(System.nanoTime());
-		carryOut();
+		executeEffects();
 	}
 
 	/**
-	 * Returns when the next tick is due if nothing is heard until then.
+	 * Returns when the next tick is due if no event arrives before then.
 	 */
-	long nextNanos(long nowNanos) {
+	long nextTickNanos(long nowNanos) {
 		return this.rollout.nextNanos(nowNanos);
 	}
 
-	private void hello(Link link, Hello hello) {
+	private void handleHello(Link link, Hello hello) {
 		if (hello.getRole() == Role.ENTRY) {
 			this.entries.add(link);
-			this.rollout.latest().ifPresent((tell) -> link.send(state(tell)));
+			this.rollout.latest().ifPresent((tell) -> link.send(engineStateFrame(tell)));
 		}
 	}
 
-	private void named(WeightsNamed message) {
-		if (this.weights.isEmpty()) {
-			this.weights = Optional.of(weights(message));
-			this.weights.get().transfer.peers(this.roster);
+	private void handleTargetVersion(WeightsNamed message) {
+		if (this.modelTransfer.isEmpty()) {
+			this.modelTransfer = Optional.of(createModelTransfer(message));
+			this.modelTransfer.get().transfer.peers(this.agents);
 		}
-		if (message.getModel().equals(this.weights.get().model)) {
+		if (message.getModel().equals(this.modelTransfer.get().model)) {
 			this.rollout.named(message.getVersion(), System.nanoTime());
 		}
 	}
 
-	private Weights weights(WeightsNamed message) {
+	private ModelTransfer createModelTransfer(WeightsNamed message) {
 		String address = this.settings.runner().orElseThrow();
 		Origin origin = this.site.origin(this.caller, message.getOrigin());
-		TransferLimits limits = new TransferLimits(TransferLimits.Design.SWARM, 1, ORIGIN_READS, NEIGHBOURS,
-				OUTSTANDING, PER_PEER, PROGRESS_DEADLINE, ANNOUNCE_INTERVAL, RAREST_OF, true, true);
-		LinkShare share = new LinkShare(this.settings.linkBytesPerSecond(), LINK_SHARE, LINK_SHARE_LATE);
+		TransferLimits limits = new TransferLimits(TransferLimits.Design.SWARM, 1, MAX_ORIGIN_READS, MAX_PEERS,
+				MAX_CHUNKS_IN_PROGRESS, MAX_CHUNKS_PER_PEER, PROGRESS_DEADLINE, ANNOUNCE_INTERVAL, RAREST_SAMPLE_SIZE,
+				true, true);
+		LinkShare share = new LinkShare(this.settings.linkBytesPerSecond(), LINK_SHARE, LINK_SHARE_WHILE_LATE);
 		Hello hello = Hello.newBuilder()
 			.setVm(this.settings.host())
 			.setPlace(this.settings.place())
@@ -190,13 +192,13 @@
 				}, origin, this.site.staging(this.caller, address, message.getModel()), this.timer,
 				new SimpleMeterRegistry());
 		Transfer transfer = PeerTransfers.create(context,
-				new TransferOptions(limits, share, UPLOADS_WAITING, ALONE_AFTER));
-		return new Weights(message.getModel(), origin, transfer);
+				new TransferOptions(limits, share, MAX_QUEUED_UPLOADS, VM_LIST_TIMEOUT));
+		return new ModelTransfer(message.getModel(), origin, transfer);
 	}
 
-	// Several entries send the same list, and ordering hundreds by their hashes takes
-	// milliseconds, so only a list that differs from the last one is looked at.
-	private void roster(Roster message) {
+	// Several entries send the same roster, and sorting hundreds of members by hash takes
+	// milliseconds, so a roster equal to the last one is skipped.
+	private void handleRoster(Roster message) {
 		if (message.equals(this.lastRoster)) {
 			return;
 		}
@@ -209,11 +211,11 @@
 		Map<String, String> hashes = new HashMap<>();
 		members.forEach((vm) -> hashes.put(vm.vm(), Digests.sha256(vm.vm().getBytes())));
 		members.sort(Comparator.comparing((vm) -> hashes.get(vm.vm())));
-		if (members.equals(this.roster) || members.isEmpty()) {
+		if (members.equals(this.agents) || members.isEmpty()) {
 			return;
 		}
-		this.roster = members;
-		this.weights.ifPresent((known) -> known.transfer.peers(members));
+		this.agents = members;
+		this.modelTransfer.ifPresent((active) -> active.transfer.peers(members));
 		for (int i = 0; i < members.size(); i++) {
 			if (members.get(i).vm().equals(this.settings.host())) {
 				this.rollout.turn((double) i / members.size());
@@ -221,60 +223,61 @@
 		}
 	}
 
-	private void carryOut() {
+	private void executeEffects() {
 		for (RolloutEffect effect : this.rollout.drain()) {
 			if (!(effect instanceof RolloutEffect.ReadReport)) {
 				this.log.decision("rollout", "step", effect);
 			}
 			switch (effect) {
-				case RolloutEffect.ReadReport read -> report();
-				case RolloutEffect.Fetch fetching -> fetch(fetching.version());
-				case RolloutEffect.Abandon abandon -> this.fetch.ifPresent((running) -> running.cancel(false));
+				case RolloutEffect.ReadReport read -> readReport();
+				case RolloutEffect.Fetch fetching -> startFetch(fetching.version());
+				case RolloutEffect.Abandon abandon -> this.currentFetch.ifPresent((running) -> running.cancel(false));
 				case RolloutEffect.Verify verify -> verify(verify.version());
-				case RolloutEffect.Take take -> take(take.version(), take.sequence());
-				case RolloutEffect.Tell tell -> this.entries.forEach((link) -> link.send(state(tell)));
+				case RolloutEffect.Take take -> sendOrder(take.version(), take.sequence());
+				case RolloutEffect.Tell tell -> this.entries.forEach((link) -> link.send(engineStateFrame(tell)));
 			}
 		}
 	}
 
-	private void report() {
-		this.engine.report().whenComplete((report, failure) -> back(() -> {
+	private void readReport() {
+		this.engine.report().whenComplete((report, failure) -> runOnLoop(() -> {
 			if (failure != null) {
 				this.rollout.silent(System.nanoTime());
 				return;
 			}
-			Integer version = this.weights.map((known) -> report.versions().get(known.model)).orElse(null);
-			idle(report);
+			Integer version = this.modelTransfer.map((active) -> report.versions().get(active.model)).orElse(null);
+			updateIdle(report);
 			this.rollout.reported((version != null) ? OptionalInt.of(version) : OptionalInt.empty(), report.busy(),
 					report.sequence(), report.start(), System.nanoTime());
 		}));
 	}
 
-	private void idle(EngineControl.Report report) {
+	private void updateIdle(EngineControl.Report report) {
 		boolean now = report.versions().isEmpty() && report.active() == 0;
-		this.weights.filter((known) -> now != this.idle).ifPresent((known) -> {
+		this.modelTransfer.filter((active) -> now != this.idle).ifPresent((active) -> {
 			this.idle = now;
-			known.transfer.idle(now);
+			active.transfer.idle(now);
 		});
 	}
 
-	private void fetch(int version) {
-		Weights known = this.weights.orElseThrow();
-		String path = known.model + "/" + version;
-		// Until the new fetch begins, what the transfer tells is the end of the last one.
-		this.fetch = Optional.empty();
-		known.origin.manifest(path).whenComplete((manifest, failure) -> back(() -> {
+	private void startFetch(int version) {
+		ModelTransfer active = this.modelTransfer.orElseThrow();
+		String path = active.model + "/" + version;
+		// Until the new fetch starts, the transfer's progress is that of the previous
+		// one.
+		this.currentFetch = Optional.empty();
+		active.origin.manifest(path).whenComplete((manifest, failure) -> runOnLoop(() -> {
 			if (failure != null) {
 				this.log.failure("manifest-failed", "version", version, "cause", failure.getMessage());
 				this.rollout.fetched(version, false, System.nanoTime());
 				return;
 			}
-			WeightFile wanted = new WeightFile(known.model, Integer.toString(version), path, manifest.etag(),
+			WeightFile wanted = new WeightFile(active.model, Integer.toString(version), path, manifest.etag(),
 					manifest.size(), manifest.chunkBytes(), manifest.chunks());
-			this.file = Optional.of(wanted);
-			CompletableFuture<Void> running = known.transfer.fetch(List.of(wanted));
-			this.fetch = Optional.of(running);
-			running.whenComplete((none, broken) -> back(() -> {
+			this.fetchedFile = Optional.of(wanted);
+			CompletableFuture<Void> running = active.transfer.fetch(List.of(wanted));
+			this.currentFetch = Optional.of(running);
+			running.whenComplete((none, broken) -> runOnLoop(() -> {
 				if (broken != null) {
 					this.log.failure("fetch-failed", "version", version, "cause", broken.getMessage());
 				}
@@ -284,42 +287,43 @@
 	}
 
 	private void verify(int version) {
-		Weights known = this.weights.orElseThrow();
-		known.transfer.verify(List.of(this.file.orElseThrow()))
-			.whenComplete((good,
-					failure) -> back(() -> this.rollout.verified(version, failure == null && good, System.nanoTime())));
+		ModelTransfer active = this.modelTransfer.orElseThrow();
+		active.transfer.verify(List.of(this.fetchedFile.orElseThrow()))
+			.whenComplete((good, failure) -> runOnLoop(
+					() -> this.rollout.verified(version, failure == null && good, System.nanoTime())));
 	}
 
-	private void take(int version, long sequence) {
-		Weights known = this.weights.orElseThrow();
-		this.engine.take(known.model, version, sequence).whenComplete((reply, failure) -> back(() -> {
+	private void sendOrder(int version, long sequence) {
+		ModelTransfer active = this.modelTransfer.orElseThrow();
+		this.engine.take(active.model, version, sequence).whenComplete((reply, failure) -> runOnLoop(() -> {
 			this.log.decision("ordered", "version", version, "sequence", sequence, "reply",
 					(failure != null) ? failure.getMessage() : reply);
-			// An order without an answer may have been taken: the report will tell.
-			boolean begun = failure != null || reply == EngineControl.Reply.BEGUN
+			// An order without a reply may have been accepted; the next report shows
+			// that.
+			boolean accepted = failure != null || reply == EngineControl.Reply.BEGUN
 					|| reply == EngineControl.Reply.IN_FORCE;
-			this.rollout.ordered(begun, System.nanoTime());
+			this.rollout.ordered(accepted, System.nanoTime());
 		}));
 	}
 
-	private void back(Runnable task) {
-		this.loop.accept(() -> {
+	private void runOnLoop(Runnable task) {
+		this.executor.accept(() -> {
 			task.run();
-			carryOut();
+			executeEffects();
 		});
 	}
 
-	private Frame state(RolloutEffect.Tell tell) {
+	private Frame engineStateFrame(RolloutEffect.Tell status) {
 		String address = this.settings.runner().orElseThrow();
-		return Frame.newBuilder().setEngineState(EngineFrames.of(address, tell.word(), System.nanoTime())).build();
+		return Frame.newBuilder().setEngineState(EngineFrames.of(address, status.word(), System.nanoTime())).build();
 	}
 
 	@Override
 	public void close() {
-		this.weights.ifPresent((known) -> known.transfer.close());
+		this.modelTransfer.ifPresent((active) -> active.transfer.close());
 	}
 
-	private record Weights(String model, Origin origin, Transfer transfer) {
+	private record ModelTransfer(String model, Origin origin, Transfer transfer) {
 	}
 
 }
--- a/agent/src/main/java/org/wisteriapost/agent/site/SiteAgent.java
+++ b/agent/src/main/java/org/wisteriapost/agent/site/SiteAgent.java
@@ -23,16 +23,16 @@
 import org.wisteriapost.protocol.wire.Frame;
 
 /**
- * The parts of one running agent.
+ * A running agent: its links, timer and event loop, and the {@link RolloutExecutor} that
+ * runs on the loop.
  */
 public final class SiteAgent implements AutoCloseable {
 
-	private static final int RING = 1024;
+	private static final int QUEUE_CAPACITY = 1024;
 
-	// Failure: a moment that is due stays due. Symptom: the agent spins and takes the
-	// engine's core. A tick each so many milliseconds is little work, and no step of a
-	// rollout needs a finer one.
-	private static final long LEAST_TICK_MILLIS = 10;
+	// Guards against a deadline that stays due after its tick, which would make the agent
+	// spin and take a core from the engine. No step of a rollout needs shorter ticks.
+	private static final long MIN_TICK_INTERVAL_MILLIS = 10;
 
 	private final HttpCaller caller;
 
@@ -42,16 +42,16 @@
 
 	private final EventLoop<Runnable> loop;
 
-	private final EngineKeeper keeper;
+	private final RolloutExecutor rolloutExecutor;
 
 	private final DecisionLog log;
 
 	private LinkServer server;
 
-	// Of the loop's thread.
-	private Optional<ScheduledFuture<?>> ticking = Optional.empty();
+	// Confined to the loop's thread.
+	private Optional<ScheduledFuture<?>> nextTick = Optional.empty();
 
-	private long tickNanos;
+	private long nextTickNanos;
 
 	private SiteAgent(SiteSettings settings, SiteProvider site, PrintStream out) {
 		this.log = DecisionLog.start(settings.name(), out);
@@ -59,68 +59,71 @@
 		this.links = Links.plain(1);
 		this.timer = new ScheduledThreadPoolExecutor(1, Thread.ofPlatform().daemon().factory());
 		this.timer.setRemoveOnCancelPolicy(true);
-		this.loop = EventLoop.start("agent", RING, Runnable::run);
-		this.keeper = new EngineKeeper(settings, site, this.caller, this.links, this.timer, this::run, this.log);
+		this.loop = EventLoop.start("agent", QUEUE_CAPACITY, Runnable::run);
+		this.rolloutExecutor = new RolloutExecutor(settings, site, this.caller, this.links, this.timer, this::execute,
+				this.log);
 	}
 
 	/**
-	 * Returns a running agent.
-	 * @param out where decisions are logged
+	 * Starts an agent.
+	 * @param out receives the log of decisions
 	 */
 	public static SiteAgent start(SiteSettings settings, SiteProvider site, PrintStream out) {
 		SiteAgent agent = new SiteAgent(settings, site, out);
 		agent.server = agent.links.listen(new InetSocketAddress(settings.host(), settings.linkPort()),
-				agent.new Incoming());
-		agent.run(agent.keeper::tick);
+				agent.new IncomingLinks());
+		agent.execute(agent.rolloutExecutor::tick);
 		agent.log.decision("started", "role", "agent", "engine", settings.runner().orElse("none"));
 		return agent;
 	}
 
 	/**
-	 * Runs a task on the loop's thread; what it changed may bring the next tick forward.
+	 * Runs a task on the loop's thread and then reschedules the next tick if it is due
+	 * earlier.
 	 */
-	private void run(Runnable task) {
-		this.loop.put(() -> look(task));
+	private void execute(Runnable task) {
+		this.loop.put(() -> runAndScheduleTick(task));
 	}
 
-	private void look(Runnable task) {
+	private void runAndScheduleTick(Runnable task) {
 		try {
 			task.run();
 		}
 		finally {
-			plan();
+			scheduleTick();
 		}
 	}
 
-	// A tick that comes too early plans the next one, so only a later one is replaced.
-	private void plan() {
+	// Replaces the scheduled tick only if it is too late, since a tick that runs too
+	// early schedules the next one.
+	private void scheduleTick() {
 		long now = System.nanoTime();
-		long next = this.keeper.nextNanos(now);
-		boolean early = this.ticking.isPresent() && this.tickNanos - next <= 0;
-		if (early || this.timer.isShutdown()) {
+		long next = this.rolloutExecutor.nextTickNanos(now);
+		boolean scheduledInTime = this.nextTick.isPresent() && this.nextTickNanos - next <= 0;
+		if (scheduledInTime || this.timer.isShutdown()) {
 			return;
 		}
-		this.ticking.ifPresent((later) -> later.cancel(false));
-		this.tickNanos = next;
+		this.nextTick.ifPresent((scheduled) -> scheduled.cancel(false));
+		this.nextTickNanos = next;
 		long millis = TimeUnit.NANOSECONDS.toMillis(next - now) + 1;
-		this.ticking = Optional
-			.of(this.timer.schedule(this::due, Math.max(millis, LEAST_TICK_MILLIS), TimeUnit.MILLISECONDS));
+		this.nextTick = Optional
+			.of(this.timer.schedule(this::tickDue, Math.max(millis, MIN_TICK_INTERVAL_MILLIS), TimeUnit.MILLISECONDS));
 	}
 
-	private void due() {
-		boolean taken = this.loop.offer(() -> {
-			this.ticking = Optional.empty();
-			look(this.keeper::tick);
+	private void tickDue() {
+		boolean queued = this.loop.offer(() -> {
+			this.nextTick = Optional.empty();
+			runAndScheduleTick(this.rolloutExecutor::tick);
 		});
-		if (!taken && !this.timer.isShutdown()) {
-			this.timer.schedule(this::due, LEAST_TICK_MILLIS, TimeUnit.MILLISECONDS);
+		if (!queued && !this.timer.isShutdown()) {
+			this.timer.schedule(this::tickDue, MIN_TICK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
 		}
 	}
 
 	/**
-	 * Notes an event of the process.
+	 * Logs an event of the process.
 	 */
-	public void note(String event) {
+	public void logEvent(String event) {
 		this.log.decision(event);
 	}
 
@@ -129,20 +132,20 @@
 		this.timer.shutdownNow();
 		this.server.close();
 		this.loop.close();
-		this.keeper.close();
+		this.rolloutExecutor.close();
 		this.links.close();
 		this.caller.close();
 		this.log.close();
 	}
 
-	/** Links that entries and other agents made. */
-	private final class Incoming implements LinkHandler {
+	/** Links that entries and other agents have opened to this agent. */
+	private final class IncomingLinks implements LinkHandler {
 
-		private final Set<Link> open = ConcurrentHashMap.newKeySet();
+		private final Set<Link> openLinks = ConcurrentHashMap.newKeySet();
 
 		@Override
 		public void onOpen(Link link) {
-			this.open.add(link);
+			this.openLinks.add(link);
 		}
 
 		@Override
@@ -151,7 +154,7 @@
 				link.send(echo(frame.getEchoRequest()));
 				return;
 			}
-			SiteAgent.this.run(() -> SiteAgent.this.keeper.heard(link, frame));
+			SiteAgent.this.execute(() -> SiteAgent.this.rolloutExecutor.onFrame(link, frame));
 		}
 
 		private static Frame echo(EchoRequest request) {
@@ -160,8 +163,8 @@
 
 		@Override
 		public void onClosed(Link link) {
-			this.open.remove(link);
-			SiteAgent.this.run(() -> SiteAgent.this.keeper.closed(link));
+			this.openLinks.remove(link);
+			SiteAgent.this.execute(() -> SiteAgent.this.rolloutExecutor.onClosed(link));
 		}
 
 	}
--- a/agent/src/main/java/org/wisteriapost/agent/site/SiteAgentCommand.java
+++ b/agent/src/main/java/org/wisteriapost/agent/site/SiteAgentCommand.java
@@ -10,7 +10,7 @@
 import org.wisteriapost.protocol.site.SiteProvider;
 
 /**
- * Runs the agent beside one engine of a site.
+ * Runs the agent of one engine on a site.
  */
 public final class SiteAgentCommand implements Command {
 
@@ -29,10 +29,10 @@
 		SiteProvider site = SiteProvider.load();
 		try (SiteAgent agent = SiteAgent.start(site.settings(), site, out)) {
 			CompletableFuture<Void> stopped = new CompletableFuture<>();
-			Signals.on("HUP", () -> agent.note("settings-read"));
+			Signals.on("HUP", () -> agent.logEvent("settings-read"));
 			Signals.on("TERM", () -> stopped.complete(null));
 			stopped.join();
-			agent.note("stopping");
+			agent.logEvent("stopping");
 			return ExitCodes.OK;
 		}
 	}
--- a/agent/src/main/java/org/wisteriapost/agent/site/package-info.java
+++ b/agent/src/main/java/org/wisteriapost/agent/site/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The agent on a site whose runners check instance and version themselves: it brings
- * weights to its engine and tells entries what the engine holds; requests do not pass
+ * The agent on a site whose runners verify instance and version themselves. It transfers
+ * weights to its engine and reports the engine's status to entries; requests do not pass
  * through it.
  */
 package org.wisteriapost.agent.site;
