--- a/entry/src/main/java/org/wisteriapost/entry/direct/CallOutput.java
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/CallOutput.java
@@ -4,7 +4,7 @@
 import org.wisteriapost.policy.dispatch.DispatchEffect;
 
 /**
- * What the state thread asks of the I/O around it; no method blocks.
+ * Performs the I/O that the state thread decides on. No method blocks.
  */
 interface CallOutput {
 
@@ -14,33 +14,33 @@
 	void send(DirectCall call, DispatchEffect.Send send);
 
 	/**
-	 * Stops listening to the runner that has a request.
+	 * Cancels a request's current dispatch to a runner.
 	 */
 	void stop(DirectCall call);
 
 	/**
-	 * Answers that a request has not run and will not.
+	 * Answers that a request did not run and will not, so that the caller may retry it.
 	 */
 	void refuse(DirectCall call, Code code, long retryAfterMillis);
 
 	/**
-	 * Answers that a request is wrong in itself.
+	 * Answers that a request is invalid, so that the caller does not retry it.
 	 */
-	void reject(Arrival arrival, int status, Code code);
+	void reject(IncomingRequest request, int status, Code code);
 
 	/**
-	 * Answers a request that was never taken up.
+	 * Answers that a request was not admitted, so that the caller may retry it.
 	 */
-	void refuse(Arrival arrival, Code code, long retryAfterMillis);
+	void refuse(IncomingRequest request, Code code, long retryAfterMillis);
 
 	/**
-	 * Ends a request that may have run.
+	 * Ends a request that may have run with an error.
 	 */
 	void fail(DirectCall call, Code code, boolean timeout);
 
 	/**
-	 * Hands on the failure that a runner gave.
+	 * Forwards the error response of the runner to the caller.
 	 */
-	void passOn(DirectCall call);
+	void forwardRunnerFailure(DirectCall call);
 
 }
--- a/entry/src/main/java/org/wisteriapost/entry/direct/DirectCall.java
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/DirectCall.java
@@ -8,35 +8,34 @@
 import org.wisteriapost.policy.dispatch.Job;
 
 /**
- * One request in progress: what the caller sent, and which relay may write its answer.
+ * A request in progress and the {@link ResponseForwarder} that may write its answer.
  *
- * The fields below the line belong to the I/O thread, on which all relays and answers
- * run. A relay that was replaced finds another in its place and writes nothing, so an
- * answer never joins two runs by accident.
+ * A request has at most one current forwarder. One that was replaced is cancelled and
+ * writes nothing more, so an answer never mixes the output of two dispatches.
  */
 final class DirectCall {
 
-	private final Arrival arrival;
+	private final IncomingRequest request;
 
 	private final Job job;
 
-	// I/O thread.
+	// The fields below are confined to the I/O thread.
 
-	private Optional<Relay> relay = Optional.empty();
+	private Optional<ResponseForwarder> forwarder = Optional.empty();
 
-	private Optional<Held> held = Optional.empty();
+	private Optional<RunnerResponse> heldResponse = Optional.empty();
 
-	private boolean begun;
+	private boolean headSent;
 
 	private boolean complete;
 
-	DirectCall(Arrival arrival, Job job) {
-		this.arrival = arrival;
+	DirectCall(IncomingRequest request, Job job) {
+		this.request = request;
 		this.job = job;
 	}
 
-	Arrival arrival() {
-		return this.arrival;
+	IncomingRequest request() {
+		return this.request;
 	}
 
 	Job job() {
@@ -44,37 +43,37 @@
 	}
 
 	CallerAnswer answer() {
-		return this.arrival.answer();
+		return this.request.answer();
 	}
 
 	/**
-	 * Puts a relay in the place of the one before it, which is cancelled.
+	 * Replaces the forwarder and cancels the one before.
 	 */
-	void relay(Optional<Relay> next) {
-		Optional<Relay> before = this.relay;
-		this.relay = next;
-		before.ifPresent(Relay::cancel);
+	void forwarder(Optional<ResponseForwarder> next) {
+		Optional<ResponseForwarder> previous = this.forwarder;
+		this.forwarder = next;
+		previous.ifPresent(ResponseForwarder::cancel);
 	}
 
-	boolean ownedBy(Relay one) {
-		return this.relay.isPresent() && this.relay.get() == one;
+	boolean isForwardedBy(ResponseForwarder candidate) {
+		return this.forwarder.isPresent() && this.forwarder.get() == candidate;
 	}
 
 	/**
-	 * Notes that the head went out.
+	 * Records that the response head was sent to the caller.
 	 */
-	void begin() {
-		this.begun = true;
+	void markHeadSent() {
+		this.headSent = true;
 	}
 
-	boolean begun() {
-		return this.begun;
+	boolean headSent() {
+		return this.headSent;
 	}
 
 	/**
-	 * Notes that the whole answer went out.
+	 * Records that the complete answer was sent to the caller.
 	 */
-	void completed() {
+	void markComplete() {
 		this.complete = true;
 	}
 
@@ -83,24 +82,25 @@
 	}
 
 	/**
-	 * Keeps a runner's whole failure until it is decided whether another runner is asked.
+	 * Keeps a runner's error response until the state thread decides whether to retry on
+	 * another runner or to forward it.
 	 */
-	void hold(Held answer) {
-		this.held = Optional.of(answer);
+	void holdResponse(RunnerResponse response) {
+		this.heldResponse = Optional.of(response);
 	}
 
-	Optional<Held> held() {
-		return this.held;
+	Optional<RunnerResponse> heldResponse() {
+		return this.heldResponse;
 	}
 
 	/**
-	 * A runner's whole answer.
+	 * A complete response of a runner.
 	 *
-	 * @param status its status
-	 * @param headers to hand on
-	 * @param body whole
+	 * @param status the HTTP status
+	 * @param headers the headers to forward
+	 * @param body the complete body
 	 */
-	record Held(int status, List<Map.Entry<String, String>> headers, byte[] body) {
+	record RunnerResponse(int status, List<Map.Entry<String, String>> headers, byte[] body) {
 	}
 
 }
--- a/entry/src/main/java/org/wisteriapost/entry/direct/DirectCommand.java
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/DirectCommand.java
@@ -10,7 +10,7 @@
 import org.wisteriapost.protocol.site.SiteProvider;
 
 /**
- * Runs an entry on a site until it has left.
+ * Runs a site's entry until it has shut down.
  */
 public final class DirectCommand implements Command {
 
@@ -21,7 +21,7 @@
 
 	@Override
 	public String summary() {
-		return "answers callers on a site whose store tells routes and runners";
+		return "serves callers on a site, with routes and runners from the site's store";
 	}
 
 	@Override
@@ -30,13 +30,13 @@
 		try (DirectProcess process = DirectProcess.start(site.settings(), site, out)) {
 			Signals.on("HUP", () -> reload(process, site));
 			Runtime.getRuntime().addShutdownHook(new Thread(() -> leave(process), "entry-leave"));
-			process.left().join();
+			process.termination().join();
 			return ExitCodes.OK;
 		}
 	}
 
-	// Addresses and bounds of a running process do not change; a file that can no longer
-	// be read is said, and the process goes on with what it has.
+	// The settings of a running process do not change. Rereading the file only logs
+	// whether it is valid.
 	private static void reload(DirectProcess process, SiteProvider site) {
 		try {
 			site.settings();
@@ -47,8 +47,9 @@
 		}
 	}
 
-	// The virtual machine ends when this hook returns, so the hook waits for the answers
-	// in progress. Its own exit code would be 143, which reads as a crash; halt says 0.
+	// The JVM exits when this hook returns, so the hook waits for requests in progress.
+	// After SIGTERM the exit code would be 143, which supervisors take for a crash; halt
+	// sets 0.
 	private static void leave(DirectProcess process) {
 		process.leave().join();
 		Runtime.getRuntime().halt(ExitCodes.OK);
--- a/entry/src/main/java/org/wisteriapost/entry/direct/DirectEvent.java
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/DirectEvent.java
@@ -12,180 +12,183 @@
 import org.wisteriapost.protocol.wire.PlaceState;
 
 /**
- * What the entry's one state thread hears.
+ * An event for the entry's state thread.
  */
 sealed interface DirectEvent {
 
 	/**
-	 * A request has arrived.
+	 * A request was received completely.
 	 *
-	 * @param arrival read whole
+	 * @param request the request
 	 */
-	record Arrived(Arrival arrival) implements DirectEvent {
+	record RequestArrived(IncomingRequest request) implements DirectEvent {
 	}
 
 	/**
-	 * The caller of a request has gone.
+	 * The caller closed the connection before its request was answered.
 	 *
-	 * @param id the request's number
+	 * @param id the request's id
 	 */
-	record CallerGone(long id) implements DirectEvent {
+	record CallerDisconnected(long id) implements DirectEvent {
 	}
 
 	/**
-	 * A connection to the runner was made for a request.
+	 * A connection to the runner was established.
 	 *
 	 * @param call the request
-	 * @param dispatch the dispatch that it was made for
+	 * @param dispatch the number of the dispatch that uses the connection
 	 */
-	record Connected(DirectCall call, int dispatch) implements DirectEvent {
+	record RunnerConnected(DirectCall call, int dispatch) implements DirectEvent {
 	}
 
 	/**
-	 * The first event of a stream went out to the caller.
+	 * The first event of a stream was forwarded to the caller.
 	 *
 	 * @param call the request
-	 * @param dispatch the dispatch that it came from
+	 * @param dispatch the number of the dispatch that produced it
 	 */
-	record FirstEvent(DirectCall call, int dispatch) implements DirectEvent {
+	record FirstEventForwarded(DirectCall call, int dispatch) implements DirectEvent {
 	}
 
 	/**
 	 * A dispatch has ended.
 	 *
 	 * @param call the request
-	 * @param dispatch which one
-	 * @param outcome how
+	 * @param dispatch the number of the dispatch
+	 * @param outcome the result
 	 * @param detail for the log
 	 */
-	record Ended(DirectCall call, int dispatch, Outcome outcome, String detail) implements DirectEvent {
+	record DispatchEnded(DirectCall call, int dispatch, Outcome outcome, String detail) implements DirectEvent {
 	}
 
 	/**
-	 * All objects of a kind were read.
+	 * All objects of a kind were listed.
 	 *
 	 * @param kind the kind
-	 * @param items all there are
+	 * @param items the complete listing
 	 * @param at the store's revision when the listing began
 	 */
 	record AllObjects(Kind kind, List<ObjectStore.Item> items, long at) implements DirectEvent {
 	}
 
 	/**
-	 * An object has changed.
+	 * An object of the store has changed.
 	 *
-	 * @param kind its kind
+	 * @param kind the kind of the object
 	 * @param change the change
 	 */
 	record ObjectChanged(Kind kind, ObjectStore.Change change) implements DirectEvent {
 	}
 
 	/**
-	 * The store answers, or does not any more.
+	 * The store became reachable or unreachable.
 	 *
-	 * @param kind the kind of objects that were asked for
-	 * @param reachable whether it answers
+	 * @param kind the kind of objects that were requested
+	 * @param reachable whether the store answers
 	 */
 	record StoreReachable(Kind kind, boolean reachable) implements DirectEvent {
 	}
 
 	/**
-	 * All that the store had of a kind at a moment has been told.
+	 * Everything that the store held of a kind at a certain time was delivered.
 	 *
 	 * @param kind the kind
-	 * @param asOfNanos the moment, by this process's {@link System#nanoTime}
+	 * @param asOfNanos the confirmed time, on this process's {@link System#nanoTime}
 	 */
 	record StoreConfirmed(Kind kind, long asOfNanos) implements DirectEvent {
 	}
 
-	/** What is known of the store may be old: a watch was lost and no answer has come. */
-	record StoreDoubtful() implements DirectEvent {
+	/**
+	 * A watch of the store was lost and has not been re-established, so the local view
+	 * may be stale.
+	 */
+	record StoreWatchLost() implements DirectEvent {
 	}
 
 	/**
-	 * The link to another entry or an agent is up or gone.
+	 * The link to another entry or an agent was established or closed.
 	 *
-	 * @param peer its name
-	 * @param up whether it is up
+	 * @param peer the peer's name
+	 * @param up whether the link is established
 	 */
 	record PeerLink(String peer, boolean up) implements DirectEvent {
 	}
 
 	/**
-	 * Another entry says that it leaves.
+	 * Another entry announced that it is leaving.
 	 *
-	 * @param peer its name
+	 * @param peer the peer's name
 	 */
 	record PeerLeaving(String peer) implements DirectEvent {
 	}
 
 	/**
-	 * Another entry has said who it is on a link, from when on it can be told things.
+	 * Another entry identified itself on a link; frames can be sent to it from now on.
 	 *
-	 * @param peer its name
+	 * @param peer the peer's name
 	 */
 	record PeerMet(String peer) implements DirectEvent {
 	}
 
 	/**
-	 * Another entry says what it has in flight.
+	 * Another entry reported its in-flight load.
 	 *
-	 * @param peer its name
-	 * @param report the changes
+	 * @param peer the peer's name
+	 * @param report the changes since its last report
 	 */
 	record PeerLoads(String peer, LoadReport report) implements DirectEvent {
 	}
 
 	/**
-	 * Another entry says what those of a place have in flight and how the engines there
-	 * are.
+	 * Another entry reported the in-flight load and the engine status of its failure
+	 * domain.
 	 *
-	 * @param peer its name
-	 * @param state what has changed
+	 * @param peer the peer's name
+	 * @param state the changes since its last report
 	 */
 	record PlaceSays(String peer, PlaceState state) implements DirectEvent {
 	}
 
 	/**
-	 * Another entry passes on what the store says.
+	 * Another entry forwarded state updates of the store.
 	 *
-	 * @param peer its name
-	 * @param news what it says
+	 * @param peer the peer's name
+	 * @param news the updates
 	 */
 	record PeerNews(String peer, News news) implements DirectEvent {
 	}
 
 	/**
-	 * Another entry wants to be told what the store says, or does not any more.
+	 * Another entry subscribed to state updates from this one, or unsubscribed.
 	 *
-	 * @param peer its name
-	 * @param request what it says
+	 * @param peer the peer's name
+	 * @param request the request
 	 */
 	record PeerWantsNews(String peer, NewsRequest request) implements DirectEvent {
 	}
 
 	/**
-	 * An agent says how its engine is.
+	 * An agent reported its engine's status.
 	 *
-	 * @param state the engine's state
+	 * @param state the status
 	 */
 	record AgentSays(EngineState state) implements DirectEvent {
 	}
 
 	/**
-	 * An agent sends a stamp back.
+	 * An agent answered an echo request.
 	 *
-	 * @param address the address of the engine beside it
-	 * @param stampNanos when it was asked to
+	 * @param address the address of the engine on the agent's VM
+	 * @param stampNanos when the echo request was sent
 	 */
 	record AgentEcho(String address, long stampNanos) implements DirectEvent {
 	}
 
-	/** Time has passed. */
+	/** The state machine's timer fired. */
 	record Tick() implements DirectEvent {
 	}
 
-	/** The entry was told to leave. */
+	/** The process was asked to shut down. */
 	record Leave() implements DirectEvent {
 	}
 
--- a/entry/src/main/java/org/wisteriapost/entry/direct/DirectFront.java
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/DirectHttpServer.java
@@ -32,9 +32,10 @@
 import org.xnio.XnioWorker;
 
 /**
- * The addresses that callers and the site's own checks connect to.
+ * The HTTP listeners of an entry: one for callers' requests, one for readiness checks and
+ * one for the directory of entry addresses.
  */
-final class DirectFront implements AutoCloseable {
+final class DirectHttpServer implements AutoCloseable {
 
 	static final Code ATTEMPT_MISSING = Code.error("attempt-missing", "The request does not name its attempt.");
 
@@ -55,51 +56,52 @@
 
 	private static final int OK = 200;
 
-	// What may wait for one slow caller: some hundred events.
-	private static final long UNSENT_BYTES = 256 << 10;
+	// Limits the memory held for one slow caller, at some hundred events.
+	private static final long MAX_UNSENT_BYTES = 256 << 10;
 
-	// Larger than any declared limit, which is checked once it is known.
-	private static final int PARSED_HEADER_BYTES = 64 << 10;
+	// The parser's limit is above any declared one, which is checked separately.
+	private static final int MAX_PARSED_HEADER_BYTES = 64 << 10;
 
-	// Callers reuse a connection within the declared limit; twice the usual one.
-	private static final int IDLE_MILLIS = 60_000;
+	// Twice the usual idle limit of callers, so that a connection is not closed while a
+	// caller is about to reuse it.
+	private static final int IDLE_TIMEOUT_MILLIS = 60_000;
 
 	private static final long SHORT_RETRY_MILLIS = 300;
 
-	// How long callers keep an address answer. Some keep it three times as long, and a
-	// leaving entry takes requests for three seconds.
-	private static final int KEEP_SECONDS = 1;
+	// How long callers may cache a directory answer. Some cache it three times as long;
+	// GracefulShutdown accepts requests for that time.
+	private static final int DIRECTORY_TTL_SECONDS = 1;
 
-	private final DirectPort port;
+	private final EntryHandle entry;
 
 	private final CallDialect dialect;
 
-	private final AtomicLong ids = new AtomicLong();
+	private final AtomicLong requestIds = new AtomicLong();
 
 	private Undertow server;
 
-	private DirectFront(DirectPort port, CallDialect dialect) {
-		this.port = port;
+	private DirectHttpServer(EntryHandle entry, CallDialect dialect) {
+		this.entry = entry;
 		this.dialect = dialect;
 	}
 
-	static DirectFront start(SiteSettings settings, CallDialect dialect, XnioWorker worker, DirectPort port) {
-		DirectFront front = new DirectFront(port, dialect);
+	static DirectHttpServer start(SiteSettings settings, CallDialect dialect, XnioWorker worker, EntryHandle entry) {
+		DirectHttpServer httpServer = new DirectHttpServer(entry, dialect);
 		Undertow.Builder builder = Undertow.builder()
 			.setWorker(worker)
 			.setServerOption(UndertowOptions.DECODE_URL, false)
 			.setServerOption(UndertowOptions.ALLOW_UNESCAPED_CHARACTERS_IN_URL, true)
 			.setServerOption(UndertowOptions.ALWAYS_SET_DATE, false)
 			.setServerOption(UndertowOptions.ALWAYS_SET_KEEP_ALIVE, false)
-			.setServerOption(UndertowOptions.MAX_HEADER_SIZE, PARSED_HEADER_BYTES)
-			.setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, IDLE_MILLIS)
+			.setServerOption(UndertowOptions.MAX_HEADER_SIZE, MAX_PARSED_HEADER_BYTES)
+			.setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, IDLE_TIMEOUT_MILLIS)
 			.setSocketOption(org.xnio.Options.REUSE_ADDRESSES, true);
-		settings.front().ifPresent((address) -> listen(builder, address, front::call));
-		settings.readiness().ifPresent((address) -> listen(builder, address, front::ready));
-		settings.directory().ifPresent((address) -> listen(builder, address, front::directory));
-		front.server = builder.build();
-		front.server.start();
-		return front;
+		settings.front().ifPresent((address) -> listen(builder, address, httpServer::handleCall));
+		settings.readiness().ifPresent((address) -> listen(builder, address, httpServer::handleReadiness));
+		settings.directory().ifPresent((address) -> listen(builder, address, httpServer::handleDirectory));
+		httpServer.server = builder.build();
+		httpServer.server.start();
+		return httpServer;
 	}
 
 	private static void listen(Undertow.Builder builder, InetSocketAddress address, HttpHandler handler) {
@@ -110,7 +112,7 @@
 	}
 
 	/**
-	 * Returns the ports that were bound, in the order of the settings.
+	 * Returns the bound ports, in the order of the settings.
 	 */
 	List<Integer> ports() {
 		return this.server.getListenerInfo()
@@ -124,80 +126,83 @@
 		this.server.stop();
 	}
 
-	private void ready(HttpServerExchange exchange) {
-		boolean asked = exchange.getRequestURI().equals(this.dialect.readinessPath());
-		exchange.setStatusCode((asked && this.port.ready()) ? OK : UNAVAILABLE);
+	private void handleReadiness(HttpServerExchange exchange) {
+		boolean pathMatches = exchange.getRequestURI().equals(this.dialect.readinessPath());
+		exchange.setStatusCode((pathMatches && this.entry.ready()) ? OK : UNAVAILABLE);
 		exchange.endExchange();
 	}
 
-	private void directory(HttpServerExchange exchange) {
-		Optional<String> place = Optional.ofNullable(exchange.getQueryParameters().get(this.dialect.placeParameter()))
+	private void handleDirectory(HttpServerExchange exchange) {
+		Optional<String> failureDomain = Optional
+			.ofNullable(exchange.getQueryParameters().get(this.dialect.placeParameter()))
 			.map(Deque::peekFirst);
-		List<String> addresses = this.port.addresses(place);
+		List<String> addresses = this.entry.addresses(failureDomain);
 		if (!exchange.getRequestURI().equals(this.dialect.directoryPath()) || addresses.isEmpty()) {
 			exchange.setStatusCode(UNAVAILABLE);
 			exchange.endExchange();
 			return;
 		}
 		exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
-		exchange.getResponseSender().send(ByteBuffer.wrap(this.dialect.directory(addresses, KEEP_SECONDS)));
+		exchange.getResponseSender().send(ByteBuffer.wrap(this.dialect.directory(addresses, DIRECTORY_TTL_SECONDS)));
 	}
 
-	private void call(HttpServerExchange exchange) {
+	private void handleCall(HttpServerExchange exchange) {
 		long now = System.nanoTime();
-		if (this.port.leaving()) {
+		if (this.entry.leaving()) {
 			exchange.getResponseHeaders().put(Headers.CONNECTION, "close");
 		}
 		CallerFields fields = this.dialect.read((name) -> exchange.getRequestHeaders().getFirst(name));
-		CallerAnswer answer = CallerAnswer.withFractions(exchange, fields.attempt().orElse("none"), UNSENT_BYTES);
-		Optional<CallLimits> limits = this.port.limits();
+		CallerAnswer answer = CallerAnswer.withFractions(exchange, fields.attempt().orElse("none"), MAX_UNSENT_BYTES);
+		Optional<CallLimits> limits = this.entry.limits();
 		if (limits.isPresent() && headBytes(exchange) > limits.get().maxHeaderBytes()) {
-			overLimit(exchange, answer, limits, HEAD_LARGE, HEAD_TOO_LARGE);
+			rejectOverLimit(exchange, answer, limits, HEAD_LARGE, HEAD_TOO_LARGE);
 			return;
 		}
-		long most = limits.map(CallLimits::maxBodyBytes).orElse(4L << 20);
-		if (exchange.getRequestContentLength() > most) {
+		long maxBodyBytes = limits.map(CallLimits::maxBodyBytes).orElse(4L << 20);
+		if (exchange.getRequestContentLength() > maxBodyBytes) {
 			exchange.setPersistent(false);
-			overLimit(exchange, answer, limits, TOO_LARGE, CONTENT_TOO_LARGE);
+			rejectOverLimit(exchange, answer, limits, TOO_LARGE, CONTENT_TOO_LARGE);
 			return;
 		}
 		if (fields.attempt().isEmpty()) {
 			refuse(exchange, answer, BAD_REQUEST, ATTEMPT_MISSING);
 			return;
 		}
-		exchange.getRequestReceiver().setMaxBufferSize((int) Math.min(Integer.MAX_VALUE, most));
+		exchange.getRequestReceiver().setMaxBufferSize((int) Math.min(Integer.MAX_VALUE, maxBodyBytes));
 		exchange.getRequestReceiver()
 			.receiveFullBytes((same, body) -> submit(exchange, fields, body, answer, now),
-					(same, ex) -> unreadable(exchange, answer, limits, ex));
+					(same, ex) -> onReadFailure(exchange, answer, limits, ex));
 	}
 
 	private void submit(HttpServerExchange exchange, CallerFields fields, byte[] body, CallerAnswer answer, long now) {
 		exchange.dispatch(SameThreadExecutor.INSTANCE, () -> {
-			Arrival arrival = arrival(exchange, fields, body, answer, now);
-			if (!this.port.offer(new DirectEvent.Arrived(arrival))) {
+			IncomingRequest request = readRequest(exchange, fields, body, answer, now);
+			if (!this.entry.offer(new DirectEvent.RequestArrived(request))) {
 				answer.refuse(Refusal.later(LOOP_FULL.name(), LOOP_FULL.summary(), SHORT_RETRY_MILLIS));
 				return;
 			}
-			HangUpWatch.start(exchange, () -> this.port.put(new DirectEvent.CallerGone(arrival.id())));
+			HangUpWatch.start(exchange, () -> this.entry.put(new DirectEvent.CallerDisconnected(request.id())));
 		});
 	}
 
-	private Arrival arrival(HttpServerExchange exchange, CallerFields fields, byte[] body, CallerAnswer answer,
-			long now) {
+	private IncomingRequest readRequest(HttpServerExchange exchange, CallerFields fields, byte[] body,
+			CallerAnswer answer, long now) {
 		HeaderValues connection = exchange.getRequestHeaders().get(Headers.CONNECTION);
-		List<String> listed = HopHeaders.listed((connection != null) ? connection : List.of());
+		List<String> connectionOptions = HopByHopHeaders
+			.connectionOptions((connection != null) ? connection : List.of());
 		Map<String, String> headers = new LinkedHashMap<>();
 		for (HeaderValues header : exchange.getRequestHeaders()) {
 			String name = header.getHeaderName().toString();
 			String lower = name.toLowerCase(Locale.ROOT);
-			if (Arrival.endToEnd(lower, listed) && !this.dialect.reserved(lower)) {
+			if (IncomingRequest.isEndToEnd(lower, connectionOptions) && !this.dialect.reserved(lower)) {
 				headers.put(name, String.join(", ", header));
 			}
 		}
 		String path = exchange.getRequestURI();
 		String query = exchange.getQueryString();
-		return new Arrival(this.ids.incrementAndGet(), exchange.getRequestMethod().toString(), host(exchange), path,
-				query.isEmpty() ? path : path + "?" + query, headers, token(exchange), fields, body, answer, now);
+		return new IncomingRequest(this.requestIds.incrementAndGet(), exchange.getRequestMethod().toString(),
+				host(exchange), path, query.isEmpty() ? path : path + "?" + query, headers, token(exchange), fields,
+				body, answer, now);
 	}
 
 	private static String host(HttpServerExchange exchange) {
@@ -224,22 +229,23 @@
 		return bytes;
 	}
 
-	private void unreadable(HttpServerExchange exchange, CallerAnswer answer, Optional<CallLimits> limits,
+	private void onReadFailure(HttpServerExchange exchange, CallerAnswer answer, Optional<CallLimits> limits,
 			IOException ex) {
 		exchange.setPersistent(false);
 		if (ex instanceof Receiver.RequestToLargeException || ex instanceof RequestTooBigException) {
-			overLimit(exchange, answer, limits, TOO_LARGE, CONTENT_TOO_LARGE);
+			rejectOverLimit(exchange, answer, limits, TOO_LARGE, CONTENT_TOO_LARGE);
 			return;
 		}
 		IoUtils.safeClose(exchange.getConnection());
 	}
 
-	// The limit may have been raised since: see RejectionGuard. A body takes time to
-	// come, so the one that it was read by may have been replaced by now; what is known
-	// is looked at after its age, and so is at least as new.
-	private void overLimit(HttpServerExchange exchange, CallerAnswer answer, Optional<CallLimits> judgedBy, int status,
-			Code code) {
-		if (this.port.mayReject() && judgedBy.isPresent() && judgedBy.equals(this.port.limits())) {
+	// Rejects only if the applied limit is still current and confirmed recently enough;
+	// otherwise a raised limit might not have arrived yet (see RejectionGuard) and the
+	// request is refused as not run. The limit can change while a body is received. It
+	// is read after the permit is checked, so it is at least as recent.
+	private void rejectOverLimit(HttpServerExchange exchange, CallerAnswer answer, Optional<CallLimits> appliedLimits,
+			int status, Code code) {
+		if (this.entry.mayReject() && appliedLimits.isPresent() && appliedLimits.equals(this.entry.limits())) {
 			refuse(exchange, answer, status, code);
 			return;
 		}
--- a/entry/src/main/java/org/wisteriapost/entry/direct/DirectMetrics.java
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/DirectMetrics.java
@@ -16,35 +16,36 @@
 
 	private static final String PREFIX = "wisteriapost.entry.";
 
-	private static final Duration[] BOUNDS = { Duration.ofMillis(50), Duration.ofMillis(100), Duration.ofMillis(200),
-			Duration.ofMillis(400), Duration.ofMillis(800), Duration.ofMillis(1600), Duration.ofMillis(3200) };
+	private static final Duration[] LATENCY_BUCKETS = { Duration.ofMillis(50), Duration.ofMillis(100),
+			Duration.ofMillis(200), Duration.ofMillis(400), Duration.ofMillis(800), Duration.ofMillis(1600),
+			Duration.ofMillis(3200) };
 
 	private final MeterRegistry registry;
 
 	private final Timer firstEvent;
 
-	private final Timer whole;
+	private final Timer wholeAnswer;
 
-	private final DistributionSummary forecastError;
+	private final DistributionSummary predictionRatio;
 
 	private DirectMetrics(MeterRegistry registry) {
 		this.registry = registry;
 		this.firstEvent = timer("first.event", "Time from a request's arrival to its first event.");
-		this.whole = timer("answer", "Time from a request's arrival to its whole answer.");
-		this.forecastError = DistributionSummary.builder(PREFIX + "forecast.ratio")
+		this.wholeAnswer = timer("answer", "Time from a request's arrival to its whole answer.");
+		this.predictionRatio = DistributionSummary.builder(PREFIX + "forecast.ratio")
 			.description("Time to the first event, as a share of what was predicted.")
 			.serviceLevelObjectives(0.5, 0.8, 1.25, 2, 4)
 			.register(registry);
 	}
 
-	static DirectMetrics in(MeterRegistry registry) {
+	static DirectMetrics create(MeterRegistry registry) {
 		return new DirectMetrics(registry);
 	}
 
 	private Timer timer(String name, String description) {
 		return Timer.builder(PREFIX + name)
 			.description(description)
-			.serviceLevelObjectives(BOUNDS)
+			.serviceLevelObjectives(LATENCY_BUCKETS)
 			.register(this.registry);
 	}
 
@@ -52,10 +53,10 @@
 		this.registry.counter(PREFIX + "dispatches").increment();
 	}
 
-	void ended(Job job, Outcome outcome, long nowNanos) {
+	void dispatchEnded(Job job, Outcome outcome, long nowNanos) {
 		this.registry.counter(PREFIX + "dispatches.ended", "outcome", outcome.name()).increment();
 		if (outcome == Outcome.DONE) {
-			this.whole.record(nowNanos - job.arrivedNanos(), TimeUnit.NANOSECONDS);
+			this.wholeAnswer.record(nowNanos - job.arrivedNanos(), TimeUnit.NANOSECONDS);
 		}
 	}
 
@@ -63,12 +64,12 @@
 		this.firstEvent.record(nowNanos - job.arrivedNanos(), TimeUnit.NANOSECONDS);
 		double predicted = job.predictedMillis();
 		if (predicted > 0) {
-			this.forecastError.record(TimeUnit.NANOSECONDS.toMillis(nowNanos - job.sentNanos()) / predicted);
+			this.predictionRatio.record(TimeUnit.NANOSECONDS.toMillis(nowNanos - job.sentNanos()) / predicted);
 		}
 	}
 
 	/**
-	 * Counts a final answer of the entry's own.
+	 * Counts a final answer that the entry itself produced.
 	 */
 	void answered(String kind, String code) {
 		this.registry.counter(PREFIX + "own.answers", "kind", kind, "code", code).increment();
--- a/entry/src/main/java/org/wisteriapost/entry/direct/DirectOutput.java
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/DirectOutput.java
@@ -21,7 +21,7 @@
 import org.wisteriapost.protocol.site.OutboundCall;
 
 /**
- * Carries out decisions on the one I/O thread, in the order in which they were made.
+ * Performs the state thread's decisions on the I/O thread, in order.
  */
 final class DirectOutput implements CallOutput {
 
@@ -29,23 +29,23 @@
 
 	private static final int GATEWAY_TIMEOUT = 504;
 
-	// The runner answers its own time-out; the connection is given up a little later.
-	private static final Duration SLACK = Duration.ofMillis(300);
+	// Leaves the runner time to report its own timeout before the connection is closed.
+	private static final Duration RESPONSE_TIMEOUT_MARGIN = Duration.ofMillis(300);
 
-	// A runner may drop an idle connection without notice, and what is sent on it then
-	// is reset: nobody knows whether it ran, so a call that may run once is lost. One
-	// that was used within this time is hardly ever dropped, and opening another costs
-	// a millisecond.
-	private static final Duration ONCE_MOST_IDLE = Duration.ofMillis(800);
+	// A runner may close an idle connection at any time. A request sent on it is then
+	// reset with unknown outcome, so a request that must not be repeated would be lost.
+	// Connections used within this time are rarely closed, and a new one costs about a
+	// millisecond.
+	private static final Duration MAX_IDLE_IF_NOT_REPEATABLE = Duration.ofMillis(800);
 
-	// How long the connection may take that tries a runner's way, as a part of the time
-	// that the caller expects: another runner can still answer then. Connections within a
-	// site take some milliseconds, to another region some tens.
-	private static final double TRY_SHARE = 0.4;
+	// Connect timeout for a dispatch that probes a runner path that may be down, as a
+	// share of the route's target time, so that another runner can still answer in time.
+	// Connecting takes some milliseconds within a site and some tens to another region.
+	private static final double PROBE_TIMEOUT_SHARE = 0.4;
 
-	private static final long TRY_LEAST_MILLIS = 100;
+	private static final long MIN_PROBE_TIMEOUT_MILLIS = 100;
 
-	private static final long TRY_MOST_MILLIS = 400;
+	private static final long MAX_PROBE_TIMEOUT_MILLIS = 400;
 
 	private final HttpCaller caller;
 
@@ -64,19 +64,20 @@
 		int dispatch = call.job().dispatch();
 		onIoThread(() -> {
 			if (call.complete()) {
-				// The answer before this dispatch came whole while it was given up.
-				this.events.accept(new DirectEvent.Ended(call, dispatch, Outcome.DONE, "whole before"));
+				// The previous dispatch completed the answer before it was cancelled.
+				this.events
+					.accept(new DirectEvent.DispatchEnded(call, dispatch, Outcome.DONE, "answer already complete"));
 				return;
 			}
-			Relay relay = new Relay(call, dispatch, this.dialect, this.events);
-			call.relay(Optional.of(relay));
-			relay.started(this.caller.stream(outbound(call, send), relay));
+			ResponseForwarder forwarder = new ResponseForwarder(call, dispatch, this.dialect, this.events);
+			call.forwarder(Optional.of(forwarder));
+			forwarder.exchangeStarted(this.caller.stream(outbound(call, send), forwarder));
 		});
 	}
 
 	@Override
 	public void stop(DirectCall call) {
-		onIoThread(() -> call.relay(Optional.empty()));
+		onIoThread(() -> call.forwarder(Optional.empty()));
 	}
 
 	@Override
@@ -85,13 +86,13 @@
 	}
 
 	@Override
-	public void reject(Arrival arrival, int status, Code code) {
-		onIoThread(() -> arrival.answer().refuse(Refusal.bad(status, code.name(), code.summary())));
+	public void reject(IncomingRequest request, int status, Code code) {
+		onIoThread(() -> request.answer().refuse(Refusal.bad(status, code.name(), code.summary())));
 	}
 
 	@Override
-	public void refuse(Arrival arrival, Code code, long retryAfterMillis) {
-		onIoThread(() -> arrival.answer().refuse(Refusal.later(code.name(), code.summary(), retryAfterMillis)));
+	public void refuse(IncomingRequest request, Code code, long retryAfterMillis) {
+		onIoThread(() -> request.answer().refuse(Refusal.later(code.name(), code.summary(), retryAfterMillis)));
 	}
 
 	@Override
@@ -100,42 +101,43 @@
 			if (call.complete()) {
 				return;
 			}
-			call.relay(Optional.empty());
+			call.forwarder(Optional.empty());
 			int status = timeout ? GATEWAY_TIMEOUT : BAD_GATEWAY;
 			call.answer().refuse(Refusal.unknown(status, code.name(), code.summary()));
 		});
 	}
 
 	@Override
-	public void passOn(DirectCall call) {
-		onIoThread(() -> call.held()
+	public void forwardRunnerFailure(DirectCall call) {
+		onIoThread(() -> call.heldResponse()
 			.ifPresent((held) -> call.answer().whole(held.status(), held.headers(), "", held.body())));
 	}
 
 	private HttpCall outbound(DirectCall call, DispatchEffect.Send send) {
-		Arrival arrival = call.arrival();
+		IncomingRequest request = call.request();
 		Job job = call.job();
 		long remaining = Math.max(1, TimeUnit.NANOSECONDS.toMillis(job.deadlineNanos() - System.nanoTime()));
-		Map<String, String> headers = new LinkedHashMap<>(arrival.headers());
-		OutboundCall added = new OutboundCall(remaining, send.runner().id(), job.organisation().map(Organisation::name),
-				send.rank(), send.weightsVersion(), job.lastEvent());
-		this.dialect.outbound(added).forEach((header) -> headers.put(header.getKey(), header.getValue()));
-		URI target = URI.create("http://" + send.runner().address() + arrival.target());
-		HttpTimes times = HttpTimes.whole(Duration.ofMillis(remaining).plus(SLACK));
-		return new HttpCall(arrival.method(), target, headers, arrival.body(),
-				send.tries() ? times.connect(tryTime(job.route().target())) : times, mostIdle(send), Optional.empty());
+		Map<String, String> headers = new LinkedHashMap<>(request.headers());
+		OutboundCall headerFields = new OutboundCall(remaining, send.runner().id(),
+				job.organisation().map(Organisation::name), send.rank(), send.weightsVersion(), job.lastEvent());
+		this.dialect.outbound(headerFields).forEach((header) -> headers.put(header.getKey(), header.getValue()));
+		URI target = URI.create("http://" + send.runner().address() + request.target());
+		HttpTimes timeouts = HttpTimes.whole(Duration.ofMillis(remaining).plus(RESPONSE_TIMEOUT_MARGIN));
+		return new HttpCall(request.method(), target, headers, request.body(),
+				send.tries() ? timeouts.connect(probeTimeout(job.route().target())) : timeouts, maxConnectionIdle(send),
+				Optional.empty());
 	}
 
-	private static Optional<Duration> mostIdle(DispatchEffect.Send send) {
+	private static Optional<Duration> maxConnectionIdle(DispatchEffect.Send send) {
 		if (send.tries()) {
 			return Optional.of(Duration.ZERO);
 		}
-		return send.job().route().repeatable() ? Optional.empty() : Optional.of(ONCE_MOST_IDLE);
+		return send.job().route().repeatable() ? Optional.empty() : Optional.of(MAX_IDLE_IF_NOT_REPEATABLE);
 	}
 
-	private static Duration tryTime(Duration target) {
-		long millis = (long) (TRY_SHARE * target.toMillis());
-		return Duration.ofMillis(Math.clamp(millis, TRY_LEAST_MILLIS, TRY_MOST_MILLIS));
+	private static Duration probeTimeout(Duration target) {
+		long millis = (long) (PROBE_TIMEOUT_SHARE * target.toMillis());
+		return Duration.ofMillis(Math.clamp(millis, MIN_PROBE_TIMEOUT_MILLIS, MAX_PROBE_TIMEOUT_MILLIS));
 	}
 
 	private void onIoThread(Runnable task) {
--- a/entry/src/main/java/org/wisteriapost/entry/direct/DirectProcess.java
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/DirectProcess.java
@@ -30,14 +30,15 @@
 import org.wisteriapost.protocol.site.SiteSettings;
 
 /**
- * The parts of one running entry.
+ * A running entry.
  *
- * One I/O thread carries callers, runners and the store, so an answer goes from a
- * runner's connection to its caller's without a change of thread; one thread decides.
+ * One I/O thread serves callers, runners and the store, so an answer passes from a
+ * runner's connection to the caller's without changing threads. Decisions are made on one
+ * state thread.
  */
 public final class DirectProcess implements AutoCloseable {
 
-	private static final int RING = 4096;
+	private static final int EVENT_RING_SIZE = 4096;
 
 	private static final long TICK_MILLIS = 20;
 
@@ -51,7 +52,7 @@
 
 	private final Mesh mesh;
 
-	private final DirectFront front;
+	private final DirectHttpServer httpServer;
 
 	private final AdminServer admin;
 
@@ -60,21 +61,21 @@
 	private final DecisionLog log;
 
 	private DirectProcess(HttpCaller caller, Links links, ScheduledExecutorService timer, EventLoop<DirectEvent> loop,
-			Mesh mesh, DirectFront front, AdminServer admin, DirectView view, DecisionLog log) {
+			Mesh mesh, DirectHttpServer httpServer, AdminServer admin, DirectView view, DecisionLog log) {
 		this.caller = caller;
 		this.links = links;
 		this.timer = timer;
 		this.loop = loop;
 		this.mesh = mesh;
-		this.front = front;
+		this.httpServer = httpServer;
 		this.admin = admin;
 		this.view = view;
 		this.log = log;
 	}
 
 	/**
-	 * Returns a running entry.
-	 * @param out where decisions are logged
+	 * Starts an entry.
+	 * @param out receives the decision log
 	 */
 	public static DirectProcess start(SiteSettings settings, SiteProvider site, PrintStream out) {
 		DecisionLog log = DecisionLog.start(settings.name(), out);
@@ -83,20 +84,20 @@
 		ScheduledThreadPoolExecutor timer = new ScheduledThreadPoolExecutor(1, Thread.ofPlatform().daemon().factory());
 		ObjectStore store = site.store(caller, settings);
 		CallDialect dialect = site.dialect();
-		DirectView view = new DirectView(DirectClock.SYSTEM);
+		DirectView view = new DirectView(EntryClocks.SYSTEM);
 		UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(System.nanoTime());
 		EntryInfo self = self(settings, random);
 		PrometheusMeterRegistry registry = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
 		DirectState state = new DirectState(settings, self, Dispatcher.create(limits(settings), random),
-				new DirectOutput(caller, dialect, view::put), log, DirectMetrics.in(registry), random,
-				DirectClock.SYSTEM, view);
-		EventLoop<DirectEvent> loop = EventLoop.start("entry", RING, state::apply);
+				new DirectOutput(caller, dialect, view::put), log, DirectMetrics.create(registry), random,
+				EntryClocks.SYSTEM, view);
+		EventLoop<DirectEvent> loop = EventLoop.start("entry", EVENT_RING_SIZE, state::apply);
 		view.loop(loop);
 		Mesh mesh = Mesh.start(links, new InetSocketAddress(settings.host(), settings.linkPort()), settings.name(),
 				settings.place(), timer, view::put, log);
 		Following following = new Following();
 		state.connect(mesh, store, following);
-		DirectFront front = DirectFront.start(settings, dialect, caller.worker(), view);
+		DirectHttpServer httpServer = DirectHttpServer.start(settings, dialect, caller.worker(), view);
 		AdminServer admin = AdminServer.start(new InetSocketAddress(settings.host(), settings.adminPort()), registry,
 				view::ready, caller.worker());
 		for (Kind kind : Kind.values()) {
@@ -105,7 +106,7 @@
 		timer.scheduleWithFixedDelay(() -> view.offer(new DirectEvent.Tick()), TICK_MILLIS, TICK_MILLIS,
 				TimeUnit.MILLISECONDS);
 		log.decision("started", "role", "entry", "place", settings.place());
-		return new DirectProcess(caller, links, timer, loop, mesh, front, admin, view, log);
+		return new DirectProcess(caller, links, timer, loop, mesh, httpServer, admin, view, log);
 	}
 
 	private static EntryInfo self(SiteSettings settings, UniformRandomProvider random) {
@@ -122,7 +123,7 @@
 	}
 
 	/**
-	 * Returns what makes events of what a kind's follower says.
+	 * Returns a listener that turns a {@link Follower}'s callbacks into events.
 	 */
 	static FollowListener listener(Kind kind, Consumer<DirectEvent> events) {
 		return new FollowListener() {
@@ -144,7 +145,7 @@
 
 			@Override
 			public void onDoubt() {
-				events.accept(new DirectEvent.StoreDoubtful());
+				events.accept(new DirectEvent.StoreWatchLost());
 			}
 
 			@Override
@@ -156,22 +157,22 @@
 	}
 
 	/**
-	 * Leaves; completes when the last answer is out.
+	 * Starts a graceful shutdown; the future completes when the process may exit.
 	 */
 	public CompletableFuture<Void> leave() {
 		this.view.put(new DirectEvent.Leave());
-		return this.view.over();
+		return this.view.termination();
 	}
 
 	/**
-	 * Returns what completes when the entry has left.
+	 * Returns a future that completes when the process may exit.
 	 */
-	public CompletableFuture<Void> left() {
-		return this.view.over();
+	public CompletableFuture<Void> termination() {
+		return this.view.termination();
 	}
 
 	/**
-	 * Notes that the settings file was read again.
+	 * Logs that the settings file was read again.
 	 */
 	public void reloaded(String outcome) {
 		this.log.decision("settings-read", "outcome", outcome);
@@ -180,7 +181,7 @@
 	@Override
 	public void close() {
 		this.timer.shutdownNow();
-		this.front.close();
+		this.httpServer.close();
 		this.admin.close();
 		this.mesh.close();
 		this.loop.close();
--- a/entry/src/main/java/org/wisteriapost/entry/direct/DirectState.java
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/DirectState.java
@@ -29,15 +29,15 @@
 import org.wisteriapost.protocol.wire.LoadReport;
 
 /**
- * The entry's state. One thread applies events to it.
+ * The entry's state machine. Events are applied on the state thread.
  */
 final class DirectState {
 
-	private static final int TICKS_PER_NEWS = 5;
+	private static final int TICKS_PER_UPDATE = 5;
 
 	private static final int TICKS_PER_ECHO = 8;
 
-	// Within a site a connection takes some milliseconds.
+	// Connecting within a site takes some milliseconds.
 	private static final long SLOW_CONNECTION_MILLIS = 20;
 
 	private final EntryInfo self;
@@ -46,13 +46,13 @@
 
 	private final CallOutput output;
 
-	private final Duration declaredInForce;
+	private final Duration activationDelay;
 
 	private final DecisionLog log;
 
 	private final DirectMetrics metrics;
 
-	private final DirectClock clock;
+	private final EntryClocks clocks;
 
 	private final EntryRoster roster;
 
@@ -60,11 +60,11 @@
 
 	private final DirectView view;
 
-	private final Departure departure;
+	private final GracefulShutdown shutdown;
 
-	private final SiteBeliefs beliefs;
+	private final SiteBeliefs localView;
 
-	private final Intake intake;
+	private final Intake admission;
 
 	private final SuspensionWatch suspension;
 
@@ -72,117 +72,120 @@
 
 	private Optional<ObjectStore> store = Optional.empty();
 
-	private Optional<PeerSender> mesh = Optional.empty();
+	private Optional<PeerSender> peers = Optional.empty();
 
-	private Optional<SiteNews> news = Optional.empty();
+	private Optional<SiteNews> updates = Optional.empty();
 
-	private Optional<StoreReading> reading = Optional.empty();
+	private Optional<StoreReading> storeReading = Optional.empty();
 
-	private Optional<LoadReports> reports = Optional.empty();
+	private Optional<LoadReports> loadReports = Optional.empty();
 
-	private Optional<PlaceNews> places = Optional.empty();
+	private Optional<PlaceNews> failureDomainUpdates = Optional.empty();
 
 	private boolean registering;
 
 	private long ticks;
 
 	DirectState(SiteSettings settings, EntryInfo self, Dispatcher dispatcher, CallOutput output, DecisionLog log,
-			DirectMetrics metrics, UniformRandomProvider random, DirectClock clock, DirectView view) {
+			DirectMetrics metrics, UniformRandomProvider random, EntryClocks clocks, DirectView view) {
 		this.self = self;
 		this.dispatcher = dispatcher;
 		this.output = output;
 		this.log = log;
 		this.metrics = metrics;
-		this.clock = clock;
-		this.declaredInForce = settings.bounds().declaredInForce();
+		this.clocks = clocks;
+		this.activationDelay = settings.bounds().declaredInForce();
 		this.roster = new EntryRoster(self);
 		this.announcer = new Announcer(settings, self, this.roster, dispatcher);
-		this.beliefs = new SiteBeliefs(dispatcher, this.roster, this.announcer, log,
+		this.localView = new SiteBeliefs(dispatcher, this.roster, this.announcer, log,
 				settings.bounds().declaredInForce());
 		this.view = view;
-		this.departure = new Departure(settings.bounds().grace());
-		this.intake = new Intake(this.beliefs, this.departure, output, log, metrics, random, this::rests);
-		this.suspension = SuspensionWatch.start(now(), clock.dayMillis().getAsLong());
+		this.shutdown = new GracefulShutdown(settings.bounds().grace());
+		this.admission = new Intake(this.localView, this.shutdown, output, log, metrics, random, this::isFollower);
+		this.suspension = SuspensionWatch.start(now(), clocks.wallMillis().getAsLong());
 	}
 
 	/**
-	 * Sets what the entry tells others by.
+	 * Sets the peers that frames are sent to and the store.
 	 */
-	void connect(PeerSender links, ObjectStore objects, Following following) {
-		this.announcer.connect(links);
-		this.store = Optional.of(objects);
-		this.mesh = Optional.of(links);
-		StoreDuty duty = StoreDuty.of(this.self.name(), this.declaredInForce);
+	void connect(PeerSender peers, ObjectStore objectStore, Following following) {
+		this.announcer.connect(peers);
+		this.store = Optional.of(objectStore);
+		this.peers = Optional.of(peers);
+		StoreDuty duty = StoreDuty.of(this.self.name(), this.activationDelay);
 		UpstreamChoice upstream = UpstreamChoice.of(this.self.name());
-		SiteNews passed = new SiteNews(objects, duty, upstream, links::send, this.clock.nanos(), this.log);
-		this.news = Optional.of(passed);
-		this.reading = Optional.of(new StoreReading(duty, passed, following, links::send, this.log));
-		this.reports = Optional.of(new LoadReports(this.self.place(), links::send));
-		this.places = Optional.of(new PlaceNews(this.self.place(), this.roster, this.dispatcher, links::send));
+		SiteNews exchange = new SiteNews(objectStore, duty, upstream, peers::send, this.clocks.monotonicNanos(),
+				this.log);
+		this.updates = Optional.of(exchange);
+		this.storeReading = Optional.of(new StoreReading(duty, exchange, following, peers::send, this.log));
+		this.loadReports = Optional.of(new LoadReports(this.self.place(), peers::send));
+		this.failureDomainUpdates = Optional
+			.of(new PlaceNews(this.self.place(), this.roster, this.dispatcher, peers::send));
 	}
 
 	void apply(DirectEvent event) {
 		long now = now();
-		if (this.suspension.woke(now, this.clock.dayMillis().getAsLong())) {
-			woke(now);
+		if (this.suspension.woke(now, this.clocks.wallMillis().getAsLong())) {
+			resumed(now);
 		}
 		switch (event) {
-			case DirectEvent.Arrived arrived -> arrived(arrived.arrival(), now);
-			case DirectEvent.CallerGone gone -> callerGone(gone.id(), now);
-			case DirectEvent.Connected connected -> connected(connected, now);
-			case DirectEvent.FirstEvent first -> firstEvent(first, now);
-			case DirectEvent.Ended ended -> ended(ended, now);
-			case DirectEvent.AllObjects all -> all(all, now);
-			case DirectEvent.ObjectChanged changed -> changed(changed.kind(), changed.change(), now);
-			case DirectEvent.StoreReachable reachable -> reachable(reachable, now);
-			case DirectEvent.StoreConfirmed known -> confirmed(known);
-			case DirectEvent.StoreDoubtful doubtful -> this.news.ifPresent(SiteNews::dismiss);
+			case DirectEvent.RequestArrived arrived -> requestArrived(arrived.request(), now);
+			case DirectEvent.CallerDisconnected disconnected -> callerDisconnected(disconnected.id(), now);
+			case DirectEvent.RunnerConnected connected -> runnerConnected(connected, now);
+			case DirectEvent.FirstEventForwarded first -> firstEventForwarded(first, now);
+			case DirectEvent.DispatchEnded ended -> dispatchEnded(ended, now);
+			case DirectEvent.AllObjects listed -> objectsListed(listed, now);
+			case DirectEvent.ObjectChanged changed -> objectChanged(changed.kind(), changed.change(), now);
+			case DirectEvent.StoreReachable reachable -> storeReachable(reachable, now);
+			case DirectEvent.StoreConfirmed confirmed -> storeConfirmed(confirmed);
+			case DirectEvent.StoreWatchLost lost -> this.updates.ifPresent(SiteNews::dismiss);
 			case DirectEvent.PeerLink link -> peerLink(link.peer(), link.up(), now);
 			case DirectEvent.PeerLeaving leaving -> this.roster.leaving(leaving.peer());
-			case DirectEvent.PeerMet met -> peerMet(met.peer());
+			case DirectEvent.PeerMet identified -> peerIdentified(identified.peer());
 			case DirectEvent.PeerLoads loads -> peerLoads(loads.peer(), loads.report(), now);
-			case DirectEvent.PlaceSays says -> this.places
-				.ifPresent((all) -> all.heard(says.peer(), says.state(), now).forEach((one) -> agentSays(one, now)));
-			case DirectEvent.PeerNews heard -> news(heard, now);
-			case DirectEvent.PeerWantsNews wants ->
-				this.news.ifPresent((passed) -> passed.asked(wants.peer(), wants.request()));
-			case DirectEvent.AgentSays says -> agentSays(says.state(), now);
+			case DirectEvent.PlaceSays report ->
+				this.failureDomainUpdates.ifPresent((domains) -> domains.heard(report.peer(), report.state(), now)
+					.forEach((one) -> engineStatus(one, now)));
+			case DirectEvent.PeerNews update -> peerUpdate(update, now);
+			case DirectEvent.PeerWantsNews subscription ->
+				this.updates.ifPresent((updates) -> updates.asked(subscription.peer(), subscription.request()));
+			case DirectEvent.AgentSays reported -> engineStatus(reported.state(), now);
 			case DirectEvent.AgentEcho echo -> this.dispatcher.ways().echoed(echo.address(), echo.stampNanos(), now);
 			case DirectEvent.Tick tick -> tick(now);
 			case DirectEvent.Leave leave -> leave(now);
 		}
-		carryOut();
+		applyEffects();
 		publish();
 	}
 
 	private long now() {
-		return this.clock.nanos().getAsLong();
+		return this.clocks.monotonicNanos().getAsLong();
 	}
 
-	private void woke(long now) {
+	private void resumed(long now) {
 		this.log.decision("woke");
-		this.beliefs.suspended(now);
-		this.news.ifPresent((passed) -> passed.suspended(now));
+		this.localView.suspended(now);
+		this.updates.ifPresent((updates) -> updates.suspended(now));
 	}
 
-	private void arrived(Arrival arrival, long now) {
-		this.intake.admit(arrival, now).ifPresent((job) -> {
-			this.calls.put(arrival.id(), new DirectCall(arrival, job));
+	private void requestArrived(IncomingRequest request, long now) {
+		this.admission.admit(request, now).ifPresent((job) -> {
+			this.calls.put(request.id(), new DirectCall(request, job));
 			this.dispatcher.arrived(job, now);
 		});
 	}
 
-	private void callerGone(long id, long now) {
+	private void callerDisconnected(long id, long now) {
 		DirectCall call = this.calls.get(id);
 		if (call != null) {
 			this.log.decision("caller-gone", "attempt", call.job().attempt());
 			this.dispatcher.gone(call.job(), now);
-			carryOut();
+			applyEffects();
 			this.calls.remove(id);
 		}
 	}
 
-	private void connected(DirectEvent.Connected connected, long now) {
+	private void runnerConnected(DirectEvent.RunnerConnected connected, long now) {
 		if (connected.dispatch() == connected.call().job().dispatch()) {
 			Job job = connected.call().job();
 			long millis = TimeUnit.NANOSECONDS.toMillis(now - job.sentNanos());
@@ -194,14 +197,14 @@
 		}
 	}
 
-	private void firstEvent(DirectEvent.FirstEvent first, long now) {
+	private void firstEventForwarded(DirectEvent.FirstEventForwarded first, long now) {
 		if (first.dispatch() == first.call().job().dispatch()) {
 			this.metrics.firstEvent(first.call().job(), now);
 			this.dispatcher.firstEvent(first.call().job(), now);
 		}
 	}
 
-	private void ended(DirectEvent.Ended ended, long now) {
+	private void dispatchEnded(DirectEvent.DispatchEnded ended, long now) {
 		Job job = ended.call().job();
 		if (ended.dispatch() != job.dispatch()) {
 			return;
@@ -209,84 +212,86 @@
 		this.log.decision("dispatch-ended", "attempt", job.attempt(), "dispatch", ended.dispatch(), "outcome",
 				ended.outcome(), "detail", ended.detail(), "events", job.events(), "ageMs",
 				TimeUnit.NANOSECONDS.toMillis(now - job.arrivedNanos()));
-		this.metrics.ended(job, ended.outcome(), now);
+		this.metrics.dispatchEnded(job, ended.outcome(), now);
 		this.dispatcher.ended(job, ended.outcome(), now);
 		if (ended.outcome() == Outcome.DONE) {
 			this.calls.remove(job.id());
 		}
 	}
 
-	// What the store says.
+	// Events from the store.
 
-	// What was on its way here when a neighbour took over is older than what that says.
-	private void all(DirectEvent.AllObjects all, long now) {
-		if (rests()) {
-			missed(all.kind());
+	// Discards what was read while this entry became a follower: it is older than what
+	// the leader sends.
+	private void objectsListed(DirectEvent.AllObjects listed, long now) {
+		if (isFollower()) {
+			discarded(listed.kind());
 			return;
 		}
-		this.news.ifPresent((passed) -> passed.read(all.kind(), all.items(), all.at()));
-		this.beliefs.all(all.kind(), all.items(), now);
+		this.updates.ifPresent((updates) -> updates.read(listed.kind(), listed.items(), listed.at()));
+		this.localView.all(listed.kind(), listed.items(), now);
 	}
 
-	private void changed(Kind kind, ObjectStore.Change change, long now) {
-		if (rests()) {
-			missed(kind);
+	private void objectChanged(Kind kind, ObjectStore.Change change, long now) {
+		if (isFollower()) {
+			discarded(kind);
 		}
-		else if (this.news.map((passed) -> passed.read(kind, change)).orElse(true)) {
-			this.beliefs.changed(kind, change, now);
+		else if (this.updates.map((updates) -> updates.read(kind, change)).orElse(true)) {
+			this.localView.changed(kind, change, now);
 		}
 	}
 
-	private void missed(Kind kind) {
-		this.reading.ifPresent((all) -> all.missed(kind));
+	private void discarded(Kind kind) {
+		this.storeReading.ifPresent((reading) -> reading.missed(kind));
 	}
 
-	private boolean rests() {
-		return this.reading.map(StoreReading::rests).orElse(false);
+	private boolean isFollower() {
+		return this.storeReading.map(StoreReading::rests).orElse(false);
 	}
 
-	private void reachable(DirectEvent.StoreReachable reachable, long now) {
+	private void storeReachable(DirectEvent.StoreReachable reachable, long now) {
 		this.log.decision("store", "kind", reachable.kind(), "reachable", reachable.reachable());
 		if (reachable.kind() == Kind.RUNNERS) {
 			this.dispatcher.store(reachable.reachable(), now);
-			this.news.ifPresent((passed) -> passed.reachable(reachable.reachable()));
+			this.updates.ifPresent((updates) -> updates.reachable(reachable.reachable()));
 		}
 	}
 
-	// What was on its way here when a neighbour took over was not taken, so it confirms
+	// A follower discards what its own store connection delivers, so that confirms
 	// nothing.
-	private void confirmed(DirectEvent.StoreConfirmed known) {
-		if (known.kind() == Kind.ROUTES && !rests()) {
-			this.beliefs.confirmed(known.asOfNanos());
-			this.news.ifPresent((passed) -> passed.confirmed(known.asOfNanos()));
+	private void storeConfirmed(DirectEvent.StoreConfirmed confirmed) {
+		if (confirmed.kind() == Kind.ROUTES && !isFollower()) {
+			this.localView.confirmed(confirmed.asOfNanos());
+			this.updates.ifPresent((updates) -> updates.confirmed(confirmed.asOfNanos()));
 		}
 	}
 
-	// What another entry passes on while the store does not answer this one.
-	private void news(DirectEvent.PeerNews heard, long now) {
-		List<DirectEvent> fresh = this.reading.map((all) -> all.heard(heard.peer(), heard.news(), now))
+	// Applies state updates that another entry forwards.
+	private void peerUpdate(DirectEvent.PeerNews received, long now) {
+		List<DirectEvent> applied = this.storeReading
+			.map((reading) -> reading.heard(received.peer(), received.news(), now))
 			.orElse(List.of());
-		if (!fresh.isEmpty()) {
+		if (!applied.isEmpty()) {
 			this.dispatcher.store(true, now);
 		}
-		for (DirectEvent one : fresh) {
+		for (DirectEvent one : applied) {
 			switch (one) {
-				case DirectEvent.AllObjects every -> this.beliefs.all(every.kind(), every.items(), now);
-				case DirectEvent.ObjectChanged change -> this.beliefs.changed(change.kind(), change.change(), now);
-				default -> throw new IllegalStateException("not from the store: " + one);
+				case DirectEvent.AllObjects listed -> this.localView.all(listed.kind(), listed.items(), now);
+				case DirectEvent.ObjectChanged change -> this.localView.changed(change.kind(), change.change(), now);
+				default -> throw new IllegalStateException("unexpected event from the store: " + one);
 			}
 		}
-		this.news.map(SiteNews::asOfNanos).orElse(OptionalLong.empty()).ifPresent(this.beliefs::confirmed);
+		this.updates.map(SiteNews::asOfNanos).orElse(OptionalLong.empty()).ifPresent(this.localView::confirmed);
 	}
 
-	// What others say, and what they are told.
+	// Events from peers and agents, and reports to them.
 
 	private void peerLink(String peer, boolean up, long now) {
 		this.roster.linked(peer, up, now);
 		this.announcer.changed();
 		if (up) {
-			this.announcer.linked(peer, this.beliefs.table());
-			this.reports.ifPresent(LoadReports::again);
+			this.announcer.linked(peer, this.localView.table());
+			this.loadReports.ifPresent(LoadReports::again);
 		}
 		else {
 			this.dispatcher.peerGone(peer);
@@ -294,9 +299,9 @@
 		}
 	}
 
-	private void peerMet(String peer) {
+	private void peerIdentified(String peer) {
 		this.announcer.met(peer);
-		this.news.ifPresent((passed) -> passed.linked(peer));
+		this.updates.ifPresent((updates) -> updates.linked(peer));
 	}
 
 	private void peerLoads(String peer, LoadReport report, long now) {
@@ -304,41 +309,44 @@
 		report.getLoadsList().forEach((load) -> this.dispatcher.peerLoad(peer, LoadFrames.read(load), now));
 	}
 
-	private void agentSays(EngineState says, long now) {
-		this.log.decision("agent-says", "address", says.getAddress(), "version", says.getVersion(), "switching",
-				says.getSwitching(), "closesInMs", says.getClosesInMillis());
-		this.dispatcher.agentSays(says.getAddress(), EngineFrames.read(says, now), now);
+	private void engineStatus(EngineState status, long now) {
+		this.log.decision("agent-says", "address", status.getAddress(), "version", status.getVersion(), "switching",
+				status.getSwitching(), "closesInMs", status.getClosesInMillis());
+		this.dispatcher.agentSays(status.getAddress(), EngineFrames.read(status, now), now);
 	}
 
 	private void tick(long now) {
 		this.ticks++;
 		this.dispatcher.tick(now);
-		this.announcer.tick(this.beliefs.table(), now);
-		this.reports.ifPresent((due) -> due.tick(this.ticks, now, this.roster::told, this.dispatcher.fleet()::ownLoad));
-		this.places.ifPresent((due) -> due.tick(this.ticks, now));
-		if (this.ticks % TICKS_PER_NEWS == 0) {
+		this.announcer.tick(this.localView.table(), now);
+		this.loadReports
+			.ifPresent((reports) -> reports.tick(this.ticks, now, this.roster::told, this.dispatcher.fleet()::ownLoad));
+		this.failureDomainUpdates.ifPresent((domains) -> domains.tick(this.ticks, now));
+		if (this.ticks % TICKS_PER_UPDATE == 0) {
 			this.dispatcher.entries(this.roster.count());
-			this.news.ifPresent((passed) -> passed.tick(this.roster.distances(this.mesh.orElseThrow().entries()), now));
-			this.reading.ifPresent((all) -> all.tick(this.roster.sharingReader(), this.beliefs.whole(), now));
+			this.updates
+				.ifPresent((updates) -> updates.tick(this.roster.distances(this.peers.orElseThrow().entries()), now));
+			this.storeReading
+				.ifPresent((reading) -> reading.tick(this.roster.sharingReader(), this.localView.whole(), now));
 		}
 		if (this.ticks % TICKS_PER_ECHO == 0) {
-			askForEchoes(now);
+			requestEchoes(now);
 		}
 		register(now);
 	}
 
-	private void askForEchoes(long now) {
-		Frame ask = Frame.newBuilder().setEchoRequest(EchoRequest.newBuilder().setStamp(now)).build();
+	private void requestEchoes(long now) {
+		Frame echoRequest = Frame.newBuilder().setEchoRequest(EchoRequest.newBuilder().setStamp(now)).build();
 		this.dispatcher.ways()
 			.changes(now)
-			.forEach((way) -> this.log.decision("way", "address", way.address(), "closed", way.closed()));
+			.forEach((path) -> this.log.decision("way", "address", path.address(), "closed", path.closed()));
 		this.dispatcher.ways()
 			.toAsk(now)
-			.forEach((address) -> this.mesh.ifPresent((links) -> links.send(address, ask)));
+			.forEach((address) -> this.peers.ifPresent((sender) -> sender.send(address, echoRequest)));
 	}
 
 	private void register(long now) {
-		if (this.store.isEmpty() || this.departure.leaving()) {
+		if (this.store.isEmpty() || this.shutdown.leaving()) {
 			return;
 		}
 		if (ready() && !this.registering && !this.roster.selfRegistered() && this.ticks % 25 == 1) {
@@ -354,32 +362,32 @@
 	}
 
 	private void leave(long now) {
-		if (this.departure.leaving()) {
+		if (this.shutdown.leaving()) {
 			return;
 		}
-		this.departure.leave(now);
+		this.shutdown.begin(now);
 		this.log.decision("leaving", "inProgress", this.dispatcher.inProgress());
 		this.announcer.leaving();
 	}
 
-	// What is done.
+	// Effects.
 
-	private void carryOut() {
+	private void applyEffects() {
 		for (DispatchEffect effect : this.dispatcher.drain()) {
 			DirectCall call = this.calls.get(effect.job().id());
 			if (call != null) {
-				carryOut(effect, call);
+				applyEffects(effect, call);
 			}
 		}
 	}
 
-	private void carryOut(DispatchEffect effect, DirectCall call) {
+	private void applyEffects(DispatchEffect effect, DirectCall call) {
 		switch (effect) {
 			case DispatchEffect.Send send -> {
 				this.log.decision("dispatched", "attempt", send.job().attempt(), "dispatch", send.job().dispatch(),
 						"route", send.job().route().name(), "runner", send.runner().id(), "address",
 						send.runner().address(), "rank", send.rank(), "version", send.weightsVersion(), "table",
-						this.beliefs.version(), "prompt", send.job().size().promptTokens(), "answer",
+						this.localView.version(), "prompt", send.job().size().promptTokens(), "answer",
 						send.job().size().answerTokens(), "predictedMs", Math.round(send.job().predictedMillis()),
 						"tries", send.tries());
 				this.metrics.dispatched();
@@ -392,7 +400,7 @@
 						TimeUnit.NANOSECONDS.toMillis(now() - refuse.job().arrivedNanos()));
 				this.metrics.answered("refused", refuse.code().name());
 				this.output.refuse(call, refuse.code(), refuse.retryAfterMillis());
-				tellRefused(refuse.job());
+				reportRefused(refuse.job());
 				this.calls.remove(refuse.job().id());
 			}
 			case DispatchEffect.Fail fail -> {
@@ -400,30 +408,30 @@
 						fail.job().events());
 				this.metrics.answered("failed", fail.code().name());
 				this.output.fail(call, fail.code(), fail.timeout());
-				tellRefused(fail.job());
+				reportRefused(fail.job());
 				this.calls.remove(fail.job().id());
 			}
 			case DispatchEffect.PassOn passOn -> {
 				this.log.failure("passed-on", "attempt", passOn.job().attempt());
-				this.output.passOn(call);
+				this.output.forwardRunnerFailure(call);
 				this.calls.remove(passOn.job().id());
 			}
 		}
 	}
 
-	private void tellRefused(Job job) {
-		this.reports.ifPresent((due) -> job.refused().ifPresent(due::refused));
+	private void reportRefused(Job job) {
+		this.loadReports.ifPresent((reports) -> job.refused().ifPresent(reports::refused));
 	}
 
 	private boolean ready() {
-		return this.beliefs.complete() && !this.departure.leaving();
+		return this.localView.complete() && !this.shutdown.leaving();
 	}
 
 	private void publish() {
-		this.view.publish(ready(), this.departure.leaving(), this.roster.ready(ready()), this.roster.byPlace(),
-				this.beliefs.table().map(RouteTable::limits),
-				this.beliefs.rejectionPermit(now(), this.clock.dayMillis().getAsLong()),
-				this.departure.over(this.dispatcher.inProgress(), now()));
+		this.view.publish(ready(), this.shutdown.leaving(), this.roster.ready(ready()), this.roster.byPlace(),
+				this.localView.table().map(RouteTable::limits),
+				this.localView.rejectionPermit(now(), this.clocks.wallMillis().getAsLong()),
+				this.shutdown.mayExit(this.dispatcher.inProgress(), now()));
 	}
 
 }
--- a/entry/src/main/java/org/wisteriapost/entry/direct/DirectView.java
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/DirectView.java
@@ -11,42 +11,43 @@
 import org.wisteriapost.policy.routing.RejectionPermit;
 
 /**
- * What the state thread lets other threads see, and the way to it.
+ * The state that the state thread publishes to other threads, and access to its event
+ * loop.
  */
-final class DirectView implements DirectPort {
+final class DirectView implements EntryHandle {
 
-	private static final Snapshot NOTHING = new Snapshot(false, false, List.of(), false, Optional.empty(),
+	private static final Snapshot INITIAL = new Snapshot(false, false, List.of(), false, Optional.empty(),
 			RejectionPermit.NONE);
 
-	private final CompletableFuture<Void> over = new CompletableFuture<>();
+	private final CompletableFuture<Void> termination = new CompletableFuture<>();
 
-	private volatile Snapshot snapshot = NOTHING;
+	private volatile Snapshot snapshot = INITIAL;
 
-	private final DirectClock clock;
+	private final EntryClocks clocks;
 
 	private volatile EventLoop<DirectEvent> loop;
 
-	DirectView(DirectClock clock) {
-		this.clock = clock;
+	DirectView(EntryClocks clocks) {
+		this.clocks = clocks;
 	}
 
 	void loop(EventLoop<DirectEvent> to) {
 		this.loop = to;
 	}
 
-	void publish(boolean ready, boolean leaving, List<EntryInfo> entries, boolean byPlace, Optional<CallLimits> limits,
-			RejectionPermit rejections, boolean ended) {
-		this.snapshot = new Snapshot(ready, leaving, entries, byPlace, limits, rejections);
-		if (ended) {
-			this.over.complete(null);
+	void publish(boolean ready, boolean leaving, List<EntryInfo> entries, boolean scopedByFailureDomain,
+			Optional<CallLimits> limits, RejectionPermit rejectionPermit, boolean mayExit) {
+		this.snapshot = new Snapshot(ready, leaving, entries, scopedByFailureDomain, limits, rejectionPermit);
+		if (mayExit) {
+			this.termination.complete(null);
 		}
 	}
 
 	/**
-	 * Returns what completes when the entry has left.
+	 * Returns a future that completes when the process may exit.
 	 */
-	CompletableFuture<Void> over() {
-		return this.over;
+	CompletableFuture<Void> termination() {
+		return this.termination;
 	}
 
 	@Override
@@ -70,9 +71,12 @@
 	}
 
 	@Override
-	public List<String> addresses(Optional<String> place) {
-		Snapshot now = this.snapshot;
-		return CallerEntries.choose(now.entries(), place, now.byPlace()).stream().map(EntryInfo::front).toList();
+	public List<String> addresses(Optional<String> failureDomain) {
+		Snapshot current = this.snapshot;
+		return CallerEntries.choose(current.entries(), failureDomain, current.scopedByFailureDomain())
+			.stream()
+			.map(EntryInfo::front)
+			.toList();
 	}
 
 	@Override
@@ -82,11 +86,12 @@
 
 	@Override
 	public boolean mayReject() {
-		return this.snapshot.rejections().allows(this.clock.nanos().getAsLong(), this.clock.dayMillis().getAsLong());
+		return this.snapshot.rejectionPermit()
+			.allows(this.clocks.monotonicNanos().getAsLong(), this.clocks.wallMillis().getAsLong());
 	}
 
-	private record Snapshot(boolean ready, boolean leaving, List<EntryInfo> entries, boolean byPlace,
-			Optional<CallLimits> limits, RejectionPermit rejections) {
+	private record Snapshot(boolean ready, boolean leaving, List<EntryInfo> entries, boolean scopedByFailureDomain,
+			Optional<CallLimits> limits, RejectionPermit rejectionPermit) {
 	}
 
 }
--- /dev/null
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/EntryHandle.java
@@ -0,0 +1,50 @@
+package org.wisteriapost.entry.direct;
+
+import java.util.List;
+import java.util.Optional;
+
+import org.wisteriapost.policy.routing.CallLimits;
+
+/**
+ * The HTTP server's access to the entry: published state and an event queue. Thread-safe.
+ */
+interface EntryHandle {
+
+	/**
+	 * Enqueues an event; returns false when the queue is full.
+	 */
+	boolean offer(DirectEvent event);
+
+	/**
+	 * Enqueues an event that must not be dropped.
+	 */
+	void put(DirectEvent event);
+
+	/**
+	 * Returns whether the entry can serve requests.
+	 */
+	boolean ready();
+
+	/**
+	 * Returns whether the entry is shutting down.
+	 */
+	boolean leaving();
+
+	/**
+	 * Returns the addresses of ready entries, {@code IP:PORT}.
+	 * @param failureDomain the caller's failure domain, if given
+	 */
+	List<String> addresses(Optional<String> failureDomain);
+
+	/**
+	 * Returns the declared limits of requests, once known.
+	 */
+	Optional<CallLimits> limits();
+
+	/**
+	 * Returns whether the declared routes and limits were confirmed recently enough to
+	 * reject a request by them.
+	 */
+	boolean mayReject();
+
+}
--- a/entry/src/main/java/org/wisteriapost/entry/direct/EventSplitter.java
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/EventSplitter.java
@@ -6,68 +6,71 @@
 import java.util.Optional;
 
 /**
- * Cuts a stream of server-sent events after whole events.
+ * Splits a stream of server-sent events at event boundaries.
  *
- * A runner that fails stops anywhere. Were half of an event passed on, the run that goes
- * on elsewhere would be joined to it and the caller would read one event made of two.
+ * A failing runner may break off within an event. If the partial event were forwarded,
+ * the output of the runner that resumes the stream would be appended to it and corrupt
+ * the event.
  */
 final class EventSplitter {
 
-	private static final byte[] NONE = new byte[0];
+	private static final byte[] EMPTY = new byte[0];
 
-	private static final byte[] ID = "id:".getBytes(StandardCharsets.US_ASCII);
+	private static final byte[] ID_FIELD = "id:".getBytes(StandardCharsets.US_ASCII);
 
-	private final ByteArrayOutputStream rest = new ByteArrayOutputStream();
+	private final ByteArrayOutputStream remainder = new ByteArrayOutputStream();
 
-	private int events;
+	private int eventCount;
 
-	private Optional<String> lastId = Optional.empty();
+	private Optional<String> lastEventId = Optional.empty();
 
 	/**
-	 * Takes bytes and returns those up to the end of the last whole event.
+	 * Appends received bytes and returns everything up to the end of the last complete
+	 * event.
 	 */
-	byte[] whole(byte[] data) {
-		this.rest.writeBytes(data);
-		byte[] all = this.rest.toByteArray();
-		this.events = 0;
+	byte[] completeEvents(byte[] data) {
+		this.remainder.writeBytes(data);
+		byte[] all = this.remainder.toByteArray();
+		this.eventCount = 0;
 		int start = 0;
-		int end = next(all, start);
+		int end = endOfEvent(all, start);
 		while (end > 0) {
-			event(all, start, end);
+			parseEvent(all, start, end);
 			start = end;
-			end = next(all, start);
+			end = endOfEvent(all, start);
 		}
 		if (start == 0) {
-			return NONE;
+			return EMPTY;
 		}
-		this.rest.reset();
-		this.rest.write(all, start, all.length - start);
+		this.remainder.reset();
+		this.remainder.write(all, start, all.length - start);
 		return Arrays.copyOf(all, start);
 	}
 
 	/**
-	 * Returns what came after the last whole event.
+	 * Returns the bytes after the last complete event.
 	 */
-	byte[] rest() {
-		return this.rest.toByteArray();
+	byte[] remainder() {
+		return this.remainder.toByteArray();
 	}
 
 	/**
-	 * Returns how many events the last call returned.
+	 * Returns the number of events that the last call of {@link #completeEvents}
+	 * returned.
 	 */
-	int events() {
-		return this.events;
+	int eventCount() {
+		return this.eventCount;
 	}
 
 	/**
-	 * Returns the id of the last event, of all that came so far.
+	 * Returns the id of the most recent complete event that had one.
 	 */
-	Optional<String> lastId() {
-		return this.lastId;
+	Optional<String> lastEventId() {
+		return this.lastEventId;
 	}
 
-	// An event ends with an empty line; lines end with LF or CR LF.
-	private static int next(byte[] all, int from) {
+	// An event ends with an empty line; lines end with LF or CRLF.
+	private static int endOfEvent(byte[] all, int from) {
 		for (int i = from; i + 1 < all.length; i++) {
 			if (all[i] != '\n') {
 				continue;
@@ -82,15 +85,15 @@
 		return -1;
 	}
 
-	// Some hundred times a second, so only the line of the id becomes a string.
-	private void event(byte[] all, int start, int end) {
-		this.events++;
+	// Called some hundred times a second, so only the id line is decoded to a string.
+	private void parseEvent(byte[] all, int start, int end) {
+		this.eventCount++;
 		int line = start;
 		for (int i = start; i < end; i++) {
 			if (all[i] == '\n') {
 				if (startsWithId(all, line, i)) {
-					int from = line + ID.length;
-					this.lastId = Optional.of(new String(all, from, i - from, StandardCharsets.UTF_8).trim());
+					int from = line + ID_FIELD.length;
+					this.lastEventId = Optional.of(new String(all, from, i - from, StandardCharsets.UTF_8).trim());
 				}
 				line = i + 1;
 			}
@@ -98,7 +101,8 @@
 	}
 
 	private static boolean startsWithId(byte[] all, int from, int to) {
-		return to - from >= ID.length && Arrays.equals(all, from, from + ID.length, ID, 0, ID.length);
+		return to - from >= ID_FIELD.length
+				&& Arrays.equals(all, from, from + ID_FIELD.length, ID_FIELD, 0, ID_FIELD.length);
 	}
 
 }
--- a/entry/src/main/java/org/wisteriapost/entry/direct/HopHeaders.java
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/HopByHopHeaders.java
@@ -6,15 +6,15 @@
 import java.util.Set;
 
 /**
- * The headers that concern one connection only and are not handed on.
+ * HTTP headers that apply to a single connection and are not forwarded.
  */
-final class HopHeaders {
+final class HopByHopHeaders {
 
 	private static final Set<String> NAMES = Set.of("connection", "keep-alive", "proxy-connection",
 			"proxy-authenticate", "proxy-authorization", "te", "trailer", "transfer-encoding", "upgrade",
 			"content-length", "expect");
 
-	private HopHeaders() {
+	private HopByHopHeaders() {
 	}
 
 	static boolean contains(String lowerCaseName) {
@@ -22,9 +22,9 @@
 	}
 
 	/**
-	 * Returns the lower-case names that a Connection header lists.
+	 * Returns the header names that Connection headers list, in lower case.
 	 */
-	static List<String> listed(Iterable<String> connection) {
+	static List<String> connectionOptions(Iterable<String> connection) {
 		List<String> names = new ArrayList<>();
 		connection.forEach((value) -> {
 			for (String name : value.split(",")) {
--- a/entry/src/main/java/org/wisteriapost/entry/direct/Intake.java
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/Intake.java
@@ -13,11 +13,11 @@
 import org.wisteriapost.policy.routing.RouteTable;
 
 /**
- * Takes a request up by the declared routes, or answers it at once. Used by the state
- * thread alone.
+ * Admits requests by the declared routes and organisations, or answers them at once. Used
+ * by the state thread only.
  *
- * What is wrong by a table that may be old is refused as not run, not rejected: see
- * {@link org.wisteriapost.policy.routing.RejectionGuard}.
+ * A request that is invalid by a route table that may be stale is refused as not run
+ * rather than rejected: see {@link org.wisteriapost.policy.routing.RejectionGuard}.
  */
 final class Intake {
 
@@ -38,12 +38,12 @@
 
 	private static final long SHORT_RETRY_MILLIS = 300;
 
-	// Another entry answers now; there is nothing to wait for.
-	private static final long AT_ONCE_MILLIS = 20;
+	// Another entry can answer at once, so the caller need not wait.
+	private static final long IMMEDIATE_RETRY_MILLIS = 20;
 
-	private final SiteBeliefs beliefs;
+	private final SiteBeliefs localView;
 
-	private final Departure departure;
+	private final GracefulShutdown shutdown;
 
 	private final CallOutput output;
 
@@ -53,75 +53,75 @@
 
 	private final UniformRandomProvider random;
 
-	private final BooleanSupplier rests;
+	private final BooleanSupplier follower;
 
 	/**
-	 * Returns the intake of one entry.
-	 * @param rests whether the entry hears the store from a neighbour, for the log
+	 * Creates the admission of one entry.
+	 * @param follower whether the entry receives its state from a leader, for the log
 	 */
-	Intake(SiteBeliefs beliefs, Departure departure, CallOutput output, DecisionLog log, DirectMetrics metrics,
-			UniformRandomProvider random, BooleanSupplier rests) {
-		this.beliefs = beliefs;
-		this.departure = departure;
+	Intake(SiteBeliefs localView, GracefulShutdown shutdown, CallOutput output, DecisionLog log, DirectMetrics metrics,
+			UniformRandomProvider random, BooleanSupplier follower) {
+		this.localView = localView;
+		this.shutdown = shutdown;
 		this.output = output;
 		this.log = log;
 		this.metrics = metrics;
 		this.random = random;
-		this.rests = rests;
+		this.follower = follower;
 	}
 
 	/**
-	 * Returns the request to be dispatched; empty when it was answered.
+	 * Returns the job to dispatch, or empty if the request was answered.
 	 */
-	Optional<Job> admit(Arrival arrival, long now) {
-		this.departure.arrived(now);
-		if (this.beliefs.table().isEmpty()) {
-			return refuse(arrival, TABLE_ABSENT, SHORT_RETRY_MILLIS, now);
+	Optional<Job> admit(IncomingRequest request, long now) {
+		this.shutdown.requestArrived(now);
+		if (this.localView.table().isEmpty()) {
+			return refuse(request, TABLE_ABSENT, SHORT_RETRY_MILLIS, now);
 		}
-		if (this.departure.refuses(now)) {
-			return refuse(arrival, ENTRY_STOPPING, AT_ONCE_MILLIS, now);
+		if (this.shutdown.refusesRequests(now)) {
+			return refuse(request, ENTRY_STOPPING, IMMEDIATE_RETRY_MILLIS, now);
 		}
-		RouteTable known = this.beliefs.table().get();
-		Optional<Route> route = known.route(arrival.host(), arrival.path());
+		RouteTable table = this.localView.table().get();
+		Optional<Route> route = table.route(request.host(), request.path());
 		if (route.isEmpty()) {
-			return reject(arrival, NOT_FOUND, ROUTE_UNKNOWN, now);
+			return reject(request, NOT_FOUND, ROUTE_UNKNOWN, now);
 		}
-		Optional<Organisation> organisation = arrival.token().flatMap(known::organisation);
-		if (organisation.isEmpty() && known.asksForTokens() && !route.get().anonymous()) {
-			return reject(arrival, UNAUTHORIZED, KEY_UNKNOWN, now);
+		Optional<Organisation> organisation = request.token().flatMap(table::organisation);
+		if (organisation.isEmpty() && table.asksForTokens() && !route.get().anonymous()) {
+			return reject(request, UNAUTHORIZED, KEY_UNKNOWN, now);
 		}
-		return Optional.of(job(arrival, route.get(), organisation));
+		return Optional.of(job(request, route.get(), organisation));
 	}
 
-	private Job job(Arrival arrival, Route route, Optional<Organisation> organisation) {
+	private Job job(IncomingRequest request, Route route, Optional<Organisation> organisation) {
 		long timeout = route.timeout().toNanos();
-		long given = arrival.fields().remainingMillis().isPresent()
-				? TimeUnit.MILLISECONDS.toNanos(arrival.fields().remainingMillis().getAsLong()) : timeout;
-		Job.Size size = new Job.Size(arrival.fields().promptTokens(), arrival.fields().maxAnswerTokens(),
-				arrival.fields().likelyAnswerTokens());
-		Job.Attempt attempt = new Job.Attempt(arrival.fields().attempt().orElseThrow(),
-				RequestNames.of(route, organisation, arrival.fields()), arrival.fields().lastEvent());
-		return Job.arrived(arrival.id(), attempt, route, route.service(this.random.nextDouble()), organisation, size,
-				arrival.nanos(), arrival.nanos() + Math.min(timeout, given));
+		long remaining = request.fields().remainingMillis().isPresent()
+				? TimeUnit.MILLISECONDS.toNanos(request.fields().remainingMillis().getAsLong()) : timeout;
+		Job.Size size = new Job.Size(request.fields().promptTokens(), request.fields().maxAnswerTokens(),
+				request.fields().likelyAnswerTokens());
+		Job.Attempt attempt = new Job.Attempt(request.fields().attempt().orElseThrow(),
+				RequestFingerprint.of(route, organisation, request.fields()), request.fields().lastEvent());
+		return Job.arrived(request.id(), attempt, route, route.service(this.random.nextDouble()), organisation, size,
+				request.arrivedNanos(), request.arrivedNanos() + Math.min(timeout, remaining));
 	}
 
-	private Optional<Job> refuse(Arrival arrival, Code code, long retryAfterMillis, long now) {
-		this.log.failure("refused", "attempt", arrival.fields().attempt().orElse(""), "code", code.name(), "table",
-				this.beliefs.version(), "tableAgeMs", this.beliefs.tableAgeMillis(now).orElse(-1));
+	private Optional<Job> refuse(IncomingRequest request, Code code, long retryAfterMillis, long now) {
+		this.log.failure("refused", "attempt", request.fields().attempt().orElse(""), "code", code.name(), "table",
+				this.localView.version(), "tableAgeMs", this.localView.tableAgeMillis(now).orElse(-1));
 		this.metrics.answered("refused", code.name());
-		this.output.refuse(arrival, code, retryAfterMillis);
+		this.output.refuse(request, code, retryAfterMillis);
 		return Optional.empty();
 	}
 
-	private Optional<Job> reject(Arrival arrival, int status, Code code, long now) {
-		if (!this.beliefs.mayReject(now)) {
-			return refuse(arrival, TABLE_DOUBTFUL, SHORT_RETRY_MILLIS, now);
+	private Optional<Job> reject(IncomingRequest request, int status, Code code, long now) {
+		if (!this.localView.mayReject(now)) {
+			return refuse(request, TABLE_DOUBTFUL, SHORT_RETRY_MILLIS, now);
 		}
-		this.log.failure("rejected", "attempt", arrival.fields().attempt().orElse(""), "code", code.name(), "host",
-				arrival.host(), "path", arrival.path(), "table", this.beliefs.version(), "tableAgeMs",
-				this.beliefs.tableAgeMillis(now).orElse(-1), "rests", this.rests.getAsBoolean());
+		this.log.failure("rejected", "attempt", request.fields().attempt().orElse(""), "code", code.name(), "host",
+				request.host(), "path", request.path(), "table", this.localView.version(), "tableAgeMs",
+				this.localView.tableAgeMillis(now).orElse(-1), "rests", this.follower.getAsBoolean());
 		this.metrics.answered("rejected", code.name());
-		this.output.reject(arrival, status, code);
+		this.output.reject(request, status, code);
 		return Optional.empty();
 	}
 
--- a/entry/src/main/java/org/wisteriapost/entry/direct/RequestNames.java
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/RequestFingerprint.java
@@ -9,15 +9,16 @@
 import org.wisteriapost.protocol.site.CallerFields;
 
 /**
- * Names a request so that all of its attempts have the same name, and others hardly ever.
+ * Computes a hash that is the same for all attempts of a request and, but for hash
+ * collisions, differs between requests.
  */
-final class RequestNames {
+final class RequestFingerprint {
 
-	private RequestNames() {
+	private RequestFingerprint() {
 	}
 
 	/**
-	 * Returns the name; empty when the caller says nothing of what it asks.
+	 * Returns the fingerprint, or empty if the caller does not describe the prompt.
 	 */
 	static OptionalLong of(Route route, Optional<Organisation> organisation, CallerFields fields) {
 		if (fields.prompt().isEmpty()) {
--- a/entry/src/main/java/org/wisteriapost/entry/direct/Relay.java
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/ResponseForwarder.java
@@ -14,18 +14,19 @@
 import org.wisteriapost.protocol.site.RunnerReply;
 
 /**
- * Passes one runner's answer on to one caller. Runs on the I/O thread.
+ * Forwards a runner's response to the caller. Runs on the I/O thread.
  *
- * A plain answer is held until it is whole, so that one that breaks off can be asked for
- * elsewhere. Of a stream, whole events go out as they come.
+ * A plain response is buffered until it is complete, so that the request can be retried
+ * on another runner if the response breaks off. The complete events of a stream are
+ * forwarded as they arrive.
  */
-final class Relay implements HttpListener {
+final class ResponseForwarder implements HttpListener {
 
 	private static final int SUCCESS = 200;
 
 	private static final int SERVER_ERROR = 500;
 
-	private static final int MAX_HELD_BYTES = 16 << 20;
+	private static final int MAX_BUFFERED_BYTES = 16 << 20;
 
 	private final DirectCall call;
 
@@ -47,26 +48,26 @@
 
 	private boolean streaming;
 
-	private boolean over;
+	private boolean finished;
 
-	private boolean saidFirst;
+	private boolean firstEventReported;
 
-	Relay(DirectCall call, int dispatch, CallDialect dialect, Consumer<DirectEvent> events) {
+	ResponseForwarder(DirectCall call, int dispatch, CallDialect dialect, Consumer<DirectEvent> events) {
 		this.call = call;
 		this.dispatch = dispatch;
 		this.dialect = dialect;
 		this.events = events;
 	}
 
-	void started(HttpExchange started) {
+	void exchangeStarted(HttpExchange started) {
 		this.exchange = started;
 	}
 
 	/**
-	 * Closes the connection to the runner; nothing more is passed on or told.
+	 * Closes the connection to the runner; nothing more is forwarded or reported.
 	 */
 	void cancel() {
-		this.over = true;
+		this.finished = true;
 		if (this.exchange != null) {
 			this.exchange.cancel();
 		}
@@ -74,23 +75,24 @@
 
 	@Override
 	public void onConnected() {
-		if (!this.over) {
-			this.events.accept(new DirectEvent.Connected(this.call, this.dispatch));
+		if (!this.finished) {
+			this.events.accept(new DirectEvent.RunnerConnected(this.call, this.dispatch));
 		}
 	}
 
 	@Override
 	public void onHead(int code, Map<String, String> first) {
-		throw new IllegalStateException("all headers are asked for");
+		throw new IllegalStateException("only the variant with all headers is expected");
 	}
 
 	@Override
 	public void onHead(int code, Map<String, String> first, List<Map.Entry<String, String>> all) {
-		if (this.over) {
+		if (this.finished) {
 			return;
 		}
 		RunnerReply reply = this.dialect.reply(code, first);
-		// An extra answer of an earlier request can stand where this one's is expected.
+		// On a reused connection a surplus response to an earlier request can arrive
+		// first.
 		if (reply.attempt().isEmpty() || !reply.attempt().get().equals(this.call.job().attempt())) {
 			end(Outcome.BROKEN, "answer of another attempt: " + reply.attempt().orElse("none") + " status " + code);
 			cancel();
@@ -101,14 +103,14 @@
 			end(reply.otherInstance() ? Outcome.MISDIRECTED : Outcome.FULL, "status " + code);
 			return;
 		}
-		this.headers = handedOn(all);
+		this.headers = endToEndHeaders(all);
 		String type = first.getOrDefault("content-type", "");
 		this.streaming = code == SUCCESS && type.startsWith("text/event-stream");
-		if (!this.call.begun()) {
+		if (!this.call.headSent()) {
 			this.call.job().begunOn(reply.weightsVersion());
 		}
 		else if (!this.streaming) {
-			// A stream that has begun cannot end with an answer of another shape.
+			// A stream that was begun cannot be continued by a plain response.
 			end(Outcome.BROKEN, "no stream on resuming: status " + code);
 			cancel();
 		}
@@ -116,102 +118,103 @@
 
 	@Override
 	public void onData(byte[] data) {
-		if (this.over) {
+		if (this.finished) {
 			return;
 		}
 		if (!this.streaming) {
-			hold(data);
+			buffer(data);
 			return;
 		}
-		byte[] whole = this.splitter.whole(data);
+		byte[] whole = this.splitter.completeEvents(data);
 		if (whole.length > 0) {
-			pass(whole);
+			forward(whole);
 		}
 	}
 
 	@Override
 	public void onEnd() {
-		if (this.over) {
+		if (this.finished) {
 			return;
 		}
 		if (this.streaming) {
 			endStream();
 			return;
 		}
-		DirectCall.Held whole = new DirectCall.Held(this.status, this.headers, this.body.toByteArray());
+		DirectCall.RunnerResponse whole = new DirectCall.RunnerResponse(this.status, this.headers,
+				this.body.toByteArray());
 		if (this.status >= SERVER_ERROR) {
-			this.call.hold(whole);
+			this.call.holdResponse(whole);
 			end(Outcome.ERROR, "status " + this.status);
 			return;
 		}
-		this.call.completed();
+		this.call.markComplete();
 		this.call.answer().whole(whole.status(), whole.headers(), "", whole.body());
 		end(Outcome.DONE, "status " + this.status);
 	}
 
 	@Override
 	public void onFailure(boolean sent, Throwable cause) {
-		if (!this.over) {
+		if (!this.finished) {
 			end(sent ? Outcome.BROKEN : Outcome.NOT_SENT, String.valueOf(cause.getMessage()));
 		}
 	}
 
-	private void hold(byte[] data) {
-		if (this.body.size() + data.length > MAX_HELD_BYTES) {
-			end(Outcome.BROKEN, "answer over " + MAX_HELD_BYTES + " bytes");
+	private void buffer(byte[] data) {
+		if (this.body.size() + data.length > MAX_BUFFERED_BYTES) {
+			end(Outcome.BROKEN, "answer over " + MAX_BUFFERED_BYTES + " bytes");
 			cancel();
 			return;
 		}
 		this.body.writeBytes(data);
 	}
 
-	private void pass(byte[] whole) {
-		begin();
-		this.call.job().progressed(this.splitter.events(), this.splitter.lastId(), System.nanoTime());
+	private void forward(byte[] whole) {
+		startResponse();
+		this.call.job().progressed(this.splitter.eventCount(), this.splitter.lastEventId(), System.nanoTime());
 		if (!this.call.answer().data(whole)) {
 			end(Outcome.BROKEN, "the caller does not read");
 			cancel();
 			return;
 		}
-		if (!this.saidFirst) {
-			this.saidFirst = true;
-			this.events.accept(new DirectEvent.FirstEvent(this.call, this.dispatch));
+		if (!this.firstEventReported) {
+			this.firstEventReported = true;
+			this.events.accept(new DirectEvent.FirstEventForwarded(this.call, this.dispatch));
 		}
 	}
 
 	private void endStream() {
-		byte[] rest = this.splitter.rest();
+		byte[] rest = this.splitter.remainder();
 		if (rest.length > 0) {
 			end(Outcome.BROKEN, "the stream ended within an event");
 			return;
 		}
-		begin();
-		this.call.completed();
+		startResponse();
+		this.call.markComplete();
 		this.call.answer().end();
 		end(Outcome.DONE, "status " + this.status);
 	}
 
-	private void begin() {
-		if (!this.call.begun()) {
-			this.call.begin();
+	private void startResponse() {
+		if (!this.call.headSent()) {
+			this.call.markHeadSent();
 			this.call.answer().start(this.status, this.headers, "");
 		}
 	}
 
 	private void end(Outcome outcome, String detail) {
-		this.over = true;
-		this.events.accept(new DirectEvent.Ended(this.call, this.dispatch, outcome, detail));
+		this.finished = true;
+		this.events.accept(new DirectEvent.DispatchEnded(this.call, this.dispatch, outcome, detail));
 	}
 
-	private static List<Map.Entry<String, String>> handedOn(List<Map.Entry<String, String>> all) {
+	private static List<Map.Entry<String, String>> endToEndHeaders(List<Map.Entry<String, String>> all) {
 		List<String> connection = all.stream()
 			.filter((header) -> header.getKey().equalsIgnoreCase("connection"))
 			.map(Map.Entry::getValue)
 			.toList();
-		List<String> listed = HopHeaders.listed(connection);
+		List<String> connectionOptions = HopByHopHeaders.connectionOptions(connection);
 		List<Map.Entry<String, String>> kept = new ArrayList<>();
 		all.forEach((header) -> {
-			if (Arrival.endToEnd(header.getKey().toLowerCase(Locale.ROOT), listed)) {
+			if (IncomingRequest.isEndToEnd(header.getKey().toLowerCase(Locale.ROOT), connectionOptions)) {
 				kept.add(header);
 			}
 		});
--- a/entry/src/main/java/org/wisteriapost/entry/direct/package-info.java
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/package-info.java
@@ -1,5 +1,5 @@
 /**
- * An entry that sends requests to runners itself: the site's store tells it routes,
- * runners and entries, agents tell it what weights their engines hold.
+ * An entry that dispatches requests directly to runners. It reads routes, runners and
+ * entries from the site's store, and agents report which weights their engines hold.
  */
 package org.wisteriapost.entry.direct;
--- a/entry/src/test/java/org/wisteriapost/entry/direct/DirectFrontTests.java
+++ b/entry/src/test/java/org/wisteriapost/entry/direct/DirectHttpServerTests.java
@@ -35,10 +35,10 @@
 import static org.hamcrest.MatcherAssert.assertThat;
 
 /**
- * A caller whose request is larger than what is declared is told so for good. By a limit
- * that may be old it is refused as not run instead: the limit may have been raised.
+ * An oversized request is rejected only by a recently confirmed limit. By a limit that
+ * may be stale it is refused as not run, since the limit may have been raised.
  */
-class DirectFrontTests {
+class DirectHttpServerTests {
 
 	private static final CallLimits SMALL = limits(100);
 
@@ -46,13 +46,14 @@
 
 	private final HttpCaller caller = HttpCaller.create(1);
 
-	private final Port port = new Port();
+	private final FakeEntry entry = new FakeEntry();
 
-	private final DirectFront front = DirectFront.start(settings(), new Plain(), this.caller.worker(), this.port);
+	private final DirectHttpServer server = DirectHttpServer.start(settings(), new MinimalDialect(),
+			this.caller.worker(), this.entry);
 
 	@AfterEach
 	void stop() {
-		this.front.close();
+		this.server.close();
 		this.caller.close();
 	}
 
@@ -67,10 +68,10 @@
 						0.2, 100, Duration.ofSeconds(10), Duration.ofSeconds(3)));
 	}
 
-	// Written by hand: a client that sends a large body finds the connection reset while
-	// it does and may never see the answer.
+	// Uses a plain socket: an HTTP client that is still sending a large body may see a
+	// connection reset instead of the answer.
 	private Answer post(String headers, String body) throws IOException {
-		try (Socket socket = new Socket("127.0.0.1", this.front.ports().getFirst())) {
+		try (Socket socket = new Socket("127.0.0.1", this.server.ports().getFirst())) {
 			String request = "POST /x/ HTTP/1.1\r\nHost: desk.example\r\n" + headers + "\r\n\r\n" + body;
 			socket.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
 			BufferedReader reader = new BufferedReader(
@@ -90,61 +91,61 @@
 		}
 	}
 
-	private Answer streamed(int bytes) throws IOException {
+	private Answer postChunked(int bytes) throws IOException {
 		return post("Transfer-Encoding: chunked",
 				Integer.toHexString(bytes) + "\r\n" + "x".repeat(bytes) + "\r\n0\r\n\r\n");
 	}
 
-	private Answer announced(int bytes) throws IOException {
+	private Answer postContentLength(int bytes) throws IOException {
 		return post("Content-Length: " + bytes, "");
 	}
 
 	@ParameterizedTest
 	@CsvSource({ "HEAD,true,431", "HEAD,false,503", "BODY,true,413", "BODY,false,503", "STREAMED,true,413",
 			"STREAMED,false,503" })
-	void whatIsTooLargeIsRejectedOnlyByAYoungLimit(Large large, boolean young, int status) throws IOException {
-		this.port.limits.add(SMALL);
-		this.port.mayReject = young;
-		Answer answer = switch (large) {
+	void oversizedRequestIsRejectedOnlyByARecentLimit(OversizedPart oversized, boolean recent, int status)
+			throws IOException {
+		this.entry.limits.add(SMALL);
+		this.entry.mayReject = recent;
+		Answer answer = switch (oversized) {
 			case HEAD -> post("X-Large: " + "x".repeat(2000), "");
-			case BODY -> announced(1000);
-			case STREAMED -> streamed(1000);
+			case BODY -> postContentLength(1000);
+			case STREAMED -> postChunked(1000);
 		};
 		assertThat(answer.status(), Matchers.equalTo(status));
-		assertThat(answer.body(), Matchers.containsString(young ? "too-large" : Intake.TABLE_DOUBTFUL.name()));
-		assertThat(answer.headers().containsKey("retry-after"), Matchers.equalTo(!young));
+		assertThat(answer.body(), Matchers.containsString(recent ? "too-large" : Intake.TABLE_DOUBTFUL.name()));
+		assertThat(answer.headers().containsKey("retry-after"), Matchers.equalTo(!recent));
 	}
 
-	// The limit is raised while a body comes. The routes are confirmed as of now, and
-	// the limit that the body is read by is the one before.
+	// The limit is raised while the body is received, which is read by the limit before.
 	@Test
-	void aBodyIsNotRejectedByALimitThatWasRaisedWhileItCame() throws IOException {
-		this.port.limits.add(SMALL);
-		this.port.limits.add(LARGE);
-		this.port.mayReject = true;
-		Answer answer = streamed(1000);
+	void bodyIsNotRejectedByALimitRaisedDuringUpload() throws IOException {
+		this.entry.limits.add(SMALL);
+		this.entry.limits.add(LARGE);
+		this.entry.mayReject = true;
+		Answer answer = postChunked(1000);
 		assertThat(answer.body(), Matchers.containsString(Intake.TABLE_DOUBTFUL.name()));
 		assertThat(answer.status(), Matchers.equalTo(503));
 	}
 
-	// What was declared is not known yet: what the front takes instead rejects nothing.
+	// Until limits are known a default applies, by which nothing is rejected.
 	@Test
-	void nothingIsRejectedByALimitThatIsNotKnown() throws IOException {
-		this.port.mayReject = true;
-		assertThat(announced((4 << 20) + 1).status(), Matchers.equalTo(503));
+	void nothingIsRejectedWhileLimitsAreUnknown() throws IOException {
+		this.entry.mayReject = true;
+		assertThat(postContentLength((4 << 20) + 1).status(), Matchers.equalTo(503));
 	}
 
 	private record Answer(int status, Map<String, String> headers, String body) {
 	}
 
-	enum Large {
+	enum OversizedPart {
 
 		HEAD, BODY, STREAMED
 
 	}
 
-	/** Says each limit once, the last one over and over. */
-	private static final class Port implements DirectPort {
+	/** Returns each of the given limits once, then keeps returning the last one. */
+	private static final class FakeEntry implements EntryHandle {
 
 		private final Queue<CallLimits> limits = new ConcurrentLinkedQueue<>();
 
@@ -186,8 +187,8 @@
 
 	}
 
-	/** Reads nothing but that there is an attempt. */
-	private static final class Plain implements CallDialect {
+	/** Supplies an attempt id and no other field. */
+	private static final class MinimalDialect implements CallDialect {
 
 		@Override
 		public CallerFields read(Function<String, String> header) {
--- a/entry/src/test/java/org/wisteriapost/entry/direct/RequestNamesTests.java
+++ b/entry/src/test/java/org/wisteriapost/entry/direct/RequestFingerprintTests.java
@@ -18,7 +18,7 @@
 
 import static org.hamcrest.MatcherAssert.assertThat;
 
-class RequestNamesTests {
+class RequestFingerprintTests {
 
 	private static Route route(String name) {
 		return new Route(name, "desk.example", "/" + name + "/", RouteKind.STREAM, Duration.ofSeconds(6),
@@ -31,31 +31,33 @@
 				OptionalInt.of(35), Optional.of(prompt), Optional.empty());
 	}
 
-	private static OptionalLong name(String route, String organisation, CallerFields fields) {
-		return RequestNames.of(route(route), Optional.of(new Organisation(organisation, OptionalInt.empty())), fields);
+	private static OptionalLong fingerprint(String route, String organisation, CallerFields fields) {
+		return RequestFingerprint.of(route(route), Optional.of(new Organisation(organisation, OptionalInt.empty())),
+				fields);
 	}
 
 	@Test
-	void allAttemptsOfARequestHaveOneName() {
-		OptionalLong first = name("a", "bozi", fields("9c41", 5390, "9a92:40,6c81:245", 285));
-		OptionalLong second = name("a", "bozi", fields("89b3", 3790, "9a92:40,6c81:245", 285));
+	void attemptsOfOneRequestShareAFingerprint() {
+		OptionalLong first = fingerprint("a", "bozi", fields("9c41", 5390, "9a92:40,6c81:245", 285));
+		OptionalLong second = fingerprint("a", "bozi", fields("89b3", 3790, "9a92:40,6c81:245", 285));
 		assertThat(first.isPresent(), Matchers.equalTo(true));
 		assertThat(second, Matchers.equalTo(first));
 	}
 
 	@ParameterizedTest
 	@CsvSource({ "b,bozi,x:40,285", "a,daka,x:40,285", "a,bozi,y:40,285", "a,bozi,x:40,286" })
-	void otherRequestsHaveOtherNames(String route, String organisation, String prompt, int promptTokens) {
-		OptionalLong one = name("a", "bozi", fields("9c41", 5390, "x:40", 285));
-		OptionalLong other = name(route, organisation, fields("9c41", 5390, prompt, promptTokens));
+	void differentRequestsHaveDifferentFingerprints(String route, String organisation, String prompt,
+			int promptTokens) {
+		OptionalLong one = fingerprint("a", "bozi", fields("9c41", 5390, "x:40", 285));
+		OptionalLong other = fingerprint(route, organisation, fields("9c41", 5390, prompt, promptTokens));
 		assertThat(other, Matchers.not(Matchers.equalTo(one)));
 	}
 
 	@Test
-	void whatSaysNothingOfItsPromptHasNone() {
+	void noFingerprintWithoutAPrompt() {
 		CallerFields fields = new CallerFields(Optional.of("9c41"), OptionalLong.of(600), 0, 0, OptionalInt.empty(),
 				Optional.empty(), Optional.empty());
-		assertThat(name("a", "bozi", fields), Matchers.equalTo(OptionalLong.empty()));
+		assertThat(fingerprint("a", "bozi", fields), Matchers.equalTo(OptionalLong.empty()));
 	}
 
 }
--- a/entry/src/test/java/org/wisteriapost/entry/direct/StateBench.java
+++ b/entry/src/test/java/org/wisteriapost/entry/direct/StateBench.java
@@ -49,14 +49,14 @@
 import org.wisteriapost.protocol.wire.Frame;
 
 /**
- * One entry's state, and a neighbour that may read the store for it. No sockets, no
- * threads, and a clock that the test moves.
+ * Runs one entry's state machine and a peer that may lead it, without sockets or threads
+ * and with a clock that the test advances.
  */
 final class StateBench implements AutoCloseable {
 
 	static final long MILLI = 1_000_000;
 
-	static final Duration IN_FORCE = Duration.ofSeconds(3);
+	static final Duration ACTIVATION_DELAY = Duration.ofSeconds(3);
 
 	static final String HOST = "desk.example";
 
@@ -64,11 +64,11 @@
 
 	private static final long TICK = 20 * MILLI;
 
-	private static final int NEIGHBOUR_TICKS = 5;
+	private static final int LEADER_TICKS = 5;
 
 	private static final List<String> NAMES = Rendezvous.order(List.of("a", "b"), "store");
 
-	/** The neighbour, which by rendezvous reads for both. */
+	/** The peer, which rendezvous hashing makes the leader of both. */
 	static final String READER = NAMES.getFirst();
 
 	private static final String SELF = NAMES.getLast();
@@ -91,34 +91,34 @@
 
 	private final SiteNews reader;
 
-	private final Queue<Frame> fromReader = new ArrayDeque<>();
+	private final Queue<Frame> fromLeader = new ArrayDeque<>();
 
 	private boolean linked;
 
 	private long now = 100_000 * MILLI;
 
-	private long dayMillis = 1_000_000;
+	private long wallMillis = 1_000_000;
 
 	private long ids;
 
 	private long ticks;
 
 	StateBench() {
-		DirectClock clock = new DirectClock(() -> this.now, () -> this.dayMillis);
+		EntryClocks clocks = new EntryClocks(() -> this.now, () -> this.wallMillis);
 		UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(42);
 		DispatchLimits limits = new DispatchLimits("p1", 0.2, 100, Duration.ofSeconds(10), Duration.ofSeconds(8));
-		this.view = new DirectView(clock);
+		this.view = new DirectView(clocks);
 		this.state = new DirectState(settings(), entry(SELF), Dispatcher.create(limits, random), new Answers(),
-				this.log, DirectMetrics.in(new SimpleMeterRegistry()), random, clock, this.view);
+				this.log, DirectMetrics.create(new SimpleMeterRegistry()), random, clocks, this.view);
 		this.state.connect(new Sender(), this.store, this.following);
 		this.reader = new SiteNews(this.store, StoreDuty.of(READER), UpstreamChoice.of(READER),
-				(peer, frame) -> this.fromReader.add(frame), () -> this.now, this.log);
+				(peer, frame) -> this.fromLeader.add(frame), () -> this.now, this.log);
 	}
 
 	private static SiteSettings settings() {
 		return new SiteSettings(SELF, "127.0.0.1", "p1", "r1", Optional.empty(), Optional.empty(), Optional.empty(), 1,
 				1, URI.create("http://store.example"), Optional.empty(), "", 1_000_000,
-				new SiteSettings.Bounds(Duration.ofSeconds(8), IN_FORCE, Duration.ofSeconds(8), 0.2, 100,
+				new SiteSettings.Bounds(Duration.ofSeconds(8), ACTIVATION_DELAY, Duration.ofSeconds(8), 0.2, 100,
 						Duration.ofSeconds(10), Duration.ofSeconds(3)));
 	}
 
@@ -147,7 +147,7 @@
 	}
 
 	/**
-	 * Returns enough entries that one of them may read the store for all.
+	 * Returns enough entries for one of them to lead the others.
 	 */
 	List<ObjectStore.Item> entries() {
 		List<ObjectStore.Item> entries = new ArrayList<>();
@@ -159,7 +159,7 @@
 	}
 
 	/**
-	 * Has both read the same of the store.
+	 * Delivers the same listing of the store to the entry and to its leader.
 	 */
 	void bothRead(List<ObjectStore.Item> routes, List<ObjectStore.Item> runners) {
 		selfReads(routes, runners);
@@ -191,7 +191,7 @@
 	}
 
 	/**
-	 * Follows the store, which has these objects.
+	 * Makes the entry follow a store that holds the given objects.
 	 */
 	void follow(List<ObjectStore.Item> routes, List<ObjectStore.Item> runners) {
 		for (Kind kind : Kind.values()) {
@@ -211,27 +211,26 @@
 	}
 
 	/**
-	 * Runs until the entry has asked its neighbour to read for it and the answer is on
-	 * its way.
+	 * Runs until the entry has subscribed to its leader and the reply is in transit.
 	 */
 	void untilAsked() {
 		link(true);
-		while (this.fromReader.isEmpty()) {
+		while (this.fromLeader.isEmpty()) {
 			tick();
 		}
 	}
 
 	/**
-	 * Hears what the neighbour has sent.
+	 * Delivers the frames that the leader has sent.
 	 */
 	void hear() {
-		while (!this.fromReader.isEmpty()) {
-			apply(new DirectEvent.PeerNews(READER, this.fromReader.remove().getNews()));
+		while (!this.fromLeader.isEmpty()) {
+			apply(new DirectEvent.PeerNews(READER, this.fromLeader.remove().getNews()));
 		}
 	}
 
 	/**
-	 * Runs for some time, in which the neighbour is heard.
+	 * Runs for some time, during which the leader's frames are delivered.
 	 */
 	void run(Duration time) {
 		for (long i = 0; i < time.toNanos() / TICK; i++) {
@@ -242,27 +241,27 @@
 
 	void tick() {
 		this.now += TICK;
-		this.dayMillis += TimeUnit.NANOSECONDS.toMillis(TICK);
+		this.wallMillis += TimeUnit.NANOSECONDS.toMillis(TICK);
 		this.ticks++;
-		if (this.ticks % NEIGHBOUR_TICKS == 0) {
+		if (this.ticks % LEADER_TICKS == 0) {
 			this.reader.tick(List.of(LinkedEntry.unknown(SELF)), this.now);
 		}
 		apply(new DirectEvent.Tick());
 	}
 
 	/**
-	 * Lets time pass without anything being done.
+	 * Advances the clocks without applying any event.
 	 */
 	void pass(long millis) {
 		this.now += millis * MILLI;
-		this.dayMillis += millis;
+		this.wallMillis += millis;
 	}
 
 	/**
-	 * Suspends the VM, whose monotonic clock stands still.
+	 * Suspends the VM: only its wall clock advances.
 	 */
 	void suspend(Duration time) {
-		this.dayMillis += time.toMillis();
+		this.wallMillis += time.toMillis();
 	}
 
 	long now() {
@@ -270,7 +269,7 @@
 	}
 
 	/**
-	 * Applies what the store's followers have said so far.
+	 * Applies the pending events from the store.
 	 */
 	void pump() {
 		while (!this.events.isEmpty()) {
@@ -283,14 +282,14 @@
 	}
 
 	/**
-	 * Returns what becomes of a request.
+	 * Sends a request and returns its result.
 	 */
 	String request(String path, Optional<String> token) {
 		this.answers.clear();
 		CallerFields fields = new CallerFields(Optional.of("attempt"), OptionalLong.empty(), 0, 0, OptionalInt.empty(),
 				Optional.empty(), Optional.empty());
-		apply(new DirectEvent.Arrived(new Arrival(++this.ids, "GET", HOST, path, path, Map.of(), token, fields,
-				new byte[0], null, this.now)));
+		apply(new DirectEvent.RequestArrived(new IncomingRequest(++this.ids, "GET", HOST, path, path, Map.of(), token,
+				fields, new byte[0], null, this.now)));
 		return this.answers.isEmpty() ? "waits" : this.answers.getLast();
 	}
 
@@ -307,7 +306,7 @@
 	}
 
 	/**
-	 * Returns the frames that were sent to the neighbour.
+	 * Returns the frames that were sent to the leader.
 	 */
 	List<Frame> sent() {
 		return this.sent;
@@ -318,7 +317,7 @@
 		this.log.close();
 	}
 
-	/** Notes answers by their code. */
+	/** Records answers with their code. */
 	private final class Answers implements CallOutput {
 
 		@Override
@@ -336,12 +335,12 @@
 		}
 
 		@Override
-		public void reject(Arrival arrival, int status, Code code) {
+		public void reject(IncomingRequest arrival, int status, Code code) {
 			StateBench.this.answers.add("rejected " + status);
 		}
 
 		@Override
-		public void refuse(Arrival arrival, Code code, long retryAfterMillis) {
+		public void refuse(IncomingRequest arrival, Code code, long retryAfterMillis) {
 			StateBench.this.answers.add("refused " + code.name());
 		}
 
@@ -351,13 +350,13 @@
 		}
 
 		@Override
-		public void passOn(DirectCall call) {
+		public void forwardRunnerFailure(DirectCall call) {
 			StateBench.this.answers.add("passed on");
 		}
 
 	}
 
-	/** Takes requests to the neighbour, which answers at once. */
+	/** Delivers frames to the leader, which handles them at once. */
 	private final class Sender implements PeerSender {
 
 		@Override
@@ -383,7 +382,7 @@
 
 	}
 
-	/** Runs at once what is due, and never what is due later. */
+	/** Runs immediate tasks in the calling thread and drops delayed ones. */
 	private static final class InlineTimer extends ScheduledThreadPoolExecutor {
 
 		private InlineTimer() {
