--- a/entry/src/main/java/org/wisteriapost/entry/link/PeerLink.java
+++ b/entry/src/main/java/org/wisteriapost/entry/link/PeerLink.java
@@ -6,8 +6,8 @@
 import org.wisteriapost.protocol.wire.Role;
 
 /**
- * One connection to an agent or another entry. A connection that is made anew is another
- * one, so that nothing which arrives late over the old is taken for the new.
+ * A connection to an agent or another entry. Each reconnect creates a new instance, so
+ * that late frames of a previous connection are not attributed to the current one.
  */
 public final class PeerLink {
 
@@ -17,7 +17,7 @@
 
 	private Role role;
 
-	private long askedGeneration;
+	private long requestedGeneration;
 
 	private PeerLink(Link link, String vm, Role role) {
 		this.link = link;
@@ -26,21 +26,21 @@
 	}
 
 	/**
-	 * Returns a link that was made to a VM of the list.
+	 * Returns an outgoing link to a known VM.
 	 */
 	public static PeerLink to(Link link, String vm, Role role) {
 		return new PeerLink(link, vm, role);
 	}
 
 	/**
-	 * Returns a link that was taken; who it is, its Hello says.
+	 * Returns an incoming link; the peer identifies itself by its Hello.
 	 */
 	public static PeerLink from(Link link) {
 		return new PeerLink(link, "", Role.ROLE_UNSPECIFIED);
 	}
 
 	/**
-	 * Returns the other side's VM, empty before a Hello over a link that was taken.
+	 * Returns the peer's VM; empty on an incoming link until its Hello is received.
 	 */
 	public String vm() {
 		return this.vm;
@@ -51,8 +51,8 @@
 	}
 
 	/**
-	 * Takes the other side's Hello; false when it is not the VM that this link was made
-	 * to.
+	 * Applies the peer's Hello; returns false if the peer is not the one that this link
+	 * was opened to.
 	 */
 	public boolean hello(Hello hello) {
 		if (this.vm.isEmpty()) {
@@ -64,27 +64,24 @@
 	}
 
 	/**
-	 * Returns true once for each higher generation, so that a burst of frames asks for a
-	 * head once.
+	 * Returns whether the generation is higher than any before, so that a burst of frames
+	 * requests a head only once.
 	 */
 	public boolean asksFor(long generation) {
-		if (generation <= this.askedGeneration) {
+		if (generation <= this.requestedGeneration) {
 			return false;
 		}
-		this.askedGeneration = generation;
+		this.requestedGeneration = generation;
 		return true;
 	}
 
 	/**
-	 * Queues a frame; false when the link is closed and nothing of it was sent.
+	 * Queues a frame; returns false if the link is closed and no part of it was sent.
 	 */
 	public boolean send(Frame frame) {
 		return this.link.send(frame);
 	}
 
-	/**
-	 * Closes the connection.
-	 */
 	public void close() {
 		this.link.close();
 	}
--- a/entry/src/main/java/org/wisteriapost/entry/link/PeerLinks.java
+++ b/entry/src/main/java/org/wisteriapost/entry/link/PeerLinks.java
@@ -20,11 +20,13 @@
 import org.wisteriapost.protocol.wire.Role;
 
 /**
- * Keeps one link to each VM that it is told of, and takes links from other entries.
+ * Maintains one link to each target VM, reconnecting as needed, and accepts links from
+ * other entries.
  */
 public final class PeerLinks implements AutoCloseable {
 
-	// Jittered, so that a rack that comes back is not met by every entry at one moment.
+	// Reconnects are jittered, so that all entries do not connect to a recovering rack at
+	// the same time.
 	private static final long RETRY_MIN_MILLIS = 100;
 
 	private static final long RETRY_MAX_MILLIS = 400;
@@ -46,14 +48,14 @@
 	}
 
 	/**
-	 * Returns links of an entry, none yet.
+	 * Creates an instance without links.
 	 */
 	public static PeerLinks create(Links links, ScheduledExecutorService timer, PeerListener listener) {
 		return new PeerLinks(links, timer, listener);
 	}
 
 	/**
-	 * Takes links from other entries at an address.
+	 * Accepts links from other entries on an address.
 	 */
 	public LinkServer listen(InetSocketAddress address) {
 		return this.links.listen(address, new Handler(PeerLink::from, () -> {
@@ -61,8 +63,8 @@
 	}
 
 	/**
-	 * Links to exactly these VMs from now on: makes what is missing, closes what is no
-	 * longer named. A VM whose address has changed is another one.
+	 * Replaces the target VMs: opens missing links and closes those to other VMs. A VM
+	 * whose address has changed is reconnected.
 	 */
 	public synchronized void keep(List<Member> members) {
 		Map<String, Member> wanted = members.stream()
@@ -98,7 +100,7 @@
 
 		private volatile boolean stopped;
 
-		private volatile Link open;
+		private volatile Link link;
 
 		private Target(Member member) {
 			this.member = member;
@@ -110,13 +112,13 @@
 			}
 			Role role = this.member.entry() ? Role.ENTRY : Role.AGENT;
 			Handler handler = new Handler((link) -> {
-				this.open = link;
+				this.link = link;
 				return PeerLink.to(link, this.member.vm(), role);
-			}, this::later);
+			}, this::scheduleReconnect);
 			PeerLinks.this.links.connect(new InetSocketAddress(this.member.host(), this.member.linkPort()), handler)
 				.whenComplete((done, failure) -> {
 					if (failure != null) {
-						later();
+						scheduleReconnect();
 					}
 					else if (this.stopped) {
 						stop();
@@ -124,7 +126,7 @@
 				});
 		}
 
-		private void later() {
+		private void scheduleReconnect() {
 			if (!this.stopped && !PeerLinks.this.closed) {
 				long millis = ThreadLocalRandom.current().nextLong(RETRY_MIN_MILLIS, RETRY_MAX_MILLIS);
 				PeerLinks.this.timer.schedule(this::connect, millis, TimeUnit.MILLISECONDS);
@@ -133,9 +135,9 @@
 
 		private void stop() {
 			this.stopped = true;
-			Link link = this.open;
-			if (link != null) {
-				link.close();
+			Link current = this.link;
+			if (current != null) {
+				current.close();
 			}
 		}
 
@@ -143,20 +145,20 @@
 
 	private final class Handler implements LinkHandler {
 
-		private final Function<Link, PeerLink> naming;
+		private final Function<Link, PeerLink> peerFactory;
 
-		private final Runnable lost;
+		private final Runnable onDisconnected;
 
 		private final Map<Link, PeerLink> peers = new ConcurrentHashMap<>();
 
-		private Handler(Function<Link, PeerLink> naming, Runnable lost) {
-			this.naming = naming;
-			this.lost = lost;
+		private Handler(Function<Link, PeerLink> peerFactory, Runnable onDisconnected) {
+			this.peerFactory = peerFactory;
+			this.onDisconnected = onDisconnected;
 		}
 
 		@Override
 		public void onOpen(Link link) {
-			PeerLink peer = this.naming.apply(link);
+			PeerLink peer = this.peerFactory.apply(link);
 			this.peers.put(link, peer);
 			PeerLinks.this.listener.onUp(peer);
 		}
@@ -171,7 +173,7 @@
 			PeerLink peer = this.peers.remove(link);
 			if (peer != null) {
 				PeerLinks.this.listener.onDown(peer);
-				this.lost.run();
+				this.onDisconnected.run();
 			}
 		}
 
