--- a/entry/src/main/java/org/wisteriapost/entry/claim/ClaimReply.java
+++ b/entry/src/main/java/org/wisteriapost/entry/claim/ClaimReply.java
@@ -3,20 +3,20 @@
 import java.util.Optional;
 
 /**
- * What the platform answered to a read or write of a claim object.
+ * The result of reading or writing a claim object in the platform.
  */
 public sealed interface ClaimReply {
 
-	/** Returns the platform's key. */
+	/** Returns the object's key in the platform. */
 	String object();
 
 	/**
-	 * The object as it is there.
+	 * The object's current state.
 	 *
-	 * @param object the platform's key
-	 * @param value its value, empty when it does not exist
-	 * @param version its version, 0 when it does not exist
-	 * @param conflict whether a write found it instead of what it expected
+	 * @param object the object's key
+	 * @param value the value, empty if the object does not exist
+	 * @param version the version, 0 if the object does not exist
+	 * @param conflict whether a conditional write failed because of this state
 	 */
 	record Found(String object, Optional<byte[]> value, long version, boolean conflict) implements ClaimReply {
 	}
@@ -24,16 +24,16 @@
 	/**
 	 * A write took effect.
 	 *
-	 * @param object the platform's key
-	 * @param version its new version
+	 * @param object the object's key
+	 * @param version the new version
 	 */
 	record Written(String object, long version) implements ClaimReply {
 	}
 
 	/**
-	 * There was no answer.
+	 * The platform did not answer.
 	 *
-	 * @param object the platform's key
+	 * @param object the object's key
 	 * @param unconfirmed whether a write may have taken effect
 	 */
 	record Failed(String object, boolean unconfirmed) implements ClaimReply {
--- a/entry/src/main/java/org/wisteriapost/entry/claim/ClaimStore.java
+++ b/entry/src/main/java/org/wisteriapost/entry/claim/ClaimStore.java
@@ -8,7 +8,7 @@
 import org.wisteriapost.protocol.outside.Platform;
 
 /**
- * Reads and writes claim objects in the platform and tells what it answered.
+ * Reads and writes claim objects in the platform and reports the results to a listener.
  */
 public final class ClaimStore {
 
@@ -22,14 +22,14 @@
 	}
 
 	/**
-	 * Returns a store whose answers go to a listener, on an I/O thread.
+	 * Creates a store that calls the listener on an I/O thread.
 	 */
 	public static ClaimStore of(Platform platform, Consumer<ClaimReply> listener) {
 		return new ClaimStore(platform, listener);
 	}
 
 	/**
-	 * Starts a read.
+	 * Starts reading an object.
 	 */
 	public void read(ClaimEffect.Read read) {
 		this.platform.get(read.object()).whenComplete((stored, failure) -> {
@@ -42,14 +42,15 @@
 	}
 
 	/**
-	 * Starts a conditional update.
+	 * Starts a conditional write.
 	 */
 	public void write(ClaimEffect.Write write) {
 		Platform.Expected expected = (write.version() == 0) ? new Platform.Expected.Absent()
 				: new Platform.Expected.Version(write.version());
 		this.platform.put(write.object(), write.value(), expected)
-			.whenComplete((result, failure) -> this.listener.accept((failure != null)
-					? new ClaimReply.Failed(write.object(), !certain(failure)) : reply(write.object(), result)));
+			.whenComplete((result, failure) -> this.listener
+				.accept((failure != null) ? new ClaimReply.Failed(write.object(), !definitelyNotApplied(failure))
+						: reply(write.object(), result)));
 	}
 
 	private static ClaimReply reply(String object, Platform.PutResult result) {
@@ -64,8 +65,9 @@
 				stored.map(Platform.Stored::version).orElse(0L), conflict);
 	}
 
-	// Anything but the platform's own word counts as "may have taken effect".
-	private static boolean certain(Throwable failure) {
+	// Only UNAVAILABLE guarantees that a write had no effect. After any other failure it
+	// may have taken effect.
+	private static boolean definitelyNotApplied(Throwable failure) {
 		Throwable cause = (failure.getCause() != null && !(failure instanceof CodedException)) ? failure.getCause()
 				: failure;
 		return cause instanceof CodedException coded && coded.code().equals(Platform.UNAVAILABLE);
--- a/entry/src/main/java/org/wisteriapost/entry/claim/package-info.java
+++ b/entry/src/main/java/org/wisteriapost/entry/claim/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Carries out what the decisions on idempotency keys ask of the platform.
+ * Performs the platform reads and writes for claims on idempotency keys.
  */
 package org.wisteriapost.entry.claim;
