--- a/entry/src/main/java/org/wisteriapost/entry/direct/Announcer.java
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/Announcer.java
@@ -25,205 +25,209 @@
 import org.wisteriapost.protocol.wire.WeightsNamed;
 
 /**
- * What an entry tells others: agents which weights are named and who their peers are,
- * other entries that it leaves. Used by the state thread alone.
+ * Sends notifications to peers: target weights and the peer list to agents, and the
+ * notice that this entry leaves to other entries. Confined to the state thread.
  */
 final class Announcer {
 
-	// Weights that nobody has named yet are the first version.
-	private static final int FIRST_VERSION = 1;
+	// The target version of a model for which no target weights were published.
+	private static final int INITIAL_VERSION = 1;
 
-	// Of a burst of registrations the last one is enough: each list of peers goes to
-	// hundreds of agents.
-	private static final long GATHER_NANOS = Duration.ofMillis(200).toNanos();
+	// Coalesces bursts of registrations, since each peer list is sent to hundreds of
+	// agents.
+	private static final long RELINK_INTERVAL_NANOS = Duration.ofMillis(200).toNanos();
 
 	private final SiteSettings settings;
 
-	private final AgentDuty duty;
+	private final AgentDuty assignment;
 
-	private final EntryRoster roster;
+	private final EntryRoster registry;
 
 	private final Dispatcher dispatcher;
 
-	private final Map<String, Integer> named = new HashMap<>();
+	private final Map<String, Integer> targetVersions = new HashMap<>();
 
-	private final Map<String, Frame> told = new HashMap<>();
+	private final Map<String, Frame> lastSent = new HashMap<>();
 
-	private final Set<String> notToldOfLeaving = new HashSet<>();
+	private final Set<String> pendingLeaving = new HashSet<>();
 
-	private Optional<PeerSender> mesh = Optional.empty();
+	private Optional<PeerSender> transport = Optional.empty();
 
-	private boolean leaves;
+	private boolean leavingAnnounced;
 
-	private boolean stale;
+	private boolean relinkPending;
 
-	private long relinkedNanos = Long.MIN_VALUE / 2;
+	private long lastRelinkNanos = Long.MIN_VALUE / 2;
 
-	Announcer(SiteSettings settings, EntryInfo self, EntryRoster roster, Dispatcher dispatcher) {
+	Announcer(SiteSettings settings, EntryInfo self, EntryRoster registry, Dispatcher dispatcher) {
 		this.settings = settings;
-		this.duty = AgentDuty.of(self);
-		this.roster = roster;
+		this.assignment = AgentDuty.of(self);
+		this.registry = registry;
 		this.dispatcher = dispatcher;
 	}
 
-	void connect(PeerSender links) {
-		this.mesh = Optional.of(links);
+	void connect(PeerSender transport) {
+		this.transport = Optional.of(transport);
 	}
 
 	/**
-	 * Notes named weights and returns whether they are newer than those known.
+	 * Records target weights and returns whether they are newer than those known.
 	 */
-	boolean named(NamedWeights weights) {
-		if (this.named.getOrDefault(weights.model(), 0) >= weights.version()) {
+	boolean updateTargetVersion(NamedWeights weights) {
+		if (this.targetVersions.getOrDefault(weights.model(), 0) >= weights.version()) {
 			return false;
 		}
-		this.named.put(weights.model(), weights.version());
+		this.targetVersions.put(weights.model(), weights.version());
 		return true;
 	}
 
 	/**
-	 * Says to the other entries that this one leaves: to all that there is a link to,
-	 * since one may have linked here before its registration was read, and to those that
-	 * link later. Callers would be told of this entry until it has gone.
+	 * Announces to the other entries that this one leaves. The notice goes to all linked
+	 * entries, since a peer may have linked here before its registration was read, and to
+	 * those that link later. Without it peers would advertise this entry to callers until
+	 * it has ended.
 	 */
 	void leaving() {
-		this.leaves = true;
-		this.mesh.ifPresent((links) -> links.entries().forEach(this::tellLeaving));
+		this.leavingAnnounced = true;
+		this.transport.ifPresent((links) -> links.entries().forEach(this::sendLeaving));
 	}
 
 	/**
-	 * Hears that an entry has said who it is. One whose greeting comes after the notice
-	 * was given has not had it: it would go on naming this entry until the link breaks,
-	 * and callers would be sent to an entry that takes nothing.
+	 * Handles the greeting of another entry. A peer that greets after the leaving notice
+	 * was sent has not received it: it would advertise this entry until the link breaks,
+	 * and callers would be directed to an entry that accepts no requests.
 	 */
 	void met(String peer) {
-		if (this.leaves) {
-			tellLeaving(peer);
+		if (this.leavingAnnounced) {
+			sendLeaving(peer);
 		}
 	}
 
-	// A full link leaves the notice out, and its peer would go on naming this entry to
-	// callers. So it is kept until the link takes it; who has no link asks when it has.
-	private void tellLeaving(String peer) {
-		if (sent(peer, leave())) {
-			this.notToldOfLeaving.remove(peer);
+	// A full link drops the notice, and its peer would go on advertising this entry to
+	// callers. So the notice stays pending until the link accepts it. A peer without a
+	// link gets it when its link is established.
+	private void sendLeaving(String peer) {
+		if (trySend(peer, leavingFrame())) {
+			this.pendingLeaving.remove(peer);
 			return;
 		}
-		this.notToldOfLeaving.add(peer);
+		this.pendingLeaving.add(peer);
 	}
 
-	private boolean sent(String peer, Frame frame) {
-		return this.mesh.map((links) -> links.send(peer, frame) != PeerSender.Sending.LINK_FULL).orElse(true);
+	private boolean trySend(String peer, Frame frame) {
+		return this.transport.map((links) -> links.send(peer, frame) != PeerSender.Sending.LINK_FULL).orElse(true);
 	}
 
-	private Frame leave() {
+	private Frame leavingFrame() {
 		return Frame.newBuilder().setLeaving(Leaving.newBuilder().setVm(this.settings.name())).build();
 	}
 
 	/**
-	 * Says all to a peer whose link has come up.
+	 * Sends the current state to a peer whose link was established.
 	 */
-	void linked(String peer, Optional<RouteTable> known) {
-		this.told.keySet().removeIf((key) -> key.startsWith(peer));
+	void linked(String peer, Optional<RouteTable> table) {
+		this.lastSent.keySet().removeIf((key) -> key.startsWith(peer));
 		met(peer);
-		engines(known).stream()
+		engines(table).stream()
 			.filter((info) -> info.address().equals(peer))
 			.findFirst()
-			.ifPresent((info) -> tellAgent(info, roster(info.service(), known), known));
+			.ifPresent((info) -> notifyAgent(info, peerListFrame(info.service(), table), table));
 	}
 
 	/**
-	 * Hears that there are other entries or agents than before.
+	 * Schedules an update of the links and peer lists after the set of entries or agents
+	 * has changed.
 	 */
 	void changed() {
-		this.stale = true;
+		this.relinkPending = true;
 	}
 
 	/**
-	 * Links to the entries and agents that there are now, if there are others.
+	 * Retries pending notices, and updates the links when the set of entries or agents
+	 * has changed.
 	 */
-	void tick(Optional<RouteTable> known, long nowNanos) {
-		List.copyOf(this.notToldOfLeaving).forEach(this::tellLeaving);
-		if (this.stale && nowNanos - this.relinkedNanos >= GATHER_NANOS) {
-			this.stale = false;
-			this.relinkedNanos = nowNanos;
-			relink(known);
+	void tick(Optional<RouteTable> table, long nowNanos) {
+		List.copyOf(this.pendingLeaving).forEach(this::sendLeaving);
+		if (this.relinkPending && nowNanos - this.lastRelinkNanos >= RELINK_INTERVAL_NANOS) {
+			this.relinkPending = false;
+			this.lastRelinkNanos = nowNanos;
+			relink(table);
 		}
 	}
 
-	private void relink(Optional<RouteTable> known) {
+	private void relink(Optional<RouteTable> table) {
 		Map<String, InetSocketAddress> peers = new HashMap<>();
-		this.roster.toLink().forEach((info) -> peers.put(info.name(), address(info.link())));
-		agents(known)
+		this.registry.linkTargets().forEach((info) -> peers.put(info.name(), address(info.link())));
+		linkedEngines(table)
 			.forEach((info) -> peers.put(info.address(), new InetSocketAddress(info.host(), this.settings.linkPort())));
-		this.mesh.ifPresent((links) -> links.desired(peers));
-		tellAgents(known);
+		this.transport.ifPresent((links) -> links.desired(peers));
+		notifyAgents(table);
 	}
 
-	// The engines to whose agents this entry links.
-	private List<RunnerInfo> agents(Optional<RouteTable> known) {
-		return this.duty.linked(engines(known), this.roster.others());
+	// Returns the engines whose agents this entry links to.
+	private List<RunnerInfo> linkedEngines(Optional<RouteTable> table) {
+		return this.assignment.linked(engines(table), this.registry.registeredPeers());
 	}
 
-	private List<RunnerInfo> engines(Optional<RouteTable> known) {
+	private List<RunnerInfo> engines(Optional<RouteTable> table) {
 		return this.dispatcher.fleet()
 			.known()
 			.stream()
-			.filter((info) -> engine(known, info.service()).isPresent())
+			.filter((info) -> engineSpec(table, info.service()).isPresent())
 			.toList();
 	}
 
-	private static Optional<EngineSpec> engine(Optional<RouteTable> known, String service) {
+	private static Optional<EngineSpec> engineSpec(Optional<RouteTable> known, String service) {
 		return known.flatMap((table) -> table.service(service)).flatMap((spec) -> spec.engine());
 	}
 
 	/**
-	 * Tells agents what they have not been told yet.
+	 * Sends agents what has changed since it was last sent to them.
 	 */
-	void tellAgents(Optional<RouteTable> known) {
-		Map<String, Frame> rosters = new HashMap<>();
-		agents(known).forEach((info) -> tellAgent(info,
-				rosters.computeIfAbsent(info.service(), (service) -> roster(service, known)), known));
+	void notifyAgents(Optional<RouteTable> table) {
+		Map<String, Frame> peerLists = new HashMap<>();
+		linkedEngines(table).forEach((info) -> notifyAgent(info,
+				peerLists.computeIfAbsent(info.service(), (service) -> peerListFrame(service, table)), table));
 	}
 
-	private Frame roster(String service, Optional<RouteTable> known) {
+	private Frame peerListFrame(String service, Optional<RouteTable> table) {
 		Roster.Builder members = Roster.newBuilder();
-		engines(known).stream()
+		engines(table).stream()
 			.filter((info) -> info.service().equals(service))
 			.sorted(Comparator.comparing(RunnerInfo::address))
 			.forEach((info) -> members.addMembers(RosterMember.newBuilder().setVm(info.host()).setPlace(info.place())));
 		return Frame.newBuilder().setRoster(members).build();
 	}
 
-	private void tellAgent(RunnerInfo runner, Frame roster, Optional<RouteTable> known) {
-		Optional<String> origin = known.flatMap(RouteTable::origin).map((spec) -> spec.address());
-		Optional<String> model = engine(known, runner.service()).map(EngineSpec::model);
-		if (origin.isEmpty() || model.isEmpty() || this.mesh.isEmpty()) {
+	private void notifyAgent(RunnerInfo runner, Frame peerList, Optional<RouteTable> table) {
+		Optional<String> origin = table.flatMap(RouteTable::origin).map((spec) -> spec.address());
+		Optional<String> model = engineSpec(table, runner.service()).map(EngineSpec::model);
+		if (origin.isEmpty() || model.isEmpty() || this.transport.isEmpty()) {
 			return;
 		}
 		WeightsNamed.Builder weights = WeightsNamed.newBuilder()
 			.setModel(model.get())
-			.setVersion(this.named.getOrDefault(model.get(), FIRST_VERSION))
+			.setVersion(this.targetVersions.getOrDefault(model.get(), INITIAL_VERSION))
 			.setOrigin(origin.get());
-		if (this.duty.tells(runner, this.roster.living())) {
-			tellOnce(runner.address(), roster);
+		if (this.assignment.tells(runner, this.registry.livePeers())) {
+			sendIfChanged(runner.address(), peerList);
 		}
-		tellOnce(runner.address(), Frame.newBuilder().setWeightsNamed(weights).build());
+		sendIfChanged(runner.address(), Frame.newBuilder().setWeightsNamed(weights).build());
 	}
 
-	// Registrations change all the time, what agents are told of them seldom. Said again
-	// each time it took most of the bytes between regions. What a full link left out
-	// counts as not said: an engine would keep weights that are over.
-	private void tellOnce(String agent, Frame frame) {
-		String what = agent + frame.getBodyCase();
-		if (frame.equals(this.told.get(what))) {
+	// Registrations change often, what agents need from them seldom. Sending it each
+	// time took most of the bandwidth between regions. A frame that a full link dropped
+	// counts as not sent: otherwise an engine would keep superseded weights.
+	private void sendIfChanged(String agent, Frame frame) {
+		String key = agent + frame.getBodyCase();
+		if (frame.equals(this.lastSent.get(key))) {
 			return;
 		}
-		if (sent(agent, frame)) {
-			this.told.put(what, frame);
+		if (trySend(agent, frame)) {
+			this.lastSent.put(key, frame);
 			return;
 		}
-		this.stale = true;
+		this.relinkPending = true;
 	}
 
 	private static InetSocketAddress address(String text) {
--- a/entry/src/main/java/org/wisteriapost/entry/direct/EntryRoster.java
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/EntryRoster.java
@@ -22,189 +22,186 @@
 import org.wisteriapost.policy.fleet.StoreDuty;
 
 /**
- * Which entries there are and which of them callers are told of.
+ * The registered entries, and those of them that are alive and advertised to callers.
  *
- * Registrations in the store stay when an entry dies, and a heartbeat of every entry
- * there would cost a write each second and entry. So an entry counts as alive while the
- * link to it is up, which a killed process ends at once and a silent machine after three
- * seconds. The store only says whom to link to.
+ * Registrations stay in the store when an entry dies, and a heartbeat of each entry there
+ * would cost a write per second and entry. So an entry counts as alive while the link to
+ * it is up: a killed process closes it at once, and a silent machine is detected after
+ * three seconds. The store only tells which entries to link to.
  */
 final class EntryRoster {
 
-	// Long enough for a restart, so that an entry's own registration is seldom removed
-	// while it comes back.
-	private static final long DEAD_NANOS = Duration.ofSeconds(12).toNanos();
+	// Long enough for a restart, so that the registration of a restarting entry is
+	// rarely removed.
+	private static final long EXPIRY_NANOS = Duration.ofSeconds(12).toNanos();
 
 	private final EntryInfo self;
 
-	private final Map<String, Registered> registered = new HashMap<>();
+	private final Map<String, Registration> registered = new HashMap<>();
 
-	private final Set<String> linked = new HashSet<>();
+	private final Set<String> linkedNames = new HashSet<>();
 
-	private final Set<String> leaving = new HashSet<>();
+	private final Set<String> leavingNames = new HashSet<>();
 
-	// Load: all of these are asked for at each tick or after each event. Harm prevented:
-	// with dozens of entries an entry at rest spends most of its time on the same lists
-	// again and again. They are worked out after changes only.
-	private final List<Remembered<?>> remembered = new ArrayList<>();
+	// All of these are read on each tick or event. With dozens of entries an idle entry
+	// would spend most of its time computing the same lists, so they are computed only
+	// after changes.
+	private final List<Memoized<?>> memoized = new ArrayList<>();
 
-	private final Remembered<List<EntryInfo>> others = remember(this::findOthers);
+	private final Memoized<List<EntryInfo>> registeredPeers = memoize(this::computeRegisteredPeers);
 
-	private final Remembered<List<EntryInfo>> toLink = remember(this::chooseToLink);
+	private final Memoized<List<EntryInfo>> linkTargets = memoize(this::computeLinkTargets);
 
-	private final Remembered<List<EntryInfo>> living = remember(this::findLiving);
+	private final Memoized<List<EntryInfo>> livePeers = memoize(this::computeLivePeers);
 
-	private final Remembered<List<EntryInfo>> near = remember(this::findNear);
+	private final Memoized<List<EntryInfo>> failureDomainPeers = memoize(this::computeFailureDomainPeers);
 
-	private final Remembered<EntryCount> count = remember(this::countAll);
+	private final Memoized<EntryCount> count = memoize(this::computeCount);
 
-	private final Remembered<Set<String>> sharingReader = remember(this::findSharingReader);
+	private final Memoized<Set<String>> sharingReader = memoize(this::computeLeaderGroup);
 
-	private final Remembered<Boolean> speaks = remember(this::isSpeaker);
+	private final Memoized<Boolean> isRelay = memoize(this::computeIsRelay);
 
-	private final Remembered<List<EntryInfo>> named = remember(this::findNamed);
+	private final Memoized<List<EntryInfo>> advertisedPeers = memoize(this::computeAdvertisedPeers);
 
-	private final Remembered<List<EntryInfo>> namedWithSelf = remember(this::withSelf);
+	private final Memoized<List<EntryInfo>> advertisedWithSelf = memoize(this::computeAdvertisedWithSelf);
 
 	EntryRoster(EntryInfo self) {
 		this.self = self;
 	}
 
-	private <T> Remembered<T> remember(Supplier<T> source) {
-		Remembered<T> one = new Remembered<>(source);
-		this.remembered.add(one);
-		return one;
+	private <T> Memoized<T> memoize(Supplier<T> source) {
+		Memoized<T> value = new Memoized<>(source);
+		this.memoized.add(value);
+		return value;
 	}
 
-	private void changed() {
-		this.remembered.forEach(Remembered::forget);
+	private void invalidate() {
+		this.memoized.forEach(Memoized::invalidate);
 	}
 
 	void put(EntryInfo info, long revision, long nowNanos) {
-		changed();
-		Registered before = this.registered.get(info.name());
+		invalidate();
+		Registration before = this.registered.get(info.name());
 		if (before == null || before.info.started() != info.started()) {
-			this.leaving.remove(info.name());
-			this.registered.put(info.name(), new Registered(info, revision, nowNanos));
+			this.leavingNames.remove(info.name());
+			this.registered.put(info.name(), new Registration(info, revision, nowNanos));
 			return;
 		}
-		this.registered.put(info.name(), new Registered(info, revision, before.downSinceNanos));
+		this.registered.put(info.name(), new Registration(info, revision, before.unlinkedSinceNanos));
 	}
 
 	void remove(String name) {
-		changed();
+		invalidate();
 		this.registered.remove(name);
 	}
 
-	void keep(Set<String> names) {
-		changed();
+	void retain(Set<String> names) {
+		invalidate();
 		this.registered.keySet().retainAll(names);
 	}
 
 	void linked(String name, boolean up, long nowNanos) {
-		changed();
+		invalidate();
 		if (up) {
-			this.linked.add(name);
-			this.leaving.remove(name);
+			this.linkedNames.add(name);
+			this.leavingNames.remove(name);
 			return;
 		}
-		this.linked.remove(name);
-		Registered entry = this.registered.get(name);
+		this.linkedNames.remove(name);
+		Registration entry = this.registered.get(name);
 		if (entry != null) {
-			this.registered.put(name, new Registered(entry.info, entry.revision, nowNanos));
+			this.registered.put(name, new Registration(entry.info, entry.revision, nowNanos));
 		}
 	}
 
 	void leaving(String name) {
-		changed();
-		this.leaving.add(name);
+		invalidate();
+		this.leavingNames.add(name);
 	}
 
-	/**
-	 * Returns the other registered entries.
-	 */
-	List<EntryInfo> others() {
-		return this.others.get();
+	List<EntryInfo> registeredPeers() {
+		return this.registeredPeers.get();
 	}
 
-	private List<EntryInfo> findOthers() {
+	private List<EntryInfo> computeRegisteredPeers() {
 		return this.registered.values()
 			.stream()
-			.map(Registered::info)
+			.map(Registration::info)
 			.filter((info) -> !info.name().equals(this.self.name()))
 			.toList();
 	}
 
 	/**
-	 * Returns whether the store holds this start of this entry.
+	 * Returns whether the store holds the registration of this incarnation of this entry.
 	 */
 	boolean selfRegistered() {
-		Registered own = this.registered.get(this.self.name());
+		Registration own = this.registered.get(this.self.name());
 		return own != null && own.info.started() == this.self.started();
 	}
 
 	/**
-	 * Returns the other entries to which this one is to be linked.
+	 * Returns the other entries that this one should be linked to.
 	 */
-	List<EntryInfo> toLink() {
-		return this.toLink.get();
+	List<EntryInfo> linkTargets() {
+		return this.linkTargets.get();
 	}
 
-	private List<EntryInfo> chooseToLink() {
-		return EntryLinks.choose(this.self, others());
+	private List<EntryInfo> computeLinkTargets() {
+		return EntryLinks.choose(this.self, registeredPeers());
 	}
 
 	/**
-	 * Returns the other entries that live, as far as there are links to them.
+	 * Returns the other entries that are linked, and so alive.
 	 */
-	List<EntryInfo> living() {
-		return this.living.get();
+	List<EntryInfo> livePeers() {
+		return this.livePeers.get();
 	}
 
-	private List<EntryInfo> findLiving() {
-		return others().stream().filter((info) -> this.linked.contains(info.name())).toList();
+	private List<EntryInfo> computeLivePeers() {
+		return registeredPeers().stream().filter((info) -> this.linkedNames.contains(info.name())).toList();
 	}
 
 	/**
-	 * Returns the other living entries of this place.
+	 * Returns the other live entries of this failure domain.
 	 */
-	List<EntryInfo> near() {
-		return this.near.get();
+	List<EntryInfo> failureDomainPeers() {
+		return this.failureDomainPeers.get();
 	}
 
-	private List<EntryInfo> findNear() {
-		return living().stream().filter((info) -> info.place().equals(this.self.place())).toList();
+	private List<EntryInfo> computeFailureDomainPeers() {
+		return livePeers().stream().filter((info) -> info.place().equals(this.self.place())).toList();
 	}
 
 	/**
-	 * Returns the entries that callers may be told of.
+	 * Returns the entries to advertise to callers.
 	 * @param self whether this entry is one of them
 	 */
 	List<EntryInfo> ready(boolean self) {
-		return self ? this.namedWithSelf.get() : this.named.get();
+		return self ? this.advertisedWithSelf.get() : this.advertisedPeers.get();
 	}
 
-	private List<EntryInfo> withSelf() {
-		return Stream.concat(Stream.of(this.self), this.named.get().stream()).toList();
+	private List<EntryInfo> computeAdvertisedWithSelf() {
+		return Stream.concat(Stream.of(this.self), this.advertisedPeers.get().stream()).toList();
 	}
 
-	private List<EntryInfo> findNamed() {
-		return living().stream()
-			.filter((info) -> !this.leaving.contains(info.name()))
+	private List<EntryInfo> computeAdvertisedPeers() {
+		return livePeers().stream()
+			.filter((info) -> !this.leavingNames.contains(info.name()))
 			.sorted(Comparator.comparing(EntryInfo::front))
 			.toList();
 	}
 
 	/**
-	 * Returns the place of another registered entry.
+	 * Returns the failure domain of another registered entry.
 	 */
-	Optional<String> placeOf(String name) {
+	Optional<String> failureDomainOf(String name) {
 		return Optional.ofNullable(this.registered.get(name)).map((entry) -> entry.info.place());
 	}
 
 	/**
-	 * Returns how far away entries are.
-	 * @param names of those to which there is a link
+	 * Returns the distances to other entries.
+	 * @param names of the linked entries
 	 */
 	List<LinkedEntry> distances(Collection<String> names) {
 		return names.stream()
@@ -215,14 +212,15 @@
 	}
 
 	/**
-	 * Returns the entries that hear from this one itself what it has in flight.
+	 * Returns the entries that receive load reports directly from this one.
 	 */
 	List<EntryInfo> told() {
-		return byPlace() ? near() : others();
+		return byPlace() ? failureDomainPeers() : registeredPeers();
 	}
 
 	/**
-	 * Returns whether there are so many entries that places keep to themselves.
+	 * Returns whether there are so many entries that direct links are scoped by failure
+	 * domain.
 	 */
 	boolean byPlace() {
 		int own = this.registered.containsKey(this.self.name()) ? 1 : 0;
@@ -230,89 +228,91 @@
 	}
 
 	/**
-	 * Returns how many entries share the budgets: those registered but for those that
-	 * this one should be linked to and is not.
+	 * Returns how many entries share the budgets: all registered ones, except those that
+	 * this entry should be linked to and is not.
 	 */
 	EntryCount count() {
 		return this.count.get();
 	}
 
-	private EntryCount countAll() {
-		List<EntryInfo> others = others();
-		long dead = toLink().stream().filter((info) -> !this.linked.contains(info.name())).count();
-		return new EntryCount((int) (others.size() - dead) + 1, near().size() + 1, byPlace());
+	private EntryCount computeCount() {
+		List<EntryInfo> peers = registeredPeers();
+		long unreachable = linkTargets().stream().filter((info) -> !this.linkedNames.contains(info.name())).count();
+		return new EntryCount((int) (peers.size() - unreachable) + 1, failureDomainPeers().size() + 1, byPlace());
 	}
 
 	/**
-	 * Returns the other entries of which one may read the store for all: those of this
-	 * place, or all where places do not keep to themselves.
+	 * Returns the other live entries among which one may be the leader that reads the
+	 * store for all: those of this failure domain, or all entries if links are not scoped
+	 * by failure domain.
 	 */
 	Set<String> sharingReader() {
 		return this.sharingReader.get();
 	}
 
-	private Set<String> findSharingReader() {
-		if (others().size() < StoreDuty.MOST_READING_ALL) {
+	private Set<String> computeLeaderGroup() {
+		if (registeredPeers().size() < StoreDuty.MOST_READING_ALL) {
 			return Set.of();
 		}
 		return told().stream()
 			.map(EntryInfo::name)
-			.filter((name) -> this.linked.contains(name) && !this.leaving.contains(name))
+			.filter((name) -> this.linkedNames.contains(name) && !this.leavingNames.contains(name))
 			.collect(Collectors.toSet());
 	}
 
 	/**
-	 * Returns whether this entry speaks for its place to the others: it is the first by
-	 * rendezvous of those that live there.
+	 * Returns whether this entry is the relay of its failure domain: the first by
+	 * rendezvous hashing among the live entries there.
 	 */
-	boolean speaks() {
-		return this.speaks.get();
+	boolean isRelay() {
+		return this.isRelay.get();
 	}
 
-	private boolean isSpeaker() {
-		List<String> near = near().stream()
+	private boolean computeIsRelay() {
+		List<String> peers = failureDomainPeers().stream()
 			.map(EntryInfo::name)
-			.filter((name) -> !this.leaving.contains(name))
+			.filter((name) -> !this.leavingNames.contains(name))
 			.toList();
-		return Rendezvous.among(this.self.name(), near, this.self.place(), 1);
+		return Rendezvous.among(this.self.name(), peers, this.self.place(), 1);
 	}
 
 	/**
-	 * Returns a registration to remove: its entry has long been dead, and this entry is
-	 * the first by name of those alive near by, so that one removes it and not all.
+	 * Returns a registration to remove, whose entry has been unreachable for too long.
+	 * Only the first by name among the live entries near by returns one, so that it is
+	 * removed once.
 	 */
-	Optional<Registered> dead(long nowNanos) {
-		List<EntryInfo> peers = byPlace() ? near() : living();
+	Optional<Registration> dead(long nowNanos) {
+		List<EntryInfo> peers = byPlace() ? failureDomainPeers() : livePeers();
 		if (peers.stream().anyMatch((info) -> info.name().compareTo(this.self.name()) < 0)) {
 			return Optional.empty();
 		}
-		Set<String> watched = toLink().stream().map(EntryInfo::name).collect(Collectors.toSet());
+		Set<String> targets = linkTargets().stream().map(EntryInfo::name).collect(Collectors.toSet());
 		return this.registered.values()
 			.stream()
-			.filter((entry) -> watched.contains(entry.info.name()))
-			.filter((entry) -> !this.linked.contains(entry.info.name()))
-			.filter((entry) -> nowNanos - entry.downSinceNanos > DEAD_NANOS)
+			.filter((entry) -> targets.contains(entry.info.name()))
+			.filter((entry) -> !this.linkedNames.contains(entry.info.name()))
+			.filter((entry) -> nowNanos - entry.unlinkedSinceNanos > EXPIRY_NANOS)
 			.findFirst();
 	}
 
 	/**
-	 * One registration.
+	 * A registration as read from the store.
 	 *
-	 * @param info as it says
-	 * @param revision as it was read
-	 * @param downSinceNanos since when there is no link to it
+	 * @param info the registered entry
+	 * @param revision its revision in the store
+	 * @param unlinkedSinceNanos since when there is no link to the entry
 	 */
-	record Registered(EntryInfo info, long revision, long downSinceNanos) {
+	record Registration(EntryInfo info, long revision, long unlinkedSinceNanos) {
 	}
 
-	/** Something worked out from what is known, until that changes. */
-	private static final class Remembered<T> {
+	/** A derived value, computed on first use after each change. */
+	private static final class Memoized<T> {
 
 		private final Supplier<T> source;
 
 		private Optional<T> value = Optional.empty();
 
-		private Remembered(Supplier<T> source) {
+		private Memoized(Supplier<T> source) {
 			this.source = source;
 		}
 
@@ -323,7 +323,7 @@
 			return this.value.get();
 		}
 
-		private void forget() {
+		private void invalidate() {
 			this.value = Optional.empty();
 		}
 
--- a/entry/src/main/java/org/wisteriapost/entry/direct/Following.java
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/Following.java
@@ -9,37 +9,38 @@
 import org.wisteriapost.protocol.site.Kind;
 
 /**
- * The entry's own reading of the site's store, of all kinds together; for any thread.
+ * The watches of the site's store that this entry has itself, one for each kind.
+ * Thread-safe.
  */
 final class Following {
 
-	private final Map<Kind, Follower> followers = new ConcurrentHashMap<>();
+	private final Map<Kind, Follower> watches = new ConcurrentHashMap<>();
 
-	void add(Kind kind, Follower follower) {
-		this.followers.put(kind, follower);
+	void add(Kind kind, Follower watch) {
+		this.watches.put(kind, watch);
 	}
 
-	void reliedOn(boolean relied) {
-		this.followers.values().forEach((one) -> one.reliedOn(relied));
+	void setHasSubscribers(boolean hasSubscribers) {
+		this.watches.values().forEach((watch) -> watch.reliedOn(hasSubscribers));
 	}
 
 	void pause() {
-		this.followers.values().forEach(Follower::pause);
+		this.watches.values().forEach(Follower::pause);
 	}
 
 	/**
-	 * Hears that what was read of a kind was not taken.
+	 * Makes the watch of a kind list it again, since what it has read was discarded.
 	 */
-	void forget(Kind kind) {
-		Optional.ofNullable(this.followers.get(kind)).ifPresent(Follower::forget);
+	void requireListing(Kind kind) {
+		Optional.ofNullable(this.watches.get(kind)).ifPresent(Follower::forget);
 	}
 
 	/**
-	 * Goes on after a pause.
-	 * @param known up to which revision all of a kind is known
+	 * Resumes after a pause.
+	 * @param knownRevisions the revision up to which all objects of a kind are known
 	 */
-	void resume(ToLongFunction<Kind> known) {
-		this.followers.forEach((kind, follower) -> follower.resume(known.applyAsLong(kind)));
+	void resume(ToLongFunction<Kind> knownRevisions) {
+		this.watches.forEach((kind, watch) -> watch.resume(knownRevisions.applyAsLong(kind)));
 	}
 
 }
--- a/entry/src/main/java/org/wisteriapost/entry/direct/LoadFrames.java
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/LoadFrames.java
@@ -9,50 +9,51 @@
 import org.wisteriapost.protocol.site.EngineFrames;
 
 /**
- * Writes and reads what entries tell each other of their load.
+ * Converts load reports between their wire form and the policy types.
  */
 final class LoadFrames {
 
-	// Of a start that the runner does not tell.
+	// Sent when the incarnation of a runner is not known.
 	private static final long UNKNOWN = 0;
 
 	private LoadFrames() {
 	}
 
-	static org.wisteriapost.protocol.wire.RunnerLoad of(RunnerLoad one) {
+	static org.wisteriapost.protocol.wire.RunnerLoad of(RunnerLoad runnerLoad) {
 		return org.wisteriapost.protocol.wire.RunnerLoad.newBuilder()
-			.setRunner(one.runner())
-			.setStartedMillis(startedMillis(one.start()))
-			.setActive(one.load().active())
-			.setWaiting(Math.max(0, one.load().waiting()))
-			.setWaitingPrompt((int) Math.max(0, one.load().waitingPrompt()))
+			.setRunner(runnerLoad.runner())
+			.setStartedMillis(incarnationMillis(runnerLoad.start()))
+			.setActive(runnerLoad.load().active())
+			.setWaiting(Math.max(0, runnerLoad.load().waiting()))
+			.setWaitingPrompt((int) Math.max(0, runnerLoad.load().waitingPrompt()))
 			.build();
 	}
 
-	static RunnerLoad read(org.wisteriapost.protocol.wire.RunnerLoad said) {
-		PeerLoad load = new PeerLoad(said.getActive(), said.getWaiting(), said.getWaitingPrompt());
-		return new RunnerLoad(said.getRunner(), EngineFrames.start(said.getStartedMillis()), load);
+	static RunnerLoad read(org.wisteriapost.protocol.wire.RunnerLoad message) {
+		PeerLoad load = new PeerLoad(message.getActive(), message.getWaiting(), message.getWaitingPrompt());
+		return new RunnerLoad(message.getRunner(), EngineFrames.start(message.getStartedMillis()), load);
 	}
 
-	static org.wisteriapost.protocol.wire.RefusedRequest of(RefusedRequest one, long nowNanos) {
+	static org.wisteriapost.protocol.wire.RefusedRequest of(RefusedRequest refusal, long nowNanos) {
 		return org.wisteriapost.protocol.wire.RefusedRequest.newBuilder()
-			.setRequest(one.request())
-			.setAskedMillis(millis(nowNanos - one.askedNanos()))
-			.setLeftMillis(millis(one.deadlineNanos() - nowNanos))
+			.setRequest(refusal.request())
+			.setAskedMillis(millis(nowNanos - refusal.askedNanos()))
+			.setLeftMillis(millis(refusal.deadlineNanos() - nowNanos))
 			.build();
 	}
 
-	static RefusedRequest read(org.wisteriapost.protocol.wire.RefusedRequest said, long nowNanos) {
-		return new RefusedRequest(said.getRequest(), nowNanos - TimeUnit.MILLISECONDS.toNanos(said.getAskedMillis()),
-				nowNanos + TimeUnit.MILLISECONDS.toNanos(said.getLeftMillis()));
+	static RefusedRequest read(org.wisteriapost.protocol.wire.RefusedRequest message, long nowNanos) {
+		return new RefusedRequest(message.getRequest(),
+				nowNanos - TimeUnit.MILLISECONDS.toNanos(message.getAskedMillis()),
+				nowNanos + TimeUnit.MILLISECONDS.toNanos(message.getLeftMillis()));
 	}
 
 	private static int millis(long nanos) {
 		return (int) Math.clamp(TimeUnit.NANOSECONDS.toMillis(nanos), 0, Integer.MAX_VALUE);
 	}
 
-	private static long startedMillis(RunnerStart start) {
-		return start.startedMillis().orElse(UNKNOWN);
+	private static long incarnationMillis(RunnerStart incarnation) {
+		return incarnation.startedMillis().orElse(UNKNOWN);
 	}
 
 }
--- a/entry/src/main/java/org/wisteriapost/entry/direct/LoadReports.java
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/LoadReports.java
@@ -18,161 +18,157 @@
 import org.wisteriapost.protocol.wire.LoadReport;
 
 /**
- * Tells the other entries what this one has in flight at each runner. Used by the state
- * thread alone.
+ * Reports this entry's in-flight load at each runner to the other entries. Confined to
+ * the state thread.
  *
- * Load: dozens of entries, each of which tells all others. Harm prevented: the messages
- * grow with the square of the entries, and links between places carry nothing else.
- * Entries of one place use the same near runners, so they hear of each other twice as
- * often as those of other places; and the more there are of either, the less often each
- * of them is told, which bounds an entry to some {@value #PEERS_AT_ONCE} messages in a
- * {@value #NEAR_TICKS} ticks. The share of each entry in a runner sinks alike, so what is
- * not heard of one of them weighs less.
+ * With dozens of entries, each of which reports to all others, the messages would grow
+ * with the square of the entries and fill the links between failure domains. So an entry
+ * sends at most about {@value #PEERS_PER_INTERVAL} messages in
+ * {@value #LOCAL_INTERVAL_TICKS} ticks: the more peers there are, the less often each
+ * gets a report. Peers of the same failure domain use the same runners and get reports
+ * twice as often as remote ones. The share of each entry in a runner's load falls with
+ * their number, so a late report matters less.
  */
 final class LoadReports {
 
-	static final int NEAR_TICKS = 5;
+	static final int LOCAL_INTERVAL_TICKS = 5;
 
-	static final int FAR_TICKS = 10;
+	static final int REMOTE_INTERVAL_TICKS = 10;
 
-	static final int PEERS_AT_ONCE = 6;
+	static final int PEERS_PER_INTERVAL = 6;
 
-	// All that is in flight is said again this often; what others hold is forgotten
-	// when it was not said for two and a half seconds.
-	private static final long FULL_TICKS = 50;
+	// How often unchanged load is repeated. Receivers discard load that was not
+	// repeated for two and a half seconds.
+	private static final long FULL_REPORT_INTERVAL_TICKS = 50;
 
-	// In one report. More are refused only by an entry that can place nothing, and what
-	// is left out counts as a first attempt.
-	private static final int MOST_REFUSED = 200;
+	// Bounds one report. Only an entry that can dispatch nothing refuses more, and a
+	// retry of a request that was left out is treated as a first attempt.
+	private static final int MAX_REFUSED_REQUESTS = 200;
 
-	private final String place;
+	private final String failureDomain;
 
 	private final BiConsumer<String, Frame> sender;
 
-	private final Group near = new Group(NEAR_TICKS);
+	private final PeerGroup localPeers = new PeerGroup(LOCAL_INTERVAL_TICKS);
 
-	private final Group far = new Group(FAR_TICKS);
+	private final PeerGroup remotePeers = new PeerGroup(REMOTE_INTERVAL_TICKS);
 
 	/**
-	 * Returns reports of one entry.
+	 * Creates the reporter of one entry.
 	 * @param sender sends a frame to an entry by name
 	 */
-	LoadReports(String place, BiConsumer<String, Frame> sender) {
-		this.place = place;
+	LoadReports(String failureDomain, BiConsumer<String, Frame> sender) {
+		this.failureDomain = failureDomain;
 		this.sender = sender;
 	}
 
 	/**
-	 * Sends what is due.
-	 * @param ticks counts the ticks of the entry, 20 ms each; most of them bring no
-	 * report
-	 * @param now what a refusal's times are told against
-	 * @param registered the other entries that hear it from this one
-	 * @param load what this entry has at each runner
+	 * Sends the reports that are due.
+	 * @param ticks counts the ticks of the entry, 20 ms each; most of them send no report
+	 * @param nowNanos the time that ages in the report refer to
+	 * @param receivers the other entries that this one reports to
+	 * @param ownLoads the in-flight load of this entry at each runner
 	 */
-	void tick(long ticks, long now, Supplier<List<EntryInfo>> registered, Supplier<List<RunnerLoad>> load) {
-		if (!this.near.due(ticks) && !this.far.due(ticks)) {
+	void tick(long ticks, long nowNanos, Supplier<List<EntryInfo>> receivers, Supplier<List<RunnerLoad>> ownLoads) {
+		if (!this.localPeers.due(ticks) && !this.remotePeers.due(ticks)) {
 			return;
 		}
-		List<EntryInfo> others = registered.get();
-		List<RunnerLoad> loads = load.get();
-		List<String> close = others.stream().filter(this::isNear).map(EntryInfo::name).toList();
-		List<String> away = others.stream().filter((info) -> !isNear(info)).map(EntryInfo::name).toList();
-		this.near.tick(ticks, now, close, loads);
-		this.far.tick(ticks, now, away, loads);
+		List<EntryInfo> others = receivers.get();
+		List<RunnerLoad> loads = ownLoads.get();
+		List<String> local = others.stream().filter(this::isLocal).map(EntryInfo::name).toList();
+		List<String> remote = others.stream().filter((info) -> !isLocal(info)).map(EntryInfo::name).toList();
+		this.localPeers.tick(ticks, nowNanos, local, loads);
+		this.remotePeers.tick(ticks, nowNanos, remote, loads);
 	}
 
 	/**
-	 * Tells of a refused request with the next report: its caller comes back to any
-	 * entry, a second and more later.
+	 * Adds a refused request to the next report: its caller retries at any entry, a
+	 * second or more later.
 	 */
 	void refused(RefusedRequest request) {
-		this.near.refused(request);
-		this.far.refused(request);
+		this.localPeers.recordRefusal(request);
+		this.remotePeers.recordRefusal(request);
 	}
 
 	/**
-	 * Says all again with the next report, since an entry has linked that has heard none.
+	 * Repeats all load in the next report, since a newly linked entry has received none.
 	 */
 	void again() {
-		this.near.said.clear();
-		this.far.said.clear();
+		this.localPeers.lastReported.clear();
+		this.remotePeers.lastReported.clear();
 	}
 
-	private boolean isNear(EntryInfo info) {
-		return info.place().equals(this.place);
+	private boolean isLocal(EntryInfo info) {
+		return info.place().equals(this.failureDomain);
 	}
 
 	/**
-	 * What others were told of.
-	 *
-	 * @param runner its id
-	 * @param start which start of it
+	 * The key of a reported load.
 	 */
-	private record Told(String runner, RunnerStart start) {
+	private record RunnerKey(String runnerId, RunnerStart incarnation) {
 	}
 
-	/** Entries that are told equally often. */
-	private final class Group {
+	/** Peers that get reports equally often. */
+	private final class PeerGroup {
 
-		private final int leastTicks;
+		private final int minIntervalTicks;
 
-		private final Map<Told, PeerLoad> said = new HashMap<>();
+		private final Map<RunnerKey, PeerLoad> lastReported = new HashMap<>();
 
-		private final List<RefusedRequest> refused = new ArrayList<>();
+		private final List<RefusedRequest> refusedRequests = new ArrayList<>();
 
-		private long nextTicks;
+		private long nextReportTicks;
 
-		private long fullTicks;
+		private long nextFullReportTicks;
 
-		private Group(int leastTicks) {
-			this.leastTicks = leastTicks;
+		private PeerGroup(int minIntervalTicks) {
+			this.minIntervalTicks = minIntervalTicks;
 		}
 
 		private boolean due(long ticks) {
-			return ticks >= this.nextTicks;
+			return ticks >= this.nextReportTicks;
 		}
 
-		private void refused(RefusedRequest request) {
-			if (this.refused.size() < MOST_REFUSED) {
-				this.refused.add(request);
+		private void recordRefusal(RefusedRequest request) {
+			if (this.refusedRequests.size() < MAX_REFUSED_REQUESTS) {
+				this.refusedRequests.add(request);
 			}
 		}
 
-		private void tick(long ticks, long now, List<String> names, List<RunnerLoad> loads) {
+		private void tick(long ticks, long nowNanos, List<String> peers, List<RunnerLoad> loads) {
 			if (!due(ticks)) {
 				return;
 			}
-			int turns = Math.max(1, (names.size() + PEERS_AT_ONCE - 1) / PEERS_AT_ONCE);
-			this.nextTicks = ticks + (long) turns * this.leastTicks;
-			if (names.isEmpty()) {
-				this.refused.clear();
+			int rounds = Math.max(1, (peers.size() + PEERS_PER_INTERVAL - 1) / PEERS_PER_INTERVAL);
+			this.nextReportTicks = ticks + (long) rounds * this.minIntervalTicks;
+			if (peers.isEmpty()) {
+				this.refusedRequests.clear();
 				return;
 			}
-			boolean full = ticks >= this.fullTicks;
-			this.fullTicks = full ? ticks + FULL_TICKS : this.fullTicks;
-			LoadReport report = report(loads, full, now);
+			boolean full = ticks >= this.nextFullReportTicks;
+			this.nextFullReportTicks = full ? ticks + FULL_REPORT_INTERVAL_TICKS : this.nextFullReportTicks;
+			LoadReport report = report(loads, full, nowNanos);
 			if (report.getLoadsCount() > 0 || report.getRefusedCount() > 0) {
 				Frame frame = Frame.newBuilder().setLoadReport(report).build();
-				names.forEach((name) -> LoadReports.this.sender.accept(name, frame));
+				peers.forEach((name) -> LoadReports.this.sender.accept(name, frame));
 			}
 		}
 
-		private LoadReport report(List<RunnerLoad> loads, boolean full, long now) {
+		private LoadReport report(List<RunnerLoad> loads, boolean full, long nowNanos) {
 			LoadReport.Builder report = LoadReport.newBuilder();
-			Set<Told> there = new HashSet<>();
+			Set<RunnerKey> current = new HashSet<>();
 			for (RunnerLoad one : loads) {
-				Told told = new Told(one.runner(), one.start());
-				there.add(told);
-				boolean changed = !one.load().equals(this.said.getOrDefault(told, PeerLoad.NONE));
+				RunnerKey key = new RunnerKey(one.runner(), one.start());
+				current.add(key);
+				boolean changed = !one.load().equals(this.lastReported.getOrDefault(key, PeerLoad.NONE));
 				if (changed || (full && one.load().active() > 0)) {
-					this.said.put(told, one.load());
+					this.lastReported.put(key, one.load());
 					report.addLoads(LoadFrames.of(one));
 				}
 			}
-			this.said.keySet().retainAll(there);
-			this.refused.forEach((one) -> report.addRefused(LoadFrames.of(one, now)));
-			this.refused.clear();
+			this.lastReported.keySet().retainAll(current);
+			this.refusedRequests.forEach((one) -> report.addRefused(LoadFrames.of(one, nowNanos)));
+			this.refusedRequests.clear();
 			return report.build();
 		}
 
--- a/entry/src/main/java/org/wisteriapost/entry/direct/Mesh.java
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/Mesh.java
@@ -22,16 +22,16 @@
 import org.wisteriapost.protocol.wire.Role;
 
 /**
- * The links from this entry to the other entries and to agents, made again when they
- * break. What others send on links that they made comes in here too.
+ * Links from this entry to other entries and to agents, which are reconnected when they
+ * break. Also receives the frames on links that other entries opened.
  */
 final class Mesh implements AutoCloseable, PeerSender {
 
 	private static final Logger LOG = System.getLogger(Mesh.class.getName());
 
-	private static final long FIRST_PAUSE_MILLIS = 250;
+	private static final long MIN_RECONNECT_DELAY_MILLIS = 250;
 
-	private static final long LONGEST_PAUSE_MILLIS = 4000;
+	private static final long MAX_RECONNECT_DELAY_MILLIS = 4000;
 
 	private final Links links;
 
@@ -43,9 +43,9 @@
 
 	private final DecisionLog log;
 
-	private final Map<String, Outgoing> outgoing = new ConcurrentHashMap<>();
+	private final Map<String, OutgoingLink> outgoing = new ConcurrentHashMap<>();
 
-	// Links that other entries made, by their names.
+	// Links opened by other entries, by their names.
 	private final Map<String, Link> incoming = new ConcurrentHashMap<>();
 
 	private LinkServer server;
@@ -59,12 +59,12 @@
 		this.log = log;
 	}
 
-	static Mesh start(Links links, InetSocketAddress address, String name, String place, ScheduledExecutorService timer,
-			Consumer<DirectEvent> events, DecisionLog log) {
-		Hello hello = Hello.newBuilder().setVm(name).setPlace(place).setRole(Role.ENTRY).build();
-		Mesh mesh = new Mesh(links, timer, events, Frame.newBuilder().setHello(hello).build(), log);
-		mesh.server = links.listen(address, mesh.new Incoming());
-		return mesh;
+	static Mesh start(Links links, InetSocketAddress address, String name, String failureDomain,
+			ScheduledExecutorService timer, Consumer<DirectEvent> events, DecisionLog log) {
+		Hello hello = Hello.newBuilder().setVm(name).setPlace(failureDomain).setRole(Role.ENTRY).build();
+		Mesh peerLinks = new Mesh(links, timer, events, Frame.newBuilder().setHello(hello).build(), log);
+		peerLinks.server = links.listen(address, peerLinks.new IncomingLinks());
+		return peerLinks;
 	}
 
 	int port() {
@@ -81,14 +81,15 @@
 		});
 		peers.forEach((name, address) -> {
 			if (!this.outgoing.containsKey(name)) {
-				Outgoing link = new Outgoing(name, address);
+				OutgoingLink link = new OutgoingLink(name, address);
 				this.outgoing.put(name, link);
 				link.connect();
 			}
 		});
 	}
 
-	// On the link that the peer made, if this entry has made none.
+	// Sends on the link that this entry opened, if there is one, else on the link that
+	// the peer opened.
 	@Override
 	public Sending send(String name, Frame frame) {
 		Optional<Link> link = linkTo(name);
@@ -104,8 +105,8 @@
 	}
 
 	private Optional<Link> linkTo(String name) {
-		Outgoing made = this.outgoing.get(name);
-		Link own = (made != null) ? made.link : null;
+		OutgoingLink opened = this.outgoing.get(name);
+		Link own = (opened != null) ? opened.link : null;
 		return Optional.ofNullable((own != null) ? own : this.incoming.get(name));
 	}
 
@@ -113,7 +114,7 @@
 	public Set<String> entries() {
 		Set<String> names = new HashSet<>(this.incoming.keySet());
 		this.outgoing.forEach((name, link) -> {
-			if (link.up() && link.entry) {
+			if (link.isUp() && link.isEntry) {
 				names.add(name);
 			}
 		});
@@ -122,11 +123,11 @@
 
 	@Override
 	public void close() {
-		this.outgoing.values().forEach(Outgoing::abandon);
+		this.outgoing.values().forEach(OutgoingLink::abandon);
 		this.server.close();
 	}
 
-	private void heard(Optional<String> peer, Frame frame) {
+	private void dispatchFrame(Optional<String> peer, Frame frame) {
 		switch (frame.getBodyCase()) {
 			case ENGINE_STATE -> this.events.accept(new DirectEvent.AgentSays(frame.getEngineState()));
 			case LOAD_REPORT ->
@@ -138,13 +139,13 @@
 				.ifPresent((name) -> this.events.accept(new DirectEvent.PeerWantsNews(name, frame.getNewsRequest())));
 			case LEAVING -> this.events.accept(new DirectEvent.PeerLeaving(frame.getLeaving().getVm()));
 			default -> {
-				// Frames of the roles that serve the product's own interface.
+				// Not sent to an entry: frames of other roles.
 			}
 		}
 	}
 
-	/** Links that others made. */
-	private final class Incoming implements LinkHandler {
+	/** Handles links that other processes opened. */
+	private final class IncomingLinks implements LinkHandler {
 
 		private final Map<Link, String> names = new ConcurrentHashMap<>();
 
@@ -163,7 +164,7 @@
 				}
 				return;
 			}
-			heard(Optional.ofNullable(this.names.get(link)), frame);
+			dispatchFrame(Optional.ofNullable(this.names.get(link)), frame);
 		}
 
 		@Override
@@ -176,8 +177,8 @@
 
 	}
 
-	/** A link that this entry made, and makes again. */
-	private final class Outgoing implements LinkHandler {
+	/** A link that this entry opens, and reopens when it breaks. */
+	private final class OutgoingLink implements LinkHandler {
 
 		private final String name;
 
@@ -187,11 +188,11 @@
 
 		private volatile boolean abandoned;
 
-		private volatile boolean entry;
+		private volatile boolean isEntry;
 
-		private long pauseMillis = FIRST_PAUSE_MILLIS;
+		private long reconnectDelayMillis = MIN_RECONNECT_DELAY_MILLIS;
 
-		private Outgoing(String name, InetSocketAddress address) {
+		private OutgoingLink(String name, InetSocketAddress address) {
 			this.name = name;
 			this.address = address;
 		}
@@ -201,20 +202,20 @@
 				return;
 			}
 			Mesh.this.links.connect(this.address, this).exceptionally((failure) -> {
-				again();
+				scheduleReconnect();
 				return null;
 			});
 		}
 
-		private void again() {
+		private void scheduleReconnect() {
 			if (this.abandoned) {
 				return;
 			}
-			Mesh.this.timer.schedule(this::connect, this.pauseMillis, TimeUnit.MILLISECONDS);
-			this.pauseMillis = Math.min(LONGEST_PAUSE_MILLIS, this.pauseMillis * 2);
+			Mesh.this.timer.schedule(this::connect, this.reconnectDelayMillis, TimeUnit.MILLISECONDS);
+			this.reconnectDelayMillis = Math.min(MAX_RECONNECT_DELAY_MILLIS, this.reconnectDelayMillis * 2);
 		}
 
-		private boolean up() {
+		private boolean isUp() {
 			return this.link != null;
 		}
 
@@ -229,7 +230,7 @@
 		@Override
 		public void onOpen(Link opened) {
 			this.link = opened;
-			this.pauseMillis = FIRST_PAUSE_MILLIS;
+			this.reconnectDelayMillis = MIN_RECONNECT_DELAY_MILLIS;
 			opened.send(Mesh.this.hello);
 			LOG.log(Level.INFO, "link-up: " + this.name);
 			Mesh.this.events.accept(new DirectEvent.PeerLink(this.name, true));
@@ -238,22 +239,22 @@
 		@Override
 		public void onFrame(Link from, Frame frame) {
 			if (frame.getBodyCase() == Frame.BodyCase.HELLO && frame.getHello().getRole() == Role.ENTRY) {
-				this.entry = true;
+				this.isEntry = true;
 				Mesh.this.events.accept(new DirectEvent.PeerMet(this.name));
 			}
 			if (frame.getBodyCase() == Frame.BodyCase.ECHO) {
 				Mesh.this.events.accept(new DirectEvent.AgentEcho(this.name, frame.getEcho().getStamp()));
 				return;
 			}
-			heard(Optional.of(this.name), frame);
+			dispatchFrame(Optional.of(this.name), frame);
 		}
 
 		@Override
-		public void onClosed(Link gone) {
+		public void onClosed(Link closed) {
 			this.link = null;
 			LOG.log(Level.INFO, "link-lost: " + this.name);
 			Mesh.this.events.accept(new DirectEvent.PeerLink(this.name, false));
-			again();
+			scheduleReconnect();
 		}
 
 	}
--- a/entry/src/main/java/org/wisteriapost/entry/direct/PeerSender.java
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/PeerSender.java
@@ -7,34 +7,36 @@
 import org.wisteriapost.protocol.wire.Frame;
 
 /**
- * Links to other processes, by their names.
+ * Links to other processes by name.
  */
 interface PeerSender {
 
 	/**
-	 * Sets whom to be linked to.
+	 * Sets the peers to be linked to.
 	 * @param peers addresses by name
 	 */
 	void desired(Map<String, InetSocketAddress> peers);
 
 	/**
-	 * Sends a frame to a peer if there is a link that has room for it.
+	 * Sends a frame to a peer if there is a link with free capacity.
 	 */
 	Sending send(String name, Frame frame);
 
 	/**
-	 * Returns the names of the entries to which there is a link.
+	 * Returns the names of the linked entries.
 	 */
 	Set<String> entries();
 
-	/** What became of a frame. */
+	/** The result of sending a frame. */
 	enum Sending {
 
-		/** It is on its way. */
+		/** The frame was queued on the link. */
 		SENT,
-		/** It was left out, since too much waits on the link already. */
+		/** The frame was dropped, since too much is queued on the link. */
 		LINK_FULL,
-		/** There is no link; whoever has something to say does so when it comes up. */
+		/**
+		 * There is no link. The sender repeats its state when the link is established.
+		 */
 		NO_LINK
 
 	}
--- a/entry/src/main/java/org/wisteriapost/entry/direct/PlaceNews.java
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/PlaceNews.java
@@ -19,114 +19,114 @@
 import org.wisteriapost.protocol.wire.PlaceState;
 
 /**
- * Tells the other places what the entries of this one have in flight and how the engines
- * here are, and passes on what other places tell. Used by the state thread alone.
+ * Relays the in-flight load and the engine statuses of this failure domain to the others,
+ * and distributes what their relays send. Confined to the state thread.
  *
- * Load: dozens of entries in several places. Harm prevented: each of them tells each
- * entry of the other places its own part, which comes once in 1.4 s with 49 entries and
- * takes a fifth of what the links between places carry. One entry a place sums it up and
- * sends it to one of each other place, which passes it on to its neighbours: each change
- * crosses a link once, a quarter of a second old.
+ * With dozens of entries in several failure domains, direct reports from each entry to
+ * each remote one would arrive only once in 1.4 s at 49 entries and take a fifth of the
+ * links between failure domains. So one entry per failure domain, the relay, sends the
+ * sum to one entry of each other failure domain, which forwards it to its peers there:
+ * each change crosses a link once, within a quarter of a second.
  */
 final class PlaceNews {
 
-	static final int TICKS = 10;
+	static final int REPORT_INTERVAL_TICKS = 10;
 
-	// All is said again this often; what is not said for two and a half seconds is
-	// forgotten.
-	static final int FULL_TICKS = 50;
+	// How often unchanged state is repeated. Receivers discard state that was not
+	// repeated for two and a half seconds.
+	static final int FULL_REPORT_INTERVAL_TICKS = 50;
 
-	private final EntryRoster roster;
+	private final EntryRoster registry;
 
-	private final String place;
+	private final String failureDomain;
 
 	private final Dispatcher dispatcher;
 
 	private final BiConsumer<String, Frame> sender;
 
-	private final Map<Told, PeerLoad> loads = new HashMap<>();
+	private final Map<RunnerKey, PeerLoad> reportedLoads = new HashMap<>();
 
-	private final Map<String, EngineWord> words = new HashMap<>();
+	private final Map<String, EngineWord> reportedStatuses = new HashMap<>();
 
-	private final Map<String, EngineState> heard = new HashMap<>();
+	private final Map<String, EngineState> receivedStates = new HashMap<>();
 
 	/**
-	 * Returns the news of one entry.
+	 * Creates the relay of one entry.
 	 * @param sender sends a frame to an entry by name
 	 */
-	PlaceNews(String place, EntryRoster roster, Dispatcher dispatcher, BiConsumer<String, Frame> sender) {
-		this.place = place;
-		this.roster = roster;
+	PlaceNews(String failureDomain, EntryRoster registry, Dispatcher dispatcher, BiConsumer<String, Frame> sender) {
+		this.failureDomain = failureDomain;
+		this.registry = registry;
 		this.dispatcher = dispatcher;
 		this.sender = sender;
 	}
 
 	/**
-	 * Sends what is due.
+	 * Sends the changes that are due, if this entry is the relay.
 	 * @param ticks counts the ticks of the entry, 20 ms each
 	 */
 	void tick(long ticks, long nowNanos) {
-		if (ticks % TICKS != 0) {
+		if (ticks % REPORT_INTERVAL_TICKS != 0) {
 			return;
 		}
-		if (!this.roster.byPlace() || !this.roster.speaks()) {
-			this.loads.clear();
-			this.words.clear();
+		if (!this.registry.byPlace() || !this.registry.isRelay()) {
+			this.reportedLoads.clear();
+			this.reportedStatuses.clear();
 			return;
 		}
-		boolean full = ticks % FULL_TICKS == 0;
+		boolean full = ticks % FULL_REPORT_INTERVAL_TICKS == 0;
 		PlaceState state = changes(full, nowNanos);
 		if (state.getLoadsCount() > 0 || state.getEnginesCount() > 0) {
 			Frame frame = Frame.newBuilder().setPlaceState(state).build();
-			elsewhere().values().forEach((info) -> this.sender.accept(info.name(), frame));
+			remoteReceivers().values().forEach((info) -> this.sender.accept(info.name(), frame));
 		}
 	}
 
 	/**
-	 * Hears what an entry says of a place, passes it on if that is due, and returns what
-	 * is new of engines.
+	 * Applies the state of another failure domain, forwards it to the peers of this one
+	 * if it came from outside, and returns the engine statuses that have changed.
 	 */
 	List<EngineState> heard(String peer, PlaceState state, long nowNanos) {
-		Optional<String> from = this.roster.placeOf(peer);
-		boolean foreign = from.equals(Optional.of(state.getPlace()));
-		boolean passedOn = from.equals(Optional.of(this.place));
-		if (state.getPlace().equals(this.place) || !(foreign || passedOn)) {
+		Optional<String> from = this.registry.failureDomainOf(peer);
+		boolean fromOutside = from.equals(Optional.of(state.getPlace()));
+		boolean forwarded = from.equals(Optional.of(this.failureDomain));
+		if (state.getPlace().equals(this.failureDomain) || !(fromOutside || forwarded)) {
 			return List.of();
 		}
-		if (foreign) {
+		if (fromOutside) {
 			Frame frame = Frame.newBuilder().setPlaceState(state).build();
-			this.roster.near().forEach((info) -> this.sender.accept(info.name(), frame));
+			this.registry.failureDomainPeers().forEach((info) -> this.sender.accept(info.name(), frame));
 		}
 		state.getLoadsList()
 			.forEach((load) -> this.dispatcher.placeLoad(state.getPlace(), LoadFrames.read(load), nowNanos));
 		return state.getEnginesList()
 			.stream()
-			.filter((one) -> !one.equals(this.heard.put(one.getAddress(), one)))
+			.filter((one) -> !one.equals(this.receivedStates.put(one.getAddress(), one)))
 			.toList();
 	}
 
 	private PlaceState changes(boolean full, long nowNanos) {
-		PlaceState.Builder state = PlaceState.newBuilder().setPlace(this.place);
+		PlaceState.Builder state = PlaceState.newBuilder().setPlace(this.failureDomain);
 		for (RunnerLoad one : this.dispatcher.fleet().nearLoad(nowNanos)) {
-			PeerLoad before = this.loads.put(new Told(one.runner(), one.start()), one.load());
+			PeerLoad before = this.reportedLoads.put(new RunnerKey(one.runner(), one.start()), one.load());
 			boolean changed = !one.load().equals((before != null) ? before : PeerLoad.NONE);
 			if (changed || (full && one.load().active() > 0)) {
 				state.addLoads(LoadFrames.of(one));
 			}
 		}
-		this.dispatcher.fleet().nearWords().forEach((address, word) -> {
-			if (!word.equals(this.words.put(address, word)) || full) {
-				state.addEngines(EngineFrames.of(address, word, nowNanos));
+		this.dispatcher.fleet().nearWords().forEach((address, status) -> {
+			if (!status.equals(this.reportedStatuses.put(address, status)) || full) {
+				state.addEngines(EngineFrames.of(address, status, nowNanos));
 			}
 		});
 		return state.build();
 	}
 
-	// One living entry of each other place to which there is a link.
-	private Map<String, EntryInfo> elsewhere() {
+	// Returns one linked live entry of each other failure domain.
+	private Map<String, EntryInfo> remoteReceivers() {
 		Map<String, EntryInfo> chosen = new LinkedHashMap<>();
-		for (EntryInfo info : this.roster.living()) {
-			if (!info.place().equals(this.place)) {
+		for (EntryInfo info : this.registry.livePeers()) {
+			if (!info.place().equals(this.failureDomain)) {
 				chosen.putIfAbsent(info.place(), info);
 			}
 		}
@@ -134,12 +134,9 @@
 	}
 
 	/**
-	 * What others were told of.
-	 *
-	 * @param runner its id
-	 * @param start which start of it
+	 * The key of a reported load.
 	 */
-	private record Told(String runner, RunnerStart start) {
+	private record RunnerKey(String runnerId, RunnerStart incarnation) {
 	}
 
 }
--- a/entry/src/main/java/org/wisteriapost/entry/direct/SiteBeliefs.java
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/SiteBeliefs.java
@@ -21,128 +21,129 @@
 import org.wisteriapost.protocol.site.ObjectStore;
 
 /**
- * What an entry believes of its site, from what the store says. Used by the state thread
- * alone.
+ * This entry's local view of its site, built from the objects in the store. Confined to
+ * the state thread.
  */
 final class SiteBeliefs {
 
 	private final Dispatcher dispatcher;
 
-	private final EntryRoster roster;
+	private final EntryRoster registry;
 
-	private final Announcer announcer;
+	private final Announcer notifier;
 
 	private final DecisionLog log;
 
-	private final Set<Kind> read = EnumSet.noneOf(Kind.class);
+	private final Set<Kind> knownKinds = EnumSet.noneOf(Kind.class);
 
-	private final RejectionGuard guard;
+	private final RejectionGuard rejectionGuard;
 
 	private Optional<RouteTable> table = Optional.empty();
 
 	/**
-	 * Returns the beliefs of one entry, which knows nothing.
-	 * @param declaredInForce from a declaration until it binds
+	 * Creates an empty view.
+	 * @param activationDelay the activation delay of declarations
 	 */
-	SiteBeliefs(Dispatcher dispatcher, EntryRoster roster, Announcer announcer, DecisionLog log,
-			Duration declaredInForce) {
+	SiteBeliefs(Dispatcher dispatcher, EntryRoster registry, Announcer notifier, DecisionLog log,
+			Duration activationDelay) {
 		this.dispatcher = dispatcher;
-		this.roster = roster;
-		this.announcer = announcer;
+		this.registry = registry;
+		this.notifier = notifier;
 		this.log = log;
-		this.guard = RejectionGuard.of(declaredInForce);
+		this.rejectionGuard = RejectionGuard.of(activationDelay);
 	}
 
 	/**
-	 * Returns the declared routes in force.
+	 * Returns the active route table.
 	 */
 	Optional<RouteTable> table() {
 		return this.table;
 	}
 
 	/**
-	 * Returns the version of the declared routes in force; -1 for none.
+	 * Returns the version of the active route table; -1 for none.
 	 */
 	long version() {
 		return this.table.map(RouteTable::version).orElse(-1L);
 	}
 
 	/**
-	 * Returns whether the table is recent enough to call a request wrong by it.
+	 * Returns whether the route table is recent enough to reject a request by it.
 	 */
 	boolean mayReject(long now) {
-		return this.guard.allows(now);
+		return this.rejectionGuard.allows(now);
 	}
 
 	/**
-	 * Returns until when that is so if nothing more is heard.
+	 * Returns until when requests may be rejected if the routes are not confirmed again.
 	 */
 	RejectionPermit rejectionPermit(long nowNanos, long nowDayMillis) {
-		return this.guard.permit(nowNanos, nowDayMillis);
+		return this.rejectionGuard.permit(nowNanos, nowDayMillis);
 	}
 
 	/**
-	 * Returns how long ago the table was last known to be the newest; empty when it never
-	 * was.
+	 * Returns how long ago the route table was last confirmed as the newest; empty if it
+	 * never was.
 	 */
 	OptionalLong tableAgeMillis(long now) {
-		OptionalLong age = this.guard.ageNanos(now);
+		OptionalLong age = this.rejectionGuard.ageNanos(now);
 		return age.isPresent() ? OptionalLong.of(TimeUnit.NANOSECONDS.toMillis(age.getAsLong())) : age;
 	}
 
 	/**
-	 * Hears that the routes are known as the store had them at some moment.
+	 * Records the time as of which the routes are known to match the store.
 	 */
-	void confirmed(long asOfNanos) {
-		this.guard.confirmed(asOfNanos);
+	void confirmed(long confirmedNanos) {
+		this.rejectionGuard.confirmed(confirmedNanos);
 	}
 
 	/**
-	 * Hears that this VM was suspended: what is known is older than it seems.
+	 * Handles a suspension of this VM: the routes are staler than the monotonic clock
+	 * shows.
 	 */
 	void suspended(long now) {
-		this.guard.doubt(now);
+		this.rejectionGuard.doubt(now);
 	}
 
 	/**
-	 * Returns whether enough is known to answer callers.
+	 * Returns whether enough is known to serve callers.
 	 */
 	boolean complete() {
-		return this.table.isPresent() && this.read.contains(Kind.RUNNERS);
+		return this.table.isPresent() && this.knownKinds.contains(Kind.RUNNERS);
 	}
 
 	/**
-	 * Returns whether all kinds have been read.
+	 * Returns whether all kinds were read.
 	 */
 	boolean whole() {
-		return this.read.size() == Kind.values().length;
+		return this.knownKinds.size() == Kind.values().length;
 	}
 
 	/**
-	 * Hears all objects of a kind.
+	 * Replaces all objects of a kind.
 	 */
 	void all(Kind kind, List<ObjectStore.Item> items, long now) {
-		boolean first = this.read.add(kind);
+		boolean first = this.knownKinds.add(kind);
 		switch (kind) {
 			case ROUTES, WEIGHTS ->
-				items.forEach((item) -> item.value().ifPresent((value) -> declared(value, first, now)));
+				items.forEach((item) -> item.value().ifPresent((value) -> applyDeclared(value, first, now)));
 			case RUNNERS -> {
-				runners(items, now);
-				this.announcer.changed();
+				applyRunners(items, now);
+				this.notifier.changed();
 			}
 			case ENTRIES -> {
 				Set<String> names = new HashSet<>();
 				items.forEach((item) -> {
 					names.add(item.name());
-					entry(item, now);
+					applyEntry(item, now);
 				});
-				this.roster.keep(names);
-				this.announcer.changed();
+				this.registry.retain(names);
+				this.notifier.changed();
 			}
 		}
 	}
 
-	private void runners(List<ObjectStore.Item> items, long now) {
+	private void applyRunners(List<ObjectStore.Item> items, long now) {
 		List<RunnerInfo> infos = items.stream()
 			.flatMap((item) -> item.value().stream())
 			.filter(Declared.Runner.class::isInstance)
@@ -153,86 +154,86 @@
 	}
 
 	/**
-	 * Hears of one object.
+	 * Applies a change of one object.
 	 */
 	void changed(Kind kind, ObjectStore.Change change, long now) {
 		if (change.deleted()) {
-			removed(kind, change.item().name(), now);
+			applyRemoval(kind, change.item().name(), now);
 			return;
 		}
 		if (kind == Kind.ENTRIES) {
-			entry(change.item(), now);
-			this.announcer.changed();
+			applyEntry(change.item(), now);
+			this.notifier.changed();
 			return;
 		}
-		change.item().value().ifPresent((value) -> declared(value, false, now));
+		change.item().value().ifPresent((value) -> applyDeclared(value, false, now));
 		if (kind == Kind.RUNNERS && change.item().value().isEmpty()) {
-			// Written over by somebody else: it names no runner until the runner writes
-			// anew.
+			// Overwritten by another writer: no runner until the runner registers
+			// again.
 			this.log.decision("runner-unreadable", "runner", change.item().name());
 			this.dispatcher.runnerUnusable(change.item().name());
-			this.announcer.changed();
+			this.notifier.changed();
 		}
 	}
 
-	private void removed(Kind kind, String name, long now) {
+	private void applyRemoval(Kind kind, String name, long now) {
 		switch (kind) {
 			case RUNNERS -> {
 				this.log.decision("runner-removed", "runner", name);
 				this.dispatcher.runnerRemoved(name, now);
-				this.announcer.changed();
+				this.notifier.changed();
 			}
 			case ENTRIES -> {
-				this.roster.remove(name);
-				this.announcer.changed();
+				this.registry.remove(name);
+				this.notifier.changed();
 			}
 			case ROUTES, WEIGHTS -> {
-				// What was declared stays in force until something newer is.
+				// A declaration stays active until a newer one replaces it.
 			}
 		}
 	}
 
-	private void declared(Declared value, boolean found, long now) {
+	private void applyDeclared(Declared value, boolean foundAtStartup, long now) {
 		switch (value) {
-			case Declared.Routes routes -> routes(routes.table());
-			case Declared.Weights weights -> weights(weights.named(), found, now);
-			case Declared.Runner runner -> runner(runner.info(), now);
+			case Declared.Routes routes -> applyRoutes(routes.table());
+			case Declared.Weights weights -> applyTargetWeights(weights.named(), foundAtStartup, now);
+			case Declared.Runner runner -> applyRunner(runner.info(), now);
 			case Declared.Entry entry -> {
-				// Read with its revision, see entry.
+				// Applied with its revision by applyEntry.
 			}
 		}
 	}
 
-	private void runner(RunnerInfo info, long now) {
+	private void applyRunner(RunnerInfo info, long now) {
 		if (this.dispatcher.runner(info, now)) {
 			this.log.decision("runner-changed", "runner", info.id(), "address", info.address(), "service",
 					info.service(), "draining", info.draining(), "models", info.models());
-			this.announcer.changed();
+			this.notifier.changed();
 		}
 	}
 
-	// A listing that lags must not bring a dropped route or token back.
-	private void routes(RouteTable newer) {
-		if (this.table.isPresent() && this.table.get().version() >= newer.version()) {
+	// A lagging listing must not restore a removed route or token.
+	private void applyRoutes(RouteTable newTable) {
+		if (this.table.isPresent() && this.table.get().version() >= newTable.version()) {
 			return;
 		}
-		this.table = Optional.of(newer);
-		this.log.decision("table-in-force", "version", newer.version());
-		this.dispatcher.table(newer);
-		this.announcer.tellAgents(this.table);
+		this.table = Optional.of(newTable);
+		this.log.decision("table-in-force", "version", newTable.version());
+		this.dispatcher.table(newTable);
+		this.notifier.notifyAgents(this.table);
 	}
 
-	private void weights(NamedWeights weights, boolean found, long now) {
-		this.dispatcher.named(weights, found, now);
-		if (this.announcer.named(weights)) {
+	private void applyTargetWeights(NamedWeights weights, boolean foundAtStartup, long now) {
+		this.dispatcher.named(weights, foundAtStartup, now);
+		if (this.notifier.updateTargetVersion(weights)) {
 			this.log.decision("weights-named", "model", weights.model(), "version", weights.version());
-			this.announcer.tellAgents(this.table);
+			this.notifier.notifyAgents(this.table);
 		}
 	}
 
-	private void entry(ObjectStore.Item item, long now) {
+	private void applyEntry(ObjectStore.Item item, long now) {
 		if (item.value().isPresent() && item.value().get() instanceof Declared.Entry entry) {
-			this.roster.put(entry.info(), item.revision(), now);
+			this.registry.put(entry.info(), item.revision(), now);
 		}
 	}
 
--- a/entry/src/main/java/org/wisteriapost/entry/direct/SiteNews.java
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/SiteNews.java
@@ -30,24 +30,24 @@
 import org.wisteriapost.protocol.wire.StoreObject;
 
 /**
- * Passes what the site's store says on to entries that do not read it, for want of an
- * answer or since this one reads for them, and takes it from another entry while this one
- * does not read. Used by the state thread alone.
+ * Replicates the site's store between entries. Sends updates to entries that do not read
+ * the store, because it does not answer them or because this entry is their leader, and
+ * receives updates while this entry does not read it. Confined to the state thread.
  */
 final class SiteNews {
 
-	// Half a second: who hears the store from here takes silence for a loss.
-	private static final int TICKS_PER_SIGN = 5;
+	// Half a second: subscribers take longer silence for a failure.
+	private static final int TICKS_PER_HEARTBEAT = 5;
 
-	// What is large comes last: on a narrow link what is small would wait behind it, and
-	// callers would find no runner for as long as the route table takes.
+	// Large kinds come last: on a slow link small ones would wait behind the route
+	// table, and callers would find no runner until it has arrived.
 	private static final List<Kind> ANSWER_ORDER = List.of(Kind.RUNNERS, Kind.ENTRIES, Kind.WEIGHTS, Kind.ROUTES);
 
-	private final KnownObjects known;
+	private final StoreReplica replica;
 
-	private final NewsHearer hearer;
+	private final UpdateSubscriptions subscriptions;
 
-	private final NewsTeller teller;
+	private final UpdatePublisher publisher;
 
 	private final BiConsumer<String, Frame> sender;
 
@@ -57,372 +57,375 @@
 
 	private final UpstreamChoice upstream;
 
-	private final StoreDuty duty;
+	private final StoreDuty storeRole;
 
-	private final KnownMoment asOf = new KnownMoment();
+	private final KnownMoment lastConfirmed = new KnownMoment();
 
-	// Who passes on what is not wanted here, since the word that ended it was lost with a
-	// link. Left alone it would do so for ever and never rest. Told once a tick, it ends
-	// as soon as one word arrives.
-	private final Set<String> unasked = new HashSet<>();
+	// Peers that send updates which are not accepted here, since the notice that ended
+	// the subscription was lost with a link. Without another notice they would send for
+	// ever and never become followers. It is repeated once a tick until it arrives.
+	private final Set<String> unsolicited = new HashSet<>();
 
-	private List<LinkedEntry> linked = List.of();
+	private List<LinkedEntry> linkedEntries = List.of();
 
 	private long tickNanos;
 
-	private boolean answered;
+	private boolean storeAnswers;
 
 	private int ticks;
 
 	/**
-	 * Returns news of one entry.
-	 * @param duty says whom to believe besides
-	 * @param upstream says whom to ask while the store does not answer
+	 * Creates the replication of one entry.
+	 * @param storeRole the role of this entry, which decides whose updates it accepts
+	 * @param upstream selects the entry to ask while the store does not answer
 	 * @param sender sends a frame to an entry by name
 	 */
-	SiteNews(ObjectStore store, StoreDuty duty, UpstreamChoice upstream, BiConsumer<String, Frame> sender,
+	SiteNews(ObjectStore store, StoreDuty storeRole, UpstreamChoice upstream, BiConsumer<String, Frame> sender,
 			LongSupplier clock, DecisionLog log) {
-		this.known = new KnownObjects(store);
-		this.hearer = new NewsHearer(this.known, clock, log);
-		this.teller = new NewsTeller(sender, clock);
-		this.duty = duty;
+		this.replica = new StoreReplica(store);
+		this.subscriptions = new UpdateSubscriptions(this.replica, clock, log);
+		this.publisher = new UpdatePublisher(sender, clock);
+		this.storeRole = storeRole;
 		this.upstream = upstream;
 		this.sender = sender;
 		this.clock = clock;
 		this.log = log;
 	}
 
-	// From the store.
+	// Reads of the store.
 
 	/**
-	 * Takes all objects of a kind.
-	 * @param at the store's revision when they were read
+	 * Applies a listing of a kind.
+	 * @param at the store's revision at the listing
 	 */
 	void read(Kind kind, List<ObjectStore.Item> all, long at) {
-		Map<String, Long> told = this.known.revisions(kind);
-		if (this.known.read(kind, all, at)) {
-			this.hearer.dropped(kind);
+		Map<String, Long> before = this.replica.revisions(kind);
+		if (this.replica.applyFromStore(kind, all, at)) {
+			this.subscriptions.objectsDropped(kind);
 		}
-		this.teller.hearers().forEach((peer) -> this.teller.send(peer, all(kind, has(peer, told))));
+		this.publisher.subscribers()
+			.forEach((peer) -> this.publisher.send(peer, fullUpdate(kind, revisionsHeldBy(peer, before))));
 	}
 
-	// Who hears this entry was told what it knew before, and asks for what it has missed;
-	// only a process of an older version does not.
-	private Map<String, Long> has(String peer, Map<String, Long> told) {
-		return this.teller.stamps(peer) ? told : Map.of();
+	// A subscriber has received what was known here before, and requests what it has
+	// missed. Only a legacy subscriber does not.
+	private Map<String, Long> revisionsHeldBy(String peer, Map<String, Long> revisions) {
+		return this.publisher.sendsStamps(peer) ? revisions : Map.of();
 	}
 
 	/**
-	 * Takes a change and returns whether it is newer than what is known.
+	 * Applies a change and returns whether it is newer than what is known.
 	 */
 	boolean read(Kind kind, ObjectStore.Change change) {
-		if (!this.known.read(kind, change)) {
+		if (!this.replica.applyFromStore(kind, change)) {
 			return false;
 		}
-		tell(() -> News.newBuilder()
+		publish(() -> News.newBuilder()
 			.setCurrent(true)
-			.setKind(wire(kind))
-			.addObjects(this.known.written(kind, change))
+			.setKind(toWire(kind))
+			.addObjects(this.replica.toWire(kind, change))
 			.build());
 		return true;
 	}
 
 	/**
-	 * Hears as of when the store's routes are known, by this process's monotonic clock.
+	 * Records the time as of which the store's routes are known, by this process's
+	 * monotonic clock.
 	 */
-	void confirmed(long asOfNanos) {
-		this.teller.confirmed(asOfNanos);
-		this.asOf.confirmed(asOfNanos);
+	void confirmed(long confirmedNanos) {
+		this.publisher.routesConfirmed(confirmedNanos);
+		this.lastConfirmed.confirmed(confirmedNanos);
 	}
 
 	/**
-	 * Returns up to which revision of the store the objects of a kind are known.
+	 * Returns the store's revision up to which the objects of a kind are known.
 	 */
-	long readTo(Kind kind) {
-		return this.known.readTo(kind);
+	long knownRevision(Kind kind) {
+		return this.replica.knownRevision(kind);
 	}
 
 	/**
-	 * Returns the newest moment as of which the store's routes are known here, read or
-	 * heard.
+	 * Returns the latest time as of which the store's routes are known here, from this
+	 * entry's reads or from peers.
 	 */
 	OptionalLong asOfNanos() {
-		return this.asOf.nanos();
+		return this.lastConfirmed.nanos();
 	}
 
 	/**
-	 * Returns the newest moment as of which another entry has said that its routes are.
+	 * Returns the latest time as of which the routes of a peer are confirmed.
 	 */
 	OptionalLong asOfNanos(String peer) {
-		return this.hearer.asOf(peer);
+		return this.subscriptions.routesConfirmedNanos(peer);
 	}
 
 	/**
-	 * Hears that this VM was suspended.
+	 * Handles a suspension of this VM.
 	 */
 	void suspended(long nowNanos) {
-		this.teller.suspended(nowNanos);
-		this.asOf.doubt(nowNanos);
+		this.publisher.suspended(nowNanos);
+		this.lastConfirmed.doubt(nowNanos);
 	}
 
 	/**
-	 * Hears that this entry stops reading the store. Whoever has begun to hear it from
-	 * here meanwhile is told: the signs alone would keep it on what it has. That the
-	 * store did not answer its last call is forgotten: it would hear another entry beside
-	 * its reader.
+	 * Ends reading the store. Entries that have subscribed in the meantime are notified:
+	 * heartbeats alone would keep them on stale state. The result of this entry's last
+	 * call to the store is discarded, since after a failure it would subscribe to an
+	 * upstream besides its leader.
 	 */
 	void stopReading() {
-		this.answered = false;
-		this.upstream.store(true).ifPresent(this::unwanted);
+		this.storeAnswers = false;
+		this.upstream.store(true).ifPresent(this::unsubscribeUnlessAccepted);
 		dismiss();
 	}
 
 	/**
-	 * Returns whether nobody would miss it if this entry stopped reading the store.
+	 * Returns whether the store answers this entry and no other entry depends on its
+	 * reading.
 	 */
-	boolean mayRest() {
-		return this.answered && this.teller.unheard();
+	boolean mayStopReading() {
+		return this.storeAnswers && this.publisher.hasNoSubscribers();
 	}
 
 	/**
-	 * Hears whether the store answers this entry. What a call found that was made before
-	 * this entry came to rest is left out: it would make it ask others for all, or say
-	 * that it reads, until it reads again.
+	 * Records whether the store answers this entry. Ignored while it is a follower: the
+	 * result of a call from before would make it request everything from other entries,
+	 * or report that it reads, until it reads again.
 	 */
 	void reachable(boolean reachable) {
-		if (this.duty.rests()) {
+		if (this.storeRole.rests()) {
 			return;
 		}
-		this.answered = reachable;
-		this.upstream.store(reachable).ifPresent(this::unwanted);
+		this.storeAnswers = reachable;
+		this.upstream.store(reachable).ifPresent(this::unsubscribeUnlessAccepted);
 		if (!reachable) {
 			dismiss();
 		}
 	}
 
 	/**
-	 * Tells all who hear the store from here that they may be behind.
+	 * Notifies all subscribers that this entry may be stale, and removes them.
 	 */
 	void dismiss() {
-		tell(() -> News.newBuilder().setCurrent(false).build());
-		this.teller.clear();
+		publish(() -> News.newBuilder().setCurrent(false).build());
+		this.publisher.clear();
 	}
 
-	/**
-	 * Returns whether others hear the store from here.
-	 */
-	boolean reliedOn() {
-		return !this.teller.unheard();
+	boolean hasSubscribers() {
+		return !this.publisher.hasNoSubscribers();
 	}
 
-	// From and to other entries.
+	// Messages from and to other entries.
 
 	/**
-	 * Asks another entry when that is needed. Called each 100 ms.
-	 * @param linked the entries to which there is a link
+	 * Subscribes, retries and sends heartbeats as they are due. Called every 100 ms.
+	 * @param linked the linked entries
 	 */
 	void tick(Collection<LinkedEntry> linked, long nowNanos) {
-		this.linked = List.copyOf(linked);
+		this.linkedEntries = List.copyOf(linked);
 		this.tickNanos = nowNanos;
-		this.teller.keep(linked.stream().map(LinkedEntry::name).collect(Collectors.toSet()));
+		this.publisher.retain(linked.stream().map(LinkedEntry::name).collect(Collectors.toSet()));
 		this.ticks++;
-		if (this.ticks % TICKS_PER_SIGN == 0) {
-			tell(() -> News.newBuilder().setCurrent(true).build());
+		if (this.ticks % TICKS_PER_HEARTBEAT == 0) {
+			publish(() -> News.newBuilder().setCurrent(true).build());
 		}
-		List.copyOf(this.unasked).forEach(this::unwanted);
-		this.unasked.clear();
-		carryOut(this.upstream.ask(linked, nowNanos));
-		// After the choice above, so that only who is believed now is asked again.
-		this.hearer.keep((peer) -> this.duty.believes(peer) || this.upstream.believes(peer));
-		this.hearer.heard().forEach(this::askAgain);
-		if (this.ticks % TICKS_PER_SIGN == 0) {
-			this.hearer.heard()
-				.forEach((peer) -> this.hearer.keepAlive(peer).ifPresent((frame) -> this.sender.accept(peer, frame)));
+		List.copyOf(this.unsolicited).forEach(this::unsubscribeUnlessAccepted);
+		this.unsolicited.clear();
+		execute(this.upstream.ask(linked, nowNanos));
+		// After the upstream was selected, so that only accepted peers are asked again.
+		this.subscriptions.retain((peer) -> this.storeRole.believes(peer) || this.upstream.believes(peer));
+		this.subscriptions.peers().forEach(this::retry);
+		if (this.ticks % TICKS_PER_HEARTBEAT == 0) {
+			this.subscriptions.peers()
+				.forEach((peer) -> this.subscriptions.keepAlive(peer)
+					.ifPresent((frame) -> this.sender.accept(peer, frame)));
 		}
 	}
 
 	/**
-	 * Hears that there is a new link to another entry.
+	 * Handles a new link to another entry.
 	 */
 	void linked(String peer) {
-		this.hearer.linked(peer);
+		this.subscriptions.linkEstablished(peer);
 	}
 
 	/**
-	 * Returns the frame by which another entry is asked for what the store says.
+	 * Returns the frame that subscribes to a peer's updates.
 	 */
-	Frame ask(String peer) {
-		return this.hearer.ask(peer);
+	Frame subscribe(String peer) {
+		return this.subscriptions.subscribe(peer);
 	}
 
 	/**
-	 * Returns whether nothing that another entry has said is missing.
+	 * Returns whether nothing is missing of what a peer has sent.
 	 */
-	boolean whole(String peer) {
-		return this.hearer.whole(peer);
+	boolean isComplete(String peer) {
+		return this.subscriptions.isComplete(peer);
 	}
 
 	/**
-	 * Tells an entry that nothing more is wanted of it, unless something is. What was
-	 * asked of it is forgotten: it does not send it any more, and is asked anew when it
-	 * is wanted again.
+	 * Ends the subscription to a peer, unless its updates are accepted. Its state is
+	 * removed, since the peer sends no more; a later subscription starts anew.
 	 */
-	void unwanted(String peer) {
-		if (!this.duty.believes(peer) && !this.upstream.believes(peer)) {
-			this.hearer.forget(peer);
-			this.sender.accept(peer, enough());
+	void unsubscribeUnlessAccepted(String peer) {
+		if (!this.storeRole.believes(peer) && !this.upstream.believes(peer)) {
+			this.subscriptions.remove(peer);
+			this.sender.accept(peer, unsubscribeFrame());
 		}
 	}
 
-	private void carryOut(List<UpstreamChoice.Step> steps) {
+	private void execute(List<UpstreamChoice.Step> steps) {
 		for (UpstreamChoice.Step step : steps) {
 			switch (step) {
 				case UpstreamChoice.Step.Ask ask -> {
 					this.log.decision("store-through-entry", "entry", ask.entry());
-					this.sender.accept(ask.entry(), ask(ask.entry()));
+					this.sender.accept(ask.entry(), subscribe(ask.entry()));
 				}
-				case UpstreamChoice.Step.Dismiss dismiss -> unwanted(dismiss.entry());
+				case UpstreamChoice.Step.Dismiss dismiss -> unsubscribeUnlessAccepted(dismiss.entry());
 			}
 		}
 	}
 
 	/**
-	 * Hears that another entry wants to be told what the store says, or does not any
-	 * more.
+	 * Handles a peer's request to subscribe, to keep its subscription alive or to end it.
 	 */
 	void asked(String peer, NewsRequest request) {
 		if (!request.getWanted()) {
-			this.teller.remove(peer);
+			this.publisher.remove(peer);
 			return;
 		}
-		this.teller.stamped(peer, request);
-		if (!this.answered) {
-			this.teller.send(peer, notCurrent());
+		this.publisher.recordStamp(peer, request);
+		if (!this.storeAnswers) {
+			this.publisher.send(peer, notCurrentUpdate());
 			return;
 		}
 		if (request.getKeepAlive()) {
-			this.teller.sign(peer, News.newBuilder().setCurrent(true).build());
+			this.publisher.answerKeepAlive(peer, News.newBuilder().setCurrent(true).build());
 			return;
 		}
-		this.teller.add(peer);
-		Map<Kind, Map<String, Long>> held = held(request);
+		this.publisher.add(peer);
+		Map<Kind, Map<String, Long>> held = revisionsHeld(request);
 		for (Kind kind : ANSWER_ORDER) {
-			this.teller.send(peer, all(kind, held.getOrDefault(kind, Map.of())));
+			this.publisher.send(peer, fullUpdate(kind, held.getOrDefault(kind, Map.of())));
 		}
 	}
 
-	// Who alone has lost the entry that reads for both would wait for this one to read.
-	private News notCurrent() {
+	// Tells how recently the leader was heard here. A peer that alone has lost the
+	// leader would otherwise wait for this entry to read the store.
+	private News notCurrentUpdate() {
 		News.Builder news = News.newBuilder().setCurrent(false);
-		this.duty.heardAgoMillis(this.clock.getAsLong()).ifPresent(news::setHeardAgoMillis);
+		this.storeRole.heardAgoMillis(this.clock.getAsLong()).ifPresent(news::setHeardAgoMillis);
 		return news.build();
 	}
 
 	/**
-	 * Returns what another entry says that is new here, as if the store had said it.
+	 * Applies an update of a peer and returns the changes as if they were read from the
+	 * store.
 	 */
-	List<DirectEvent> heard(String peer, News news) {
-		if (!believed(peer, news)) {
-			this.hearer.forget(peer);
+	List<DirectEvent> updateReceived(String peer, News update) {
+		if (!accepts(peer, update)) {
+			this.subscriptions.remove(peer);
 			return List.of();
 		}
-		this.hearer.counted(peer, news);
-		List<DirectEvent> fresh = kind(news.getKind()).map((kind) -> taken(peer, kind, news)).orElse(List.of());
-		this.hearer.asOf(peer, news).ifPresent(this.asOf::confirmed);
-		askAgain(peer);
-		return fresh;
+		this.subscriptions.recordFrame(peer, update);
+		List<DirectEvent> changes = fromWire(update.getKind()).map((kind) -> applyUpdate(peer, kind, update))
+			.orElse(List.of());
+		this.subscriptions.routesConfirmedNanos(peer, update).ifPresent(this.lastConfirmed::confirmed);
+		retry(peer);
+		return changes;
 	}
 
-	private void askAgain(String peer) {
-		this.hearer.again(peer).ifPresent((frame) -> this.sender.accept(peer, frame));
+	private void retry(String peer) {
+		this.subscriptions.retry(peer).ifPresent((frame) -> this.sender.accept(peer, frame));
 	}
 
-	private List<DirectEvent> taken(String peer, Kind kind, News news) {
+	private List<DirectEvent> applyUpdate(String peer, Kind kind, News update) {
 		if (this.upstream.believes(peer)) {
 			this.upstream.heard(true, this.tickNanos);
 		}
-		if (!this.known.holds(kind, news.getObjectsList())) {
-			this.hearer.lacking(peer, kind, news);
+		if (!this.replica.hasReferenced(kind, update.getObjectsList())) {
+			this.subscriptions.contentMissing(peer, kind, update);
 			return List.of();
 		}
-		List<DirectEvent> fresh = new ArrayList<>();
-		for (StoreObject object : news.getObjectsList()) {
-			this.known.heard(kind, object)
-				.ifPresent((change) -> fresh.add(new DirectEvent.ObjectChanged(kind, change)));
+		List<DirectEvent> changes = new ArrayList<>();
+		for (StoreObject object : update.getObjectsList()) {
+			this.replica.applyFromPeer(kind, object)
+				.ifPresent((change) -> changes.add(new DirectEvent.ObjectChanged(kind, change)));
 		}
-		if (news.getAll()) {
-			this.hearer.delivered(peer, kind);
-			return List.of(all(kind, news));
+		if (update.getAll()) {
+			this.subscriptions.markDelivered(peer, kind);
+			return List.of(applyFullUpdate(kind, update));
 		}
-		// With a change before it missing it says nothing of how far the kind is known:
-		// what was made in between would be taken for gone by whoever hears this entry.
-		if (this.hearer.has(peer, kind)) {
-			news.getObjectsList().forEach((object) -> this.known.reached(kind, object.getRevision()));
+		// If an earlier change is missing, the update does not prove up to where the
+		// kind is known: a subscriber of this entry would remove objects that were
+		// created in between.
+		if (this.subscriptions.hasAll(peer, kind)) {
+			update.getObjectsList().forEach((object) -> this.replica.advanceRevision(kind, object.getRevision()));
 		}
-		return fresh;
+		return changes;
 	}
 
-	private DirectEvent all(Kind kind, News news) {
-		Set<String> named = new HashSet<>();
-		news.getObjectsList().forEach((object) -> named.add(object.getName()));
-		this.known.keep(kind, named, news.getAt());
-		this.known.reached(kind, news.getAt());
-		return new DirectEvent.AllObjects(kind, this.known.items(kind), this.known.readTo(kind));
+	private DirectEvent applyFullUpdate(Kind kind, News update) {
+		Set<String> listed = new HashSet<>();
+		update.getObjectsList().forEach((object) -> listed.add(object.getName()));
+		this.replica.removeUnlisted(kind, listed, update.getAt());
+		this.replica.advanceRevision(kind, update.getAt());
+		return new DirectEvent.AllObjects(kind, this.replica.items(kind), this.replica.knownRevision(kind));
 	}
 
-	private boolean believed(String peer, News news) {
-		if (this.duty.believes(peer)) {
-			return news.getCurrent();
+	private boolean accepts(String peer, News update) {
+		if (this.storeRole.believes(peer)) {
+			return update.getCurrent();
 		}
 		if (!this.upstream.believes(peer)) {
-			if (news.getCurrent()) {
-				this.unasked.add(peer);
+			if (update.getCurrent()) {
+				this.unsolicited.add(peer);
 			}
 			return false;
 		}
-		if (!news.getCurrent()) {
+		if (!update.getCurrent()) {
 			this.upstream.heard(false, this.tickNanos);
-			carryOut(this.upstream.ask(this.linked, this.tickNanos));
+			execute(this.upstream.ask(this.linkedEntries, this.tickNanos));
 			return false;
 		}
 		this.upstream.sign(this.tickNanos);
 		return true;
 	}
 
-	private void tell(Supplier<News> news) {
-		if (!this.teller.unheard()) {
-			this.teller.tell(news.get());
+	private void publish(Supplier<News> update) {
+		if (!this.publisher.hasNoSubscribers()) {
+			this.publisher.publish(update.get());
 		}
 	}
 
-	private News all(Kind kind, Map<String, Long> held) {
+	private News fullUpdate(Kind kind, Map<String, Long> held) {
 		return News.newBuilder()
 			.setCurrent(true)
 			.setAll(true)
-			.setKind(wire(kind))
-			.setAt(this.known.readTo(kind))
-			.addAllObjects(this.known.written(kind, held))
+			.setKind(toWire(kind))
+			.setAt(this.replica.knownRevision(kind))
+			.addAllObjects(this.replica.toWire(kind, held))
 			.build();
 	}
 
-	private static Map<Kind, Map<String, Long>> held(NewsRequest request) {
+	private static Map<Kind, Map<String, Long>> revisionsHeld(NewsRequest request) {
 		Map<Kind, Map<String, Long>> held = new EnumMap<>(Kind.class);
-		for (KnownKind of : request.getKnownList()) {
+		for (KnownKind known : request.getKnownList()) {
 			Map<String, Long> revisions = new HashMap<>();
-			of.getObjectsList().forEach((object) -> revisions.put(object.getName(), object.getRevision()));
-			kind(of.getKind()).ifPresent((kind) -> held.put(kind, revisions));
+			known.getObjectsList().forEach((object) -> revisions.put(object.getName(), object.getRevision()));
+			fromWire(known.getKind()).ifPresent((kind) -> held.put(kind, revisions));
 		}
 		return held;
 	}
 
 	/**
-	 * Returns the frame that says that no more news are wanted.
+	 * Returns the frame that ends a subscription.
 	 */
-	static Frame enough() {
+	static Frame unsubscribeFrame() {
 		return Frame.newBuilder().setNewsRequest(NewsRequest.newBuilder().setWanted(false)).build();
 	}
 
-	static StoreKind wire(Kind kind) {
+	static StoreKind toWire(Kind kind) {
 		return switch (kind) {
 			case ROUTES -> StoreKind.STORE_ROUTES;
 			case RUNNERS -> StoreKind.STORE_RUNNERS;
@@ -431,7 +434,7 @@
 		};
 	}
 
-	static Optional<Kind> kind(StoreKind kind) {
+	static Optional<Kind> fromWire(StoreKind kind) {
 		return switch (kind) {
 			case STORE_ROUTES -> Optional.of(Kind.ROUTES);
 			case STORE_RUNNERS -> Optional.of(Kind.RUNNERS);
--- a/entry/src/main/java/org/wisteriapost/entry/direct/StoreReading.java
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/StoreReading.java
@@ -12,101 +12,102 @@
 import org.wisteriapost.protocol.wire.News;
 
 /**
- * Carries out what {@link StoreDuty} decides. Used by the state thread alone.
+ * Executes the decisions of {@link StoreDuty}. Confined to the state thread.
  */
 final class StoreReading {
 
-	private final StoreDuty duty;
+	private final StoreDuty role;
 
-	private final SiteNews news;
+	private final SiteNews replication;
 
-	private final Following following;
+	private final Following watches;
 
 	private final BiConsumer<String, Frame> sender;
 
 	private final DecisionLog log;
 
-	private boolean relied;
+	private boolean hasSubscribers;
 
 	/**
-	 * Returns the reading of one entry.
+	 * Creates the controller of one entry.
 	 * @param sender sends a frame to an entry by name
 	 */
-	StoreReading(StoreDuty duty, SiteNews news, Following following, BiConsumer<String, Frame> sender,
+	StoreReading(StoreDuty role, SiteNews replication, Following watches, BiConsumer<String, Frame> sender,
 			DecisionLog log) {
-		this.duty = duty;
-		this.news = news;
-		this.following = following;
+		this.role = role;
+		this.replication = replication;
+		this.watches = watches;
 		this.sender = sender;
 		this.log = log;
 	}
 
 	/**
-	 * Returns whether this entry hears the store from a neighbour.
+	 * Returns whether this entry is a follower, which receives the store from a leader.
 	 */
 	boolean rests() {
-		return this.duty.rests();
+		return this.role.rests();
 	}
 
 	/**
-	 * Hears that what was read of a kind came too late to be taken. The reading goes on
-	 * later from where it was, and would miss it.
+	 * Handles a read that was discarded because it completed too late. The watch resumes
+	 * behind it later and would not read it again.
 	 */
 	void missed(Kind kind) {
-		this.following.forget(kind);
+		this.watches.requireListing(kind);
 	}
 
 	/**
-	 * Does what is due.
-	 * @param group the entries that share a reader with this one
+	 * Executes the steps that are due.
+	 * @param group the entries that share a leader with this one
 	 * @param complete whether this entry has read all kinds
 	 */
 	void tick(Collection<String> group, boolean complete, long nowNanos) {
-		carryOut(this.duty.tick(group, complete && this.news.mayRest(), nowNanos));
-		if (this.news.reliedOn() != this.relied) {
-			this.relied = this.news.reliedOn();
-			this.following.reliedOn(this.relied);
+		execute(this.role.tick(group, complete && this.replication.mayStopReading(), nowNanos));
+		if (this.replication.hasSubscribers() != this.hasSubscribers) {
+			this.hasSubscribers = this.replication.hasSubscribers();
+			this.watches.setHasSubscribers(this.hasSubscribers);
 		}
 	}
 
 	/**
-	 * Hears an entry and returns what is new of it, as if the store had said it.
+	 * Applies an update of a peer and returns the changes as if they were read from the
+	 * store.
 	 */
-	List<DirectEvent> heard(String peer, News said, long nowNanos) {
-		List<DirectEvent> fresh = this.news.heard(peer, said);
-		this.news.asOfNanos(peer).ifPresent((asOf) -> this.duty.knownAsOf(peer, asOf));
-		if (this.duty.believes(peer)) {
-			reader(peer, said, nowNanos);
+	List<DirectEvent> heard(String peer, News update, long nowNanos) {
+		List<DirectEvent> changes = this.replication.updateReceived(peer, update);
+		this.replication.asOfNanos(peer).ifPresent((asOf) -> this.role.knownAsOf(peer, asOf));
+		if (this.role.believes(peer)) {
+			applyLeaderStatus(peer, update, nowNanos);
 		}
-		return fresh;
+		return changes;
 	}
 
-	// Signs that follow a lost frame tell nothing. An entry that rests takes a reader
-	// whose news stay incomplete for silent, and reads itself: it would go on with an old
-	// table otherwise.
-	private void reader(String peer, News said, long nowNanos) {
-		boolean current = said.getCurrent();
-		boolean whole = this.news.whole(peer);
-		if (!current && said.hasHeardAgoMillis()) {
-			long agoNanos = TimeUnit.MILLISECONDS.toNanos(said.getHeardAgoMillis());
-			carryOut(this.duty.heardResting(peer, agoNanos, nowNanos));
+	// Heartbeats after a lost frame prove nothing. A follower takes a leader whose
+	// updates stay incomplete for silent and reads the store itself: otherwise it would
+	// keep a stale table.
+	private void applyLeaderStatus(String peer, News update, long nowNanos) {
+		boolean current = update.getCurrent();
+		boolean updatesComplete = this.replication.isComplete(peer);
+		if (!current && update.hasHeardAgoMillis()) {
+			long agoNanos = TimeUnit.MILLISECONDS.toNanos(update.getHeardAgoMillis());
+			execute(this.role.heardResting(peer, agoNanos, nowNanos));
 		}
-		else if (whole || !current || !this.duty.settled()) {
-			carryOut(this.duty.heard(peer, current, whole, nowNanos));
+		else if (updatesComplete || !current || !this.role.settled()) {
+			execute(this.role.heard(peer, current, updatesComplete, nowNanos));
 		}
 	}
 
-	private void carryOut(List<StoreDuty.Step> steps) {
+	private void execute(List<StoreDuty.Step> steps) {
 		for (StoreDuty.Step step : steps) {
 			this.log.decision("store-duty", "step", step);
 			switch (step) {
-				case StoreDuty.Step.Ask ask -> this.sender.accept(ask.entry(), this.news.ask(ask.entry()));
-				case StoreDuty.Step.Dismiss dismiss -> this.news.unwanted(dismiss.entry());
+				case StoreDuty.Step.Ask ask -> this.sender.accept(ask.entry(), this.replication.subscribe(ask.entry()));
+				case StoreDuty.Step.Dismiss dismiss -> this.replication.unsubscribeUnlessAccepted(dismiss.entry());
 				case StoreDuty.Step.Rest rest -> {
-					this.news.stopReading();
-					this.following.pause();
+					this.replication.stopReading();
+					this.watches.pause();
 				}
-				case StoreDuty.Step.Read read -> this.following.resume(this.news::readTo);
+				case StoreDuty.Step.Read read -> this.watches.resume(this.replication::knownRevision);
 			}
 		}
 	}
--- a/entry/src/test/java/org/wisteriapost/entry/direct/DeclaredStore.java
+++ b/entry/src/test/java/org/wisteriapost/entry/direct/DeclaredStore.java
@@ -16,23 +16,23 @@
 import org.wisteriapost.protocol.site.ObjectStore;
 
 /**
- * A store whose objects are given by the test. Its watches wait until they are completed,
- * its listings are answered at once.
+ * A store whose objects are set by the test. Watches stay pending until the test
+ * completes them; listings are answered at once.
  */
 final class DeclaredStore implements ObjectStore {
 
-	private final Map<String, Item> written = new HashMap<>();
+	private final Map<String, Item> itemsByContent = new HashMap<>();
 
-	private final Map<Kind, List<Item>> listed = new EnumMap<>(Kind.class);
+	private final Map<Kind, List<Item>> listings = new EnumMap<>(Kind.class);
 
 	private final Map<Kind, CompletableFuture<Changes>> watches = new EnumMap<>(Kind.class);
 
-	private final List<String> asked = new ArrayList<>();
+	private final List<String> calls = new ArrayList<>();
 
 	private final long at;
 
 	/**
-	 * Returns a store.
+	 * Creates a store.
 	 * @param at its revision
 	 */
 	DeclaredStore(long at) {
@@ -40,44 +40,44 @@
 	}
 
 	/**
-	 * Returns an object that can be decoded by whoever hears of it.
+	 * Returns an object that {@link #decode} restores from its content.
 	 */
 	Item item(String name, long revision, Declared value) {
 		String text = name + "@" + revision;
 		Item item = new Item(name, revision, Optional.of(value), () -> text.getBytes(StandardCharsets.UTF_8));
-		this.written.put(text, item);
+		this.itemsByContent.put(text, item);
 		return item;
 	}
 
 	void listed(Kind kind, List<Item> items) {
-		this.listed.put(kind, items);
+		this.listings.put(kind, items);
 	}
 
 	/**
-	 * Returns the watch of a kind that was made last.
+	 * Returns the latest watch of a kind.
 	 */
 	CompletableFuture<Changes> watch(Kind kind) {
 		return this.watches.get(kind);
 	}
 
 	/**
-	 * Returns what was asked for, and forgets it.
+	 * Returns the calls since the last time.
 	 */
-	List<String> asked() {
-		List<String> all = List.copyOf(this.asked);
-		this.asked.clear();
+	List<String> drainCalls() {
+		List<String> all = List.copyOf(this.calls);
+		this.calls.clear();
 		return all;
 	}
 
 	@Override
 	public CompletableFuture<Page> list(Kind kind, Optional<String> after) {
-		this.asked.add("list " + kind);
-		return CompletableFuture.completedFuture(new Page(this.listed.getOrDefault(kind, List.of()), false, this.at));
+		this.calls.add("list " + kind);
+		return CompletableFuture.completedFuture(new Page(this.listings.getOrDefault(kind, List.of()), false, this.at));
 	}
 
 	@Override
 	public CompletableFuture<Changes> watch(Kind kind, long revision, Duration wait) {
-		this.asked.add((wait.isZero() ? "since " : "watch ") + kind);
+		this.calls.add((wait.isZero() ? "since " : "watch ") + kind);
 		this.watches.put(kind, new CompletableFuture<>());
 		return this.watches.get(kind);
 	}
@@ -94,7 +94,7 @@
 
 	@Override
 	public Optional<Item> decode(Kind kind, byte[] content) {
-		return Optional.ofNullable(this.written.get(new String(content, StandardCharsets.UTF_8)));
+		return Optional.ofNullable(this.itemsByContent.get(new String(content, StandardCharsets.UTF_8)));
 	}
 
 }
--- a/entry/src/test/java/org/wisteriapost/entry/direct/NamedObjects.java
+++ b/entry/src/test/java/org/wisteriapost/entry/direct/DecodeOnlyStore.java
@@ -10,9 +10,9 @@
 import org.wisteriapost.protocol.site.ObjectStore;
 
 /**
- * A store of which only the decoding is used: an object is its name and revision.
+ * A store that only decodes objects; an object consists of its name and revision.
  */
-final class NamedObjects implements ObjectStore {
+final class DecodeOnlyStore implements ObjectStore {
 
 	static Item item(String name, long revision) {
 		return new Item(name, revision, Optional.empty(),
--- /dev/null
+++ b/entry/src/test/java/org/wisteriapost/entry/direct/FailureDomainRelayTests.java
@@ -0,0 +1,201 @@
+package org.wisteriapost.entry.direct;
+
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.OptionalInt;
+import java.util.OptionalLong;
+
+import org.apache.commons.rng.simple.RandomSource;
+import org.hamcrest.Matchers;
+import org.junit.jupiter.api.Test;
+import org.wisteriapost.policy.dispatch.DispatchLimits;
+import org.wisteriapost.policy.dispatch.Dispatcher;
+import org.wisteriapost.policy.dispatch.EngineWord;
+import org.wisteriapost.policy.dispatch.PeerLoad;
+import org.wisteriapost.policy.dispatch.RunnerLoad;
+import org.wisteriapost.policy.fleet.EntryInfo;
+import org.wisteriapost.policy.fleet.RunnerInfo;
+import org.wisteriapost.policy.fleet.RunnerStart;
+import org.wisteriapost.protocol.wire.EngineState;
+import org.wisteriapost.protocol.wire.Frame;
+
+import static org.hamcrest.MatcherAssert.assertThat;
+
+/**
+ * Three failure domains with eight entries each and one engine each. The state of one
+ * reaches every entry of the others over one link per failure domain.
+ */
+class FailureDomainRelayTests {
+
+	private static final int ENTRIES_PER_FAILURE_DOMAIN = 8;
+
+	private static final List<String> FAILURE_DOMAINS = List.of("hall-a", "hall-b", "hall-c");
+
+	private static final long TICK_NANOS = 20_000_000;
+
+	private final Map<String, Entry> entries = new HashMap<>();
+
+	private final List<String> crossDomainFrames = new ArrayList<>();
+
+	private long ticks = 1;
+
+	FailureDomainRelayTests() {
+		List<EntryInfo> all = new ArrayList<>();
+		for (String failureDomain : FAILURE_DOMAINS) {
+			for (int i = 0; i < ENTRIES_PER_FAILURE_DOMAIN; i++) {
+				all.add(new EntryInfo(failureDomain + "-" + i, 1, "", "", failureDomain, ""));
+			}
+		}
+		all.forEach((info) -> this.entries.put(info.name(), new Entry(info, all)));
+	}
+
+	private static String engine(String failureDomain) {
+		return "10.0." + FAILURE_DOMAINS.indexOf(failureDomain) + ".1:80";
+	}
+
+	private void run(int count) {
+		for (int i = 0; i < count; i++) {
+			this.ticks++;
+			this.entries.values().forEach((entry) -> entry.relay.tick(this.ticks, this.ticks * TICK_NANOS));
+		}
+	}
+
+	private void kill(String name) {
+		this.entries.remove(name);
+		this.entries.values().forEach((entry) -> entry.registry.linked(name, false, 0));
+	}
+
+	private Entry anyEntryOf(String failureDomain) {
+		return this.entries.values()
+			.stream()
+			.filter((entry) -> entry.info.place().equals(failureDomain))
+			.findFirst()
+			.orElseThrow();
+	}
+
+	private void setLoad(Entry entry, String failureDomain, int active) {
+		entry.dispatcher.peerLoad(failureDomain + "-other",
+				new RunnerLoad("engine-" + failureDomain, RunnerStart.UNKNOWN, new PeerLoad(active, 0, 0)),
+				this.ticks * TICK_NANOS);
+	}
+
+	private void setLoadInAll(String failureDomain, int active) {
+		this.entries.values()
+			.stream()
+			.filter((entry) -> entry.info.place().equals(failureDomain))
+			.forEach((entry) -> setLoad(entry, failureDomain, active));
+	}
+
+	@Test
+	void loadCrossesOneLinkPerFailureDomain() {
+		setLoadInAll("hall-a", 5);
+		run(PlaceNews.REPORT_INTERVAL_TICKS);
+		assertThat(this.crossDomainFrames, Matchers.hasSize(FAILURE_DOMAINS.size() - 1));
+		long informed = this.entries.values()
+			.stream()
+			.filter((entry) -> !entry.info.place().equals("hall-a"))
+			.filter((entry) -> entry.receivedLoads > 0)
+			.count();
+		assertThat(informed, Matchers.equalTo(2L * ENTRIES_PER_FAILURE_DOMAIN));
+	}
+
+	// If the relay dies, another entry takes over with its next report. Otherwise the
+	// engines there would seem idle elsewhere.
+	@Test
+	void anotherEntryBecomesRelayWhenRelayDies() {
+		setLoadInAll("hall-a", 5);
+		run(PlaceNews.REPORT_INTERVAL_TICKS);
+		String relay = this.crossDomainFrames.getFirst().substring(0, this.crossDomainFrames.getFirst().indexOf('>'));
+		kill(relay);
+		this.crossDomainFrames.clear();
+		setLoadInAll("hall-a", 6);
+		run(PlaceNews.REPORT_INTERVAL_TICKS);
+		assertThat(this.crossDomainFrames, Matchers.hasSize(FAILURE_DOMAINS.size() - 1));
+		assertThat(this.crossDomainFrames.getFirst(), Matchers.not(Matchers.startsWith(relay + ">")));
+	}
+
+	// State that was lost between failure domains is repeated within a second.
+	@Test
+	void unchangedLoadIsRepeatedEachSecond() {
+		setLoadInAll("hall-a", 5);
+		run(PlaceNews.REPORT_INTERVAL_TICKS);
+		this.crossDomainFrames.clear();
+		for (int second = 0; second < 5; second++) {
+			setLoadInAll("hall-a", 5);
+			run(PlaceNews.FULL_REPORT_INTERVAL_TICKS);
+		}
+		assertThat(this.crossDomainFrames.size(), Matchers.equalTo(5 * (FAILURE_DOMAINS.size() - 1)));
+	}
+
+	@Test
+	void engineStatusReachesOtherFailureDomains() {
+		EngineWord status = new EngineWord(OptionalInt.of(2), true, OptionalLong.empty(), RunnerStart.UNKNOWN);
+		this.entries.values()
+			.stream()
+			.filter((entry) -> entry.info.place().equals("hall-b"))
+			.forEach((entry) -> entry.dispatcher.agentSays(engine("hall-b"), status, 0));
+		run(PlaceNews.REPORT_INTERVAL_TICKS);
+		assertThat(anyEntryOf("hall-c").receivedEngines.stream().map(EngineState::getAddress).toList(),
+				Matchers.contains(engine("hall-b")));
+		assertThat(anyEntryOf("hall-c").receivedEngines.getFirst().getSwitching(), Matchers.equalTo(true));
+	}
+
+	// State sent by an entry of another failure domain than the one described, or by an
+	// unknown entry, is neither applied nor forwarded.
+	@Test
+	void stateOfForeignFailureDomainIsIgnored() {
+		Entry entry = anyEntryOf("hall-a");
+		Frame wrong = Frame.newBuilder()
+			.setPlaceState(org.wisteriapost.protocol.wire.PlaceState.newBuilder()
+				.setPlace("hall-c")
+				.addEngines(EngineState.newBuilder().setAddress(engine("hall-c"))))
+			.build();
+		assertThat(entry.relay.heard("hall-b-0", wrong.getPlaceState(), 0), Matchers.empty());
+		assertThat(entry.relay.heard("nobody", wrong.getPlaceState(), 0), Matchers.empty());
+		assertThat(this.crossDomainFrames, Matchers.empty());
+	}
+
+	/** An entry with its registry and dispatcher. */
+	private final class Entry {
+
+		private final EntryInfo info;
+
+		private final EntryRoster registry;
+
+		private final Dispatcher dispatcher;
+
+		private final PlaceNews relay;
+
+		private final List<EngineState> receivedEngines = new ArrayList<>();
+
+		private int receivedLoads;
+
+		private Entry(EntryInfo info, List<EntryInfo> all) {
+			this.info = info;
+			this.registry = new EntryRoster(info);
+			all.forEach((one) -> this.registry.put(one, 1, 0));
+			this.registry.linkTargets().forEach((one) -> this.registry.linked(one.name(), true, 0));
+			this.dispatcher = Dispatcher.create(
+					new DispatchLimits(info.place(), 0.2, 100, Duration.ofSeconds(10), Duration.ofSeconds(8)),
+					RandomSource.XO_RO_SHI_RO_128_PP.create(1));
+			FAILURE_DOMAINS
+				.forEach((failureDomain) -> this.dispatcher.runner(new RunnerInfo("engine-" + failureDomain, "lm",
+						engine(failureDomain), failureDomain, 8, false, 0, Map.of("m", 1), 1, RunnerStart.UNKNOWN), 0));
+			this.relay = new PlaceNews(info.place(), this.registry, this.dispatcher, this::send);
+		}
+
+		private void send(String peer, Frame frame) {
+			Entry to = FailureDomainRelayTests.this.entries.get(peer);
+			if (!to.info.place().equals(this.info.place())) {
+				FailureDomainRelayTests.this.crossDomainFrames.add(this.info.name() + ">" + peer);
+			}
+			to.receivedLoads += frame.getPlaceState().getLoadsCount();
+			to.receivedEngines.addAll(to.relay.heard(this.info.name(), frame.getPlaceState(), 0));
+		}
+
+	}
+
+}
--- a/entry/src/test/java/org/wisteriapost/entry/direct/LateReadingTests.java
+++ b/entry/src/test/java/org/wisteriapost/entry/direct/LateStoreReadTests.java
@@ -22,13 +22,12 @@
 import static org.hamcrest.MatcherAssert.assertThat;
 
 /**
- * A caller is rejected by an old table, or sent to a runner that has left, long after the
- * entry has read what is new. It came to rest while what it had read was on its way to
- * the thread that decides, so that was not taken; the reading goes on later from behind
- * it and never brings it again. And what a neighbour says may be older than what the
- * entry has read itself.
+ * A read that completes after the entry has become a follower is discarded, and the watch
+ * would resume behind it. It must be read again, or callers are rejected by a stale table
+ * or sent to a removed runner. An update of a peer that is older than what the entry has
+ * read itself is ignored.
  */
-class LateReadingTests {
+class LateStoreReadTests {
 
 	private static final String KNOWN = "/known/";
 
@@ -45,44 +44,44 @@
 		this.bench.close();
 	}
 
-	static Stream<Arguments> kindsAndWays() {
+	static Stream<Arguments> kindsAndReadModes() {
 		return Stream.of(Kind.values())
 			.flatMap((kind) -> Stream.of(false, true).map((listed) -> Arguments.of(kind, listed)));
 	}
 
 	@ParameterizedTest
-	@MethodSource("kindsAndWays")
-	void whatWasReadAndNotTakenIsReadAgain(Kind kind, boolean listed) {
+	@MethodSource("kindsAndReadModes")
+	void discardedReadIsRepeated(Kind kind, boolean listed) {
 		List<ObjectStore.Item> routes = List.of(this.bench.routes(5, StateBench.table(1, KNOWN)));
 		List<ObjectStore.Item> runners = List.of(this.bench.runner(5, OLD_ADDRESS));
 		this.bench.follow(routes, runners);
 		this.bench.readerReads(routes, runners);
 		this.bench.untilAsked();
-		reads(kind, listed);
+		completeRead(kind, listed);
 		this.bench.hear();
 		this.bench.pump();
-		this.bench.store().asked();
+		this.bench.store().drainCalls();
 		this.bench.link(false);
 		this.bench.run(Duration.ofMillis(200));
-		assertThat(this.bench.store().asked(), Matchers.containsInAnyOrder(again(EnumSet.of(kind))));
+		assertThat(this.bench.store().drainCalls(), Matchers.containsInAnyOrder(expectedCalls(EnumSet.of(kind))));
 	}
 
-	// Nothing came too late: only what has changed meanwhile is asked for.
+	// If nothing was discarded, only later changes are requested.
 	@Test
-	void whatWasTakenIsNotReadAgain() {
+	void appliedReadIsNotRepeated() {
 		List<ObjectStore.Item> routes = List.of(this.bench.routes(5, StateBench.table(1, KNOWN)));
 		List<ObjectStore.Item> runners = List.of(this.bench.runner(5, OLD_ADDRESS));
 		this.bench.follow(routes, runners);
 		this.bench.readerReads(routes, runners);
 		this.bench.untilAsked();
 		this.bench.hear();
-		this.bench.store().asked();
+		this.bench.store().drainCalls();
 		this.bench.link(false);
 		this.bench.run(Duration.ofMillis(200));
-		assertThat(this.bench.store().asked(), Matchers.containsInAnyOrder(again(Set.of())));
+		assertThat(this.bench.store().drainCalls(), Matchers.containsInAnyOrder(expectedCalls(Set.of())));
 	}
 
-	private void reads(Kind kind, boolean listed) {
+	private void completeRead(Kind kind, boolean listed) {
 		if (listed) {
 			this.bench.store().watch(kind).completeExceptionally(CodedException.of(ObjectStore.HISTORY_GONE, "test"));
 			return;
@@ -93,28 +92,28 @@
 			.complete(new ObjectStore.Changes(List.of(new ObjectStore.Change(item, false)), 9));
 	}
 
-	private static String[] again(Set<Kind> whole) {
-		List<String> asked = new ArrayList<>();
+	private static String[] expectedCalls(Set<Kind> listedKinds) {
+		List<String> calls = new ArrayList<>();
 		for (Kind kind : Kind.values()) {
-			asked.add((whole.contains(kind) ? "list " : "since ") + kind);
-			if (whole.contains(kind)) {
-				asked.add("watch " + kind);
+			calls.add((listedKinds.contains(kind) ? "list " : "since ") + kind);
+			if (listedKinds.contains(kind)) {
+				calls.add("watch " + kind);
 			}
 		}
-		return asked.toArray(String[]::new);
+		return calls.toArray(String[]::new);
 	}
 
-	// The store does not answer this entry, which asks its neighbour. That has missed
-	// what changed last.
+	// The store does not answer this entry, and the peer that it asks has missed the
+	// last change.
 	@ParameterizedTest
-	@CsvSource({ "MOVED,sent to " + NEW_ADDRESS, "GONE,waits", "ROUTE_DROPPED,refused table-doubtful" })
-	void whatANeighbourSaysThatIsOlderIsLeftOut(Changed changed, String answer) {
+	@CsvSource({ "MOVED,sent to " + NEW_ADDRESS, "REMOVED,waits", "ROUTE_DROPPED,refused table-doubtful" })
+	void olderUpdateFromPeerIsIgnored(Changed changed, String answer) {
 		List<ObjectStore.Item> routes = List.of(this.bench.routes(5, StateBench.table(1, KNOWN)));
 		List<ObjectStore.Item> runners = List.of(this.bench.runner(5, OLD_ADDRESS));
 		this.bench.bothRead(routes, runners);
 		ObjectStore.Change change = switch (changed) {
 			case MOVED -> new ObjectStore.Change(this.bench.runner(9, NEW_ADDRESS), false);
-			case GONE -> new ObjectStore.Change(this.bench.runner(9, OLD_ADDRESS), true);
+			case REMOVED -> new ObjectStore.Change(this.bench.runner(9, OLD_ADDRESS), true);
 			case ROUTE_DROPPED -> new ObjectStore.Change(this.bench.routes(9, StateBench.table(2, "/other/")), false);
 		};
 		Kind kind = (changed == Changed.ROUTE_DROPPED) ? Kind.ROUTES : Kind.RUNNERS;
@@ -125,10 +124,10 @@
 		assertThat(this.bench.request(KNOWN, TOKEN), Matchers.equalTo(answer));
 	}
 
-	/** What the neighbour has missed. */
+	/** The change that the peer has missed. */
 	enum Changed {
 
-		MOVED, GONE, ROUTE_DROPPED
+		MOVED, REMOVED, ROUTE_DROPPED
 
 	}
 
--- a/entry/src/test/java/org/wisteriapost/entry/direct/LoadReportsTests.java
+++ b/entry/src/test/java/org/wisteriapost/entry/direct/LoadReporterTests.java
@@ -16,7 +16,7 @@
 
 import static org.hamcrest.MatcherAssert.assertThat;
 
-class LoadReportsTests {
+class LoadReporterTests {
 
 	private static final int TICKS_IN_10_S = 500;
 
@@ -24,71 +24,69 @@
 
 	private final List<Frame> frames = new ArrayList<>();
 
-	private final LoadReports reports = new LoadReports("hall-a", (peer, frame) -> {
+	private final LoadReports reporter = new LoadReports("hall-a", (peer, frame) -> {
 		this.sent.add(peer);
 		this.frames.add(frame);
 	});
 
 	private void tick(long tick, List<EntryInfo> others, List<RunnerLoad> loads) {
-		this.reports.tick(tick, tick * 20_000_000, () -> others, () -> loads);
+		this.reporter.tick(tick, tick * 20_000_000, () -> others, () -> loads);
 	}
 
-	private static List<EntryInfo> entries(int near, int far) {
+	private static List<EntryInfo> entries(int local, int remote) {
 		List<EntryInfo> entries = new ArrayList<>();
-		for (int i = 0; i < near + far; i++) {
-			String place = (i < near) ? "hall-a" : "hall-b";
-			entries.add(new EntryInfo(place + "-" + i, i, "", "", place, ""));
+		for (int i = 0; i < local + remote; i++) {
+			String failureDomain = (i < local) ? "hall-a" : "hall-b";
+			entries.add(new EntryInfo(failureDomain + "-" + i, i, "", "", failureDomain, ""));
 		}
 		return entries;
 	}
 
-	private static List<RunnerLoad> at(PeerLoad load) {
+	private static List<RunnerLoad> loads(PeerLoad load) {
 		return List.of(new RunnerLoad("runner", RunnerStart.UNKNOWN, load));
 	}
 
-	private static List<RunnerLoad> busy(long tick) {
-		return at(new PeerLoad(1 + (int) (tick % 7), 0, 0));
+	private static List<RunnerLoad> changingLoads(long tick) {
+		return loads(new PeerLoad(1 + (int) (tick % 7), 0, 0));
 	}
 
-	// Load changes all the time. However many entries there are, one of them sends no
-	// more than a bounded number of messages a second, or they would grow with the
-	// square.
+	// Load changes all the time. Without a bound per entry the messages would grow with
+	// the square of the entries.
 	@ParameterizedTest
 	@CsvSource({ "1,4,15,45", "13,28,70,100", "100,200,70,110" })
-	void messagesAreBoundedHoweverManyEntriesThereAre(int near, int far, int least, int most) {
+	void messageRateIsBounded(int local, int remote, int min, int max) {
 		for (long tick = 0; tick < TICKS_IN_10_S; tick++) {
-			tick(tick, entries(near, far), busy(tick));
+			tick(tick, entries(local, remote), changingLoads(tick));
 		}
 		assertThat(this.sent.size() / 10,
-				Matchers.allOf(Matchers.greaterThanOrEqualTo(least), Matchers.lessThanOrEqualTo(most)));
+				Matchers.allOf(Matchers.greaterThanOrEqualTo(min), Matchers.lessThanOrEqualTo(max)));
 	}
 
 	@Test
-	void entriesOfTheSamePlaceAreToldTwiceAsOften() {
+	void peersInFailureDomainGetReportsTwiceAsOften() {
 		for (long tick = 0; tick < TICKS_IN_10_S; tick++) {
-			tick(tick, entries(1, 1), busy(tick));
+			tick(tick, entries(1, 1), changingLoads(tick));
 		}
-		long near = this.sent.stream().filter((name) -> name.startsWith("hall-a")).count();
-		assertThat(near, Matchers.equalTo(2 * (this.sent.size() - near)));
+		long local = this.sent.stream().filter((name) -> name.startsWith("hall-a")).count();
+		assertThat(local, Matchers.equalTo(2 * (this.sent.size() - local)));
 	}
 
-	// A message was lost. What is in flight without any change is said again each second,
-	// so that no entry goes on believing a runner empty.
+	// Unchanged load is repeated each second, so that a lost message does not make a
+	// runner seem idle.
 	@Test
-	void whatDoesNotChangeIsSaidAgainEachSecond() {
+	void unchangedLoadIsRepeatedEachSecond() {
 		for (long tick = 0; tick < TICKS_IN_10_S; tick++) {
-			tick(tick, entries(1, 0), at(new PeerLoad(3, 0, 0)));
+			tick(tick, entries(1, 0), loads(new PeerLoad(3, 0, 0)));
 		}
 		assertThat(this.sent.size(), Matchers.allOf(Matchers.greaterThanOrEqualTo(9), Matchers.lessThanOrEqualTo(11)));
 	}
 
-	// A caller that was refused comes back to another entry, which must know it for a
-	// late one. Every entry is told once, near and far, with the age that the request
-	// has then.
+	// The caller retries at another entry, which must recognise the request as late.
+	// Each entry is told once, with the age of the request at that time.
 	@Test
-	void aRefusedRequestIsToldOnceToEveryEntry() {
+	void refusedRequestIsReportedOnceToEachEntry() {
 		tick(0, entries(1, 1), List.of());
-		this.reports.refused(new RefusedRequest(7, 0, 6_000_000_000L));
+		this.reporter.refused(new RefusedRequest(7, 0, 6_000_000_000L));
 		for (long tick = 1; tick < 100; tick++) {
 			tick(tick, entries(1, 1), List.of());
 		}
@@ -96,16 +94,16 @@
 		assertThat(this.frames.getFirst().getLoadReport().getRefused(0),
 				Matchers.equalTo(org.wisteriapost.protocol.wire.RefusedRequest.newBuilder()
 					.setRequest(7)
-					.setAskedMillis(LoadReports.NEAR_TICKS * 20)
-					.setLeftMillis(6000 - LoadReports.NEAR_TICKS * 20)
+					.setAskedMillis(LoadReports.LOCAL_INTERVAL_TICKS * 20)
+					.setLeftMillis(6000 - LoadReports.LOCAL_INTERVAL_TICKS * 20)
 					.build()));
 	}
 
 	@Test
-	void whatHasEndedIsSaidOnce() {
-		tick(0, entries(1, 0), at(new PeerLoad(3, 0, 0)));
-		tick(10, entries(1, 0), at(PeerLoad.NONE));
-		tick(20, entries(1, 0), at(PeerLoad.NONE));
+	void endedLoadIsReportedOnce() {
+		tick(0, entries(1, 0), loads(new PeerLoad(3, 0, 0)));
+		tick(10, entries(1, 0), loads(PeerLoad.NONE));
+		tick(20, entries(1, 0), loads(PeerLoad.NONE));
 		assertThat(this.frames, Matchers.hasSize(2));
 		assertThat(this.frames.getLast().getLoadReport().getLoads(0).getActive(), Matchers.equalTo(0));
 	}
--- a/entry/src/test/java/org/wisteriapost/entry/direct/AnnouncerTests.java
+++ b/entry/src/test/java/org/wisteriapost/entry/direct/PeerNotifierTests.java
@@ -30,11 +30,10 @@
 import static org.hamcrest.MatcherAssert.assertThat;
 
 /**
- * An entry whose link to an agent or another entry is full while it has something to say
- * there that it says once. It took it for said: the agent's engine stayed on weights that
- * were over, and callers were sent on to an entry that had left.
+ * A frame that a full link drops must not count as sent: an engine would stay on
+ * superseded weights, and callers would be directed to an entry that has left.
  */
-class AnnouncerTests {
+class PeerNotifierTests {
 
 	private static final long SECOND = Duration.ofSeconds(1).toNanos();
 
@@ -44,15 +43,15 @@
 
 	private static final EntryInfo OTHER = new EntryInfo("edge-2", 1, "10.0.0.2:80", "10.0.0.2:7700", "hall-a", "");
 
-	private final EntryRoster roster = new EntryRoster(SELF);
+	private final EntryRoster registry = new EntryRoster(SELF);
 
 	private final Dispatcher dispatcher = Dispatcher.create(
 			new DispatchLimits("hall-a", 0.2, 10, Duration.ofSeconds(10), Duration.ofSeconds(8)),
 			RandomSource.XO_RO_SHI_RO_128_PP.create(1));
 
-	private final Announcer announcer = new Announcer(settings(), SELF, this.roster, this.dispatcher);
+	private final Announcer notifier = new Announcer(settings(), SELF, this.registry, this.dispatcher);
 
-	private final FullLinks links = new FullLinks();
+	private final FullLinkTransport links = new FullLinkTransport();
 
 	private final Optional<RouteTable> table = Optional.of(table());
 
@@ -74,59 +73,59 @@
 
 	@BeforeEach
 	void start() {
-		this.announcer.connect(this.links);
-		this.roster.put(OTHER, 1, 0);
-		this.roster.linked("edge-2", true, 0);
+		this.notifier.connect(this.links);
+		this.registry.put(OTHER, 1, 0);
+		this.registry.linked("edge-2", true, 0);
 		this.dispatcher.table(this.table.get());
 		this.dispatcher.runner(
 				new RunnerInfo("r1", "lm", AGENT, "hall-a", 16, false, 0, Map.of("lm", 1), 1, RunnerStart.UNKNOWN), 0);
 	}
 
-	private List<Integer> versionsTold() {
-		return this.links.told.stream()
+	private List<Integer> versionsSent() {
+		return this.links.sent.stream()
 			.filter(Frame::hasWeightsNamed)
 			.map((frame) -> frame.getWeightsNamed().getVersion())
 			.toList();
 	}
 
-	// Weights are named while the agent's link is full. Once the link takes frames again
-	// the agent hears of them, once, without any other change.
+	// Target weights are published while the agent's link is full. Once the link
+	// accepts frames, the agent is notified once, without another change.
 	@Test
-	void weightsThatAFullLinkDidNotTakeAreSaidAgain() {
-		this.announcer.tellAgents(this.table);
+	void targetWeightsAreResentAfterFullLink() {
+		this.notifier.notifyAgents(this.table);
 		this.links.full.add(AGENT);
-		this.announcer.named(new NamedWeights("lm", 2));
-		this.announcer.tellAgents(this.table);
-		this.announcer.tick(this.table, SECOND);
-		assertThat(versionsTold(), Matchers.contains(1));
+		this.notifier.updateTargetVersion(new NamedWeights("lm", 2));
+		this.notifier.notifyAgents(this.table);
+		this.notifier.tick(this.table, SECOND);
+		assertThat(versionsSent(), Matchers.contains(1));
 		this.links.full.clear();
-		this.announcer.tick(this.table, 2 * SECOND);
-		this.announcer.tick(this.table, 3 * SECOND);
-		assertThat(versionsTold(), Matchers.contains(1, 2));
+		this.notifier.tick(this.table, 2 * SECOND);
+		this.notifier.tick(this.table, 3 * SECOND);
+		assertThat(versionsSent(), Matchers.contains(1, 2));
 	}
 
 	@Test
-	void aNoticeOfLeavingThatAFullLinkDidNotTakeIsSaidAgain() {
+	void leavingNoticeIsResentAfterFullLink() {
 		this.links.full.add("edge-2");
-		this.announcer.leaving();
-		this.announcer.tick(this.table, SECOND);
-		assertThat(this.links.told.stream().filter(Frame::hasLeaving).count(), Matchers.equalTo(0L));
+		this.notifier.leaving();
+		this.notifier.tick(this.table, SECOND);
+		assertThat(this.links.sent.stream().filter(Frame::hasLeaving).count(), Matchers.equalTo(0L));
 		this.links.full.clear();
-		this.announcer.tick(this.table, 2 * SECOND);
-		this.announcer.tick(this.table, 3 * SECOND);
-		assertThat(this.links.told.stream().filter(Frame::hasLeaving).count(), Matchers.equalTo(1L));
+		this.notifier.tick(this.table, 2 * SECOND);
+		this.notifier.tick(this.table, 3 * SECOND);
+		assertThat(this.links.sent.stream().filter(Frame::hasLeaving).count(), Matchers.equalTo(1L));
 	}
 
-	/** Links of which some are full. */
-	private static final class FullLinks implements PeerSender {
+	/** Links, some of which are full. */
+	private static final class FullLinkTransport implements PeerSender {
 
 		private final Set<String> full = new HashSet<>();
 
-		private final List<Frame> told = new ArrayList<>();
+		private final List<Frame> sent = new ArrayList<>();
 
 		@Override
 		public void desired(Map<String, InetSocketAddress> peers) {
-			// All are linked already.
+			// All peers are linked already.
 		}
 
 		@Override
@@ -134,7 +133,7 @@
 			if (this.full.contains(name)) {
 				return Sending.LINK_FULL;
 			}
-			this.told.add(frame);
+			this.sent.add(frame);
 			return Sending.SENT;
 		}
 
--- a/entry/src/test/java/org/wisteriapost/entry/direct/TableAgeTests.java
+++ b/entry/src/test/java/org/wisteriapost/entry/direct/RejectionStalenessTests.java
@@ -17,11 +17,11 @@
 import static org.hamcrest.MatcherAssert.assertThat;
 
 /**
- * A caller is told for good that there is no such route, token or size. Whatever it is
- * told so by must be known to be the newest within nine tenths of the site's bound, else
- * a route that was declared meanwhile is rejected.
+ * A final rejection for an unknown route or token or an excessive size requires that the
+ * table was confirmed within nine tenths of the site's bound. Otherwise a route that was
+ * declared in the meantime would be rejected.
  */
-class TableAgeTests {
+class RejectionStalenessTests {
 
 	private static final String KNOWN = "/known/";
 
@@ -52,113 +52,113 @@
 
 	@ParameterizedTest
 	@EnumSource
-	void whatWasNeverConfirmedRejectsNothing(Wrong wrong) {
-		assertThat(wrong.answer(this.bench), Matchers.equalTo(Wrong.DOUBTFUL));
+	void unconfirmedTableRejectsNothing(Fault fault) {
+		assertThat(fault.answer(this.bench), Matchers.equalTo(Fault.DOUBTFUL));
 	}
 
 	@ParameterizedTest
 	@CsvSource({ "ROUTE,0,true", "ROUTE,2700,true", "ROUTE,2701,false", "TOKEN,0,true", "TOKEN,2700,true",
 			"TOKEN,2701,false", "NO_TOKEN,0,true", "NO_TOKEN,2700,true", "NO_TOKEN,2701,false", "SIZE,0,true",
 			"SIZE,2700,true", "SIZE,2701,false" })
-	void onlyWhatIsYoungEnoughRejects(Wrong wrong, long ageMillis, boolean rejects) {
-		confirmed(Kind.ROUTES, this.bench.now() - millis(ageMillis));
-		assertThat(wrong.answer(this.bench), Matchers.equalTo(rejects ? wrong.rejected : Wrong.DOUBTFUL));
+	void onlyRecentlyConfirmedTableRejects(Fault fault, long stalenessMillis, boolean rejects) {
+		confirmed(Kind.ROUTES, this.bench.now() - millis(stalenessMillis));
+		assertThat(fault.answer(this.bench), Matchers.equalTo(rejects ? fault.rejection : Fault.DOUBTFUL));
 	}
 
 	@ParameterizedTest
 	@EnumSource
-	void whatIsKnownOfOtherKindsRejectsNothing(Wrong wrong) {
+	void confirmationOfOtherKindsRejectsNothing(Fault fault) {
 		for (Kind kind : Kind.values()) {
 			if (kind != Kind.ROUTES) {
 				confirmed(kind, this.bench.now());
 			}
 		}
-		assertThat(wrong.answer(this.bench), Matchers.equalTo(Wrong.DOUBTFUL));
+		assertThat(fault.answer(this.bench), Matchers.equalTo(Fault.DOUBTFUL));
 	}
 
-	// The store's answer was under way when the VM was suspended, and is read after it.
-	// By the monotonic clock it is some milliseconds old.
+	// The store's answer is in transit while the VM is suspended. By the monotonic
+	// clock it is some milliseconds old when it is read.
 	@ParameterizedTest
 	@EnumSource
-	void whatWasKnownBeforeASuspensionRejectsNothing(Wrong wrong) {
+	void confirmationBeforeSuspensionRejectsNothing(Fault fault) {
 		confirmed(Kind.ROUTES, this.bench.now());
-		long askedBefore = this.bench.now();
+		long callNanos = this.bench.now();
 		this.bench.suspend(TEN_SECONDS);
 		this.bench.tick();
-		assertThat(wrong.answer(this.bench), Matchers.equalTo(Wrong.DOUBTFUL));
-		confirmed(Kind.ROUTES, askedBefore);
-		assertThat(wrong.answer(this.bench), Matchers.equalTo(Wrong.DOUBTFUL));
+		assertThat(fault.answer(this.bench), Matchers.equalTo(Fault.DOUBTFUL));
+		confirmed(Kind.ROUTES, callNanos);
+		assertThat(fault.answer(this.bench), Matchers.equalTo(Fault.DOUBTFUL));
 		confirmed(Kind.ROUTES, this.bench.now());
-		assertThat(wrong.answer(this.bench), Matchers.equalTo(wrong.rejected));
+		assertThat(fault.answer(this.bench), Matchers.equalTo(fault.rejection));
 	}
 
-	// The front judges sizes on a thread of its own, by what the thread that decides has
-	// said last. That one is held up, or the VM was suspended since.
+	// The front checks sizes on its own thread, by what the state thread has published
+	// last. The state thread is delayed, or the VM was suspended since.
 	@ParameterizedTest
 	@CsvSource({ "2700,0,true", "2701,0,false", "0,10000,false" })
-	void sizesAreJudgedByTheAgeOfNow(long passedMillis, long suspendedMillis, boolean rejects) {
+	void sizeCheckUsesCurrentStaleness(long passedMillis, long suspendedMillis, boolean rejects) {
 		confirmed(Kind.ROUTES, this.bench.now());
 		this.bench.pass(passedMillis);
 		this.bench.suspend(Duration.ofMillis(suspendedMillis));
 		assertThat(this.bench.view().mayReject(), Matchers.equalTo(rejects));
 	}
 
-	// The neighbour reads for this entry. What an own call found, made before it came to
-	// rest, was not taken and confirms nothing.
+	// The leader reads for this entry. A call of its own from before it became a
+	// follower confirms nothing.
 	@ParameterizedTest
 	@EnumSource
-	void whoRestsIsConfirmedByItsReaderAlone(Wrong wrong) {
+	void followerIsConfirmedByLeaderOnly(Fault fault) {
 		this.bench.untilAsked();
 		this.bench.hear();
 		confirmed(Kind.ROUTES, this.bench.now());
-		assertThat(wrong.answer(this.bench), Matchers.equalTo(Wrong.DOUBTFUL));
+		assertThat(fault.answer(this.bench), Matchers.equalTo(Fault.DOUBTFUL));
 		this.bench.reader().confirmed(this.bench.now() - millis(2700));
 		this.bench.run(Duration.ofSeconds(1));
-		assertThat(wrong.answer(this.bench), Matchers.equalTo(Wrong.DOUBTFUL));
+		assertThat(fault.answer(this.bench), Matchers.equalTo(Fault.DOUBTFUL));
 		this.bench.reader().confirmed(this.bench.now());
 		this.bench.run(Duration.ofMillis(1100));
-		assertThat(wrong.answer(this.bench), Matchers.equalTo(wrong.rejected));
+		assertThat(fault.answer(this.bench), Matchers.equalTo(fault.rejection));
 	}
 
-	// The entry that reads for others was suspended. It says no age until its routes are
-	// confirmed by a call that was made afterwards: whoever hears it would take them for
-	// younger than they are by as long as it was away.
+	// The leader was suspended. It must not send a staleness until its routes are
+	// confirmed by a later call: its followers would understate theirs by the length of
+	// the suspension.
 	@ParameterizedTest
 	@CsvSource({ "-1,false", "0,true" })
-	void whoReadsForOthersSaysNoAgeFromBeforeASuspension(long askedAfterMillis, boolean said) {
+	void leaderSendsNoAgeFromBeforeSuspension(long callOffsetMillis, boolean sent) {
 		this.bench.link(true);
 		confirmed(Kind.ROUTES, this.bench.now());
 		this.bench.suspend(TEN_SECONDS);
 		this.bench.tick();
-		confirmed(Kind.ROUTES, this.bench.now() + millis(askedAfterMillis));
+		confirmed(Kind.ROUTES, this.bench.now() + millis(callOffsetMillis));
 		this.bench.sent().clear();
 		NewsRequest request = NewsRequest.newBuilder().setWanted(true).setStamp(7).build();
 		this.bench.apply(new DirectEvent.PeerWantsNews(StateBench.READER, request));
 		Frame answer = this.bench.sent().getLast();
 		assertThat(answer.getNews().getCurrent(), Matchers.equalTo(true));
-		assertThat(answer.getNews().hasAgeMillis(), Matchers.equalTo(said));
+		assertThat(answer.getNews().hasAgeMillis(), Matchers.equalTo(sent));
 	}
 
 	/** What is wrong with a request. */
-	enum Wrong {
+	enum Fault {
 
 		ROUTE("rejected 404"), TOKEN("rejected 401"), NO_TOKEN("rejected 401"), SIZE("rejected");
 
 		static final String DOUBTFUL = "refused " + Intake.TABLE_DOUBTFUL.name();
 
-		final String rejected;
+		final String rejection;
 
-		Wrong(String rejected) {
-			this.rejected = rejected;
+		Fault(String rejected) {
+			this.rejection = rejected;
 		}
 
-		// The size is checked by the front, before a request is handed on.
+		// The front checks the size before it passes a request on.
 		String answer(StateBench bench) {
 			return switch (this) {
-				case ROUTE -> bench.request("/other/", TableAgeTests.TOKEN);
+				case ROUTE -> bench.request("/other/", RejectionStalenessTests.TOKEN);
 				case TOKEN -> bench.request(KNOWN, Optional.of("other"));
 				case NO_TOKEN -> bench.request(KNOWN, Optional.empty());
-				case SIZE -> bench.view().mayReject() ? this.rejected : DOUBTFUL;
+				case SIZE -> bench.view().mayReject() ? this.rejection : DOUBTFUL;
 			};
 		}
 
