--- a/entry/src/main/java/org/wisteriapost/entry/process/Flight.java
+++ b/entry/src/main/java/org/wisteriapost/entry/process/ActiveRequest.java
@@ -9,9 +9,9 @@
 import org.wisteriapost.entry.link.PeerLink;
 
 /**
- * One request in progress and the attempt that may still answer it.
+ * A request in progress and its current dispatch attempt, if any.
  */
-final class Flight {
+final class ActiveRequest {
 
 	private final CallerCall call;
 
@@ -19,9 +19,9 @@
 
 	private Optional<Attempt> attempt = Optional.empty();
 
-	private boolean headOut;
+	private boolean headSent;
 
-	Flight(CallerCall call, long arrivedNanos) {
+	ActiveRequest(CallerCall call, long arrivedNanos) {
 		this.call = call;
 		this.arrivedNanos = arrivedNanos;
 	}
@@ -51,18 +51,18 @@
 	}
 
 	/**
-	 * Returns whether the caller has seen the answer's head.
+	 * Returns whether the answer's head was sent to the caller.
 	 */
-	boolean headOut() {
-		return this.headOut;
+	boolean headSent() {
+		return this.headSent;
 	}
 
-	void markHeadOut() {
-		this.headOut = true;
+	void markHeadSent() {
+		this.headSent = true;
 	}
 
 	/**
-	 * One sending of a request to one runner over one link.
+	 * A dispatch of a request to a runner over one link.
 	 */
 	static final class Attempt {
 
@@ -72,9 +72,9 @@
 
 		private final String weightsDigest;
 
-		private final ByteArrayOutputStream held = new ByteArrayOutputStream();
+		private final ByteArrayOutputStream buffer = new ByteArrayOutputStream();
 
-		private Optional<Started> started = Optional.empty();
+		private Optional<AnswerHead> head = Optional.empty();
 
 		Attempt(long callId, PeerLink peer, String weightsDigest) {
 			this.callId = callId;
@@ -94,27 +94,27 @@
 			return this.weightsDigest;
 		}
 
-		ByteArrayOutputStream held() {
-			return this.held;
+		ByteArrayOutputStream buffer() {
+			return this.buffer;
 		}
 
-		Optional<Started> started() {
-			return this.started;
+		Optional<AnswerHead> head() {
+			return this.head;
 		}
 
-		void started(Started head) {
-			this.started = Optional.of(head);
+		void head(AnswerHead head) {
+			this.head = Optional.of(head);
 		}
 
 	}
 
 	/**
-	 * An answer's head, held until there is data to send with it.
+	 * An answer's status and headers, buffered until there is data to send with them.
 	 *
 	 * @param status the HTTP status
-	 * @param headers to pass on
+	 * @param headers the headers to pass to the caller
 	 */
-	record Started(int status, List<Map.Entry<String, String>> headers) {
+	record AnswerHead(int status, List<Map.Entry<String, String>> headers) {
 	}
 
 }
--- a/entry/src/main/java/org/wisteriapost/entry/process/BurnRecorder.java
+++ b/entry/src/main/java/org/wisteriapost/entry/process/BurnRecorder.java
@@ -15,8 +15,8 @@
 import org.wisteriapost.policy.request.Request;
 
 /**
- * Turns final answers into service-level figures. Written to by the event loop, read by
- * the timer that takes them to the platform.
+ * Counts final answers against the service-level objectives. Updated by the event loop
+ * and read by the timer that writes snapshots to the platform.
  */
 final class BurnRecorder {
 
@@ -24,14 +24,14 @@
 
 	private final Map<Long, Long> firstByteMillis = new HashMap<>();
 
-	private final BurnJudge judge;
+	private final BurnJudge classifier;
 
-	private BurnRecorder(BurnJudge judge) {
-		this.judge = judge;
+	private BurnRecorder(BurnJudge classifier) {
+		this.classifier = classifier;
 	}
 
 	/**
-	 * Returns a recorder that tells late answers by these objectives.
+	 * Returns a recorder that classifies answers by these objectives.
 	 */
 	static BurnRecorder of(List<Objective> objectives) {
 		return new BurnRecorder(BurnJudge.of(objectives));
@@ -42,12 +42,12 @@
 	}
 
 	/**
-	 * Counts a final answer. One whose caller hung up is not the service's failure and is
-	 * left out.
+	 * Counts a final answer. A request whose caller disconnected is not a failure of the
+	 * service and is not counted.
 	 */
 	synchronized void answered(Request request, Outcome outcome, String code, long nowMillis) {
 		Long firstByte = this.firstByteMillis.remove(request.id());
-		if (code.equals(Calls.CALLER_GONE.name())) {
+		if (code.equals(ActiveRequests.CALLER_GONE.name())) {
 			return;
 		}
 		this.ledger.count(new Series(request.service(), request.organisation()), result(request, outcome, firstByte),
@@ -60,12 +60,10 @@
 
 	private Result result(Request request, Outcome outcome, Long firstByte) {
 		return switch (outcome) {
-			case RAN ->
-				this.judge.answered(request.service(), request.organisation(), (firstByte != null) ? firstByte : 0);
+			case RAN -> this.classifier.answered(request.service(), request.organisation(),
+					(firstByte != null) ? firstByte : 0);
 			case NOT_RUN -> Result.REFUSED;
-			// An answer whose first byte went out and that was then given up was cut
-			// before
-			// the caller's eyes.
+			// The caller saw an answer that started and then broke off.
 			case UNKNOWN -> (firstByte != null) ? Result.FAILED : Result.UNKNOWN;
 		};
 	}
--- a/entry/src/main/java/org/wisteriapost/entry/process/CallFrames.java
+++ b/entry/src/main/java/org/wisteriapost/entry/process/CallFrames.java
@@ -15,21 +15,18 @@
 import org.wisteriapost.protocol.wire.Priority;
 
 /**
- * Translates calls and answers' heads to and from frames.
+ * Converts calls to frames, and frames to the headers of answers.
  */
 final class CallFrames {
 
-	// Hop by hop, set anew for the caller, or ours to say.
-	private static final Set<String> NOT_PASSED = Set.of("connection", "keep-alive", "transfer-encoding",
+	// Hop-by-hop headers, and headers that the entry sets itself.
+	private static final Set<String> WITHHELD_HEADERS = Set.of("connection", "keep-alive", "transfer-encoding",
 			"content-length", "trailer", "upgrade", "server", "wisteriapost-outcome", "wisteriapost-request-id",
 			"wisteriapost-weights", "wisteriapost-retry-after-ms");
 
 	private CallFrames() {
 	}
 
-	/**
-	 * Returns the frame that sends a call.
-	 */
 	static Call call(CallerCall call, long callId, String weightsDigest, long nowNanos) {
 		Call.Builder builder = Call.newBuilder()
 			.setId(callId)
@@ -37,7 +34,7 @@
 			.setMethod(call.method())
 			.setPath(call.path())
 			.setBody(ByteString.copyFrom(call.body()))
-			.setRemainingMillis(remaining(call, nowNanos))
+			.setRemainingMillis(remainingMillis(call, nowNanos))
 			.setPriority(priority(call))
 			.setWeightsDigest(weightsDigest)
 			.setOrganisation(call.request().organisation())
@@ -49,18 +46,18 @@
 	}
 
 	/**
-	 * Returns the headers of an answer that are the caller's to see.
+	 * Returns the headers of an answer that are passed to the caller.
 	 */
 	static List<Map.Entry<String, String>> headers(CallStarted started) {
 		List<Map.Entry<String, String>> headers = new ArrayList<>();
 		started.getHeadersList()
 			.stream()
-			.filter((header) -> !NOT_PASSED.contains(header.getName().toLowerCase(Locale.ROOT)))
+			.filter((header) -> !WITHHELD_HEADERS.contains(header.getName().toLowerCase(Locale.ROOT)))
 			.forEach((header) -> headers.add(Map.entry(header.getName(), header.getValue())));
 		return headers;
 	}
 
-	private static int remaining(CallerCall call, long nowNanos) {
+	private static int remainingMillis(CallerCall call, long nowNanos) {
 		long millis = TimeUnit.NANOSECONDS.toMillis(call.request().deadlineNanos() - nowNanos);
 		return (int) Math.clamp(millis, 0, Integer.MAX_VALUE);
 	}
--- a/entry/src/main/java/org/wisteriapost/entry/process/ClaimKeeper.java
+++ b/entry/src/main/java/org/wisteriapost/entry/process/ClaimCoordinator.java
@@ -26,10 +26,11 @@
 import org.wisteriapost.policy.request.RequestEvent;
 
 /**
- * Has a call's key claimed before the call is sent, answers repeats from what is kept,
- * and has written down what became of each call. Used by the event loop's thread alone.
+ * Claims a call's idempotency key before the call is sent, answers repeats from the
+ * stored record, and stores the outcome of each call. Used only by the event loop's
+ * thread.
  */
-final class ClaimKeeper implements ClaimDesk {
+final class ClaimCoordinator implements IdempotencyClaims {
 
 	static final Code KEY_TOO_OLD = Code.error("idempotency-key-too-old",
 			"An idempotency key is older than keys are kept; its call may have run.");
@@ -52,9 +53,10 @@
 	static final Code CLAIMS_FULL = Code.refusal("claims-full",
 			"More idempotency keys of one moment are in use than can be kept.");
 
-	// What a registrar's or a booking desk's confirmation takes, several times over. All
-	// keys of some seconds share a value of at most a megabyte.
-	private static final int MAX_KEPT_BYTES = 8 * 1024;
+	// Several times the size of a typical confirmation. All keys issued within some
+	// seconds share one platform object of at most 1 MiB, which larger answers would
+	// fill.
+	private static final int MAX_STORED_ANSWER_BYTES = 8 * 1024;
 
 	private static final int CONFLICT = 409;
 
@@ -62,11 +64,11 @@
 
 	private static final int BAD_REQUEST = 400;
 
-	private static final long UNRESOLVED_MILLIS = 1000;
+	private static final long UNRESOLVED_RETRY_MILLIS = 1000;
 
-	private static final long UNAVAILABLE_MILLIS = 2000;
+	private static final long UNAVAILABLE_RETRY_MILLIS = 2000;
 
-	private static final long FULL_MILLIS = 10_000;
+	private static final long FULL_RETRY_MILLIS = 10_000;
 
 	private final ClaimTable table;
 
@@ -76,13 +78,13 @@
 
 	private final LongSupplier wallMillis;
 
-	private final Map<Long, Ticket> tickets = new HashMap<>();
+	private final Map<Long, PendingClaim> pendingClaims = new HashMap<>();
 
-	private Calls calls;
+	private ActiveRequests requests;
 
-	private volatile int unwritten;
+	private volatile int pendingOperations;
 
-	ClaimKeeper(ClaimTable table, ClaimStore store, LongSupplier clock, LongSupplier wallMillis) {
+	ClaimCoordinator(ClaimTable table, ClaimStore store, LongSupplier clock, LongSupplier wallMillis) {
 		this.table = table;
 		this.store = store;
 		this.clock = clock;
@@ -90,31 +92,31 @@
 	}
 
 	/**
-	 * Sets whom to tell what became of a claim.
+	 * Sets the requests that receive the results of claims.
 	 */
-	void tells(Calls to) {
-		this.calls = to;
+	void attach(ActiveRequests active) {
+		this.requests = active;
 	}
 
 	/**
-	 * Returns how many changes were not in the platform at the last tick; from any
-	 * thread.
+	 * Returns how many changes were not yet written to the platform at the last tick. May
+	 * be called from any thread.
 	 */
-	int unwritten() {
-		return this.unwritten;
+	int pendingOperations() {
+		return this.pendingOperations;
 	}
 
 	void tick() {
-		carryOut(this.table.tick(this.clock.getAsLong()));
-		this.unwritten = this.table.unwritten();
+		execute(this.table.tick(this.clock.getAsLong()));
+		this.pendingOperations = this.table.unwritten();
 	}
 
 	/**
-	 * Takes what the platform answered.
+	 * Applies a reply of the platform.
 	 */
-	void reply(ClaimReply reply) {
+	void onReply(ClaimReply reply) {
 		long now = this.clock.getAsLong();
-		carryOut(switch (reply) {
+		execute(switch (reply) {
 			case ClaimReply.Found found ->
 				this.table.read(found.object(), found.value(), found.version(), found.conflict(), now);
 			case ClaimReply.Written written -> this.table.written(written.object(), written.version(), now);
@@ -125,26 +127,27 @@
 	@Override
 	public void claim(CallerCall call) {
 		CallKey key = call.key().orElseThrow();
-		Optional<ClaimKey.Fault> fault = ClaimKey.check(key.issuedMillis(), this.wallMillis.getAsLong());
-		if (fault.isPresent()) {
-			answer(call, switch (fault.get()) {
-				// Not "not run": the first call with this key may have run, and a caller
-				// that is told otherwise makes the same call with a new key.
+		Optional<ClaimKey.Fault> rejection = ClaimKey.check(key.issuedMillis(), this.wallMillis.getAsLong());
+		if (rejection.isPresent()) {
+			refuseCall(call, switch (rejection.get()) {
+				// The outcome is unknown, not "not-run": the first call with this key may
+				// have run, and after "not-run" a caller would repeat it with a new key.
 				case TOO_OLD -> Refusal.unknown(CONFLICT, KEY_TOO_OLD.name(), KEY_TOO_OLD.summary());
 				case AHEAD -> Refusal.bad(BAD_REQUEST, KEY_AHEAD.name(), KEY_AHEAD.summary());
 			});
 			return;
 		}
-		Ticket ticket = new Ticket(call, ClaimKey.of(call.request().organisation(), key.text(), key.issuedMillis()),
+		PendingClaim pending = new PendingClaim(call,
+				ClaimKey.of(call.request().organisation(), key.text(), key.issuedMillis()),
 				UUID.randomUUID().toString());
-		this.tickets.put(call.id(), ticket);
-		carryOut(this.table.claim(call.id(), ticket.key, callHash(call), ticket.nonce, this.clock.getAsLong()));
+		this.pendingClaims.put(call.id(), pending);
+		execute(this.table.claim(call.id(), pending.key, callHash(call), pending.nonce, this.clock.getAsLong()));
 	}
 
 	@Override
 	public void ran(CallerCall call, int status, List<Map.Entry<String, String>> headers, byte[] body) {
-		if (body.length > MAX_KEPT_BYTES) {
-			ranUnstored(call);
+		if (body.length > MAX_STORED_ANSWER_BYTES) {
+			ranAnswerNotStored(call);
 			return;
 		}
 		List<String> flat = new ArrayList<>();
@@ -156,15 +159,15 @@
 	}
 
 	@Override
-	public void ranUnstored(CallerCall call) {
+	public void ranAnswerNotStored(CallerCall call) {
 		settle(call, State.RAN, KeptAnswer.NONE);
 	}
 
 	@Override
 	public void notRun(CallerCall call) {
-		Ticket ticket = this.tickets.remove(call.id());
-		if (ticket != null) {
-			carryOut(this.table.release(ticket.key, ticket.nonce, this.clock.getAsLong()));
+		PendingClaim pending = this.pendingClaims.remove(call.id());
+		if (pending != null) {
+			execute(this.table.release(pending.key, pending.nonce, this.clock.getAsLong()));
 		}
 	}
 
@@ -174,73 +177,74 @@
 	}
 
 	private void settle(CallerCall call, State state, KeptAnswer answer) {
-		Ticket ticket = this.tickets.remove(call.id());
-		if (ticket != null) {
-			carryOut(this.table.settle(ticket.key, ticket.nonce, state, answer, this.clock.getAsLong()));
+		PendingClaim pending = this.pendingClaims.remove(call.id());
+		if (pending != null) {
+			execute(this.table.settle(pending.key, pending.nonce, state, answer, this.clock.getAsLong()));
 		}
 	}
 
-	private void carryOut(List<ClaimEffect> effects) {
+	private void execute(List<ClaimEffect> effects) {
 		for (ClaimEffect effect : effects) {
 			switch (effect) {
 				case ClaimEffect.Read read -> this.store.read(read);
 				case ClaimEffect.Write write -> this.store.write(write);
-				case ClaimEffect.Tell tell -> told(tell.verdict());
+				case ClaimEffect.Tell tell -> onResult(tell.verdict());
 			}
 		}
 	}
 
-	private void told(ClaimVerdict verdict) {
-		Ticket ticket = this.tickets.get(verdict.id());
-		// The call was given up while its key was being claimed; its release waits behind
-		// the claim.
-		if (ticket == null) {
+	private void onResult(ClaimVerdict result) {
+		PendingClaim pending = this.pendingClaims.get(result.id());
+		// The call ended while its key was being claimed; the table releases the key once
+		// the claim is done.
+		if (pending == null) {
 			return;
 		}
-		switch (verdict) {
-			case ClaimVerdict.Claimed claimed -> this.calls.decide(new RequestEvent.Claimed(claimed.id()));
-			case ClaimVerdict.Repeated repeated -> repeat(ticket, repeated);
+		switch (result) {
+			case ClaimVerdict.Claimed claimed -> this.requests.decide(new RequestEvent.Claimed(claimed.id()));
+			case ClaimVerdict.Repeated repeated -> answerRepeat(pending, repeated);
 			case ClaimVerdict.Expired expired ->
-				lost(ticket, Refusal.unknown(CONFLICT, KEY_TOO_OLD.name(), KEY_TOO_OLD.summary()));
-			case ClaimVerdict.Failed failed ->
-				lost(ticket, failed.full() ? Refusal.later(CLAIMS_FULL.name(), CLAIMS_FULL.summary(), FULL_MILLIS)
-						: Refusal.later(CLAIMS_UNAVAILABLE.name(), CLAIMS_UNAVAILABLE.summary(), UNAVAILABLE_MILLIS));
+				refuse(pending, Refusal.unknown(CONFLICT, KEY_TOO_OLD.name(), KEY_TOO_OLD.summary()));
+			case ClaimVerdict.Failed failed -> refuse(pending, failed.full()
+					? Refusal.later(CLAIMS_FULL.name(), CLAIMS_FULL.summary(), FULL_RETRY_MILLIS)
+					: Refusal.later(CLAIMS_UNAVAILABLE.name(), CLAIMS_UNAVAILABLE.summary(), UNAVAILABLE_RETRY_MILLIS));
 		}
 	}
 
-	private void lost(Ticket ticket, Refusal refusal) {
-		this.tickets.remove(ticket.call.id());
-		answer(ticket.call, refusal);
+	private void refuse(PendingClaim pending, Refusal refusal) {
+		this.pendingClaims.remove(pending.call.id());
+		refuseCall(pending.call, refusal);
 	}
 
-	private void answer(CallerCall call, Refusal refusal) {
+	private void refuseCall(CallerCall call, Refusal refusal) {
 		call.answer().refuse(refusal);
-		this.calls.answeredByClaim(call.id(), refusal.outcome(), refusal.code());
+		this.requests.answeredFromClaim(call.id(), refusal.outcome(), refusal.code());
 	}
 
-	private void repeat(Ticket ticket, ClaimVerdict.Repeated repeated) {
+	private void answerRepeat(PendingClaim pending, ClaimVerdict.Repeated repeated) {
 		if (!repeated.same()) {
-			lost(ticket, Refusal.bad(UNPROCESSABLE, KEY_REUSED.name(), KEY_REUSED.summary()));
+			refuse(pending, Refusal.bad(UNPROCESSABLE, KEY_REUSED.name(), KEY_REUSED.summary()));
 			return;
 		}
 		switch (repeated.first().state()) {
-			case CLAIMED -> lost(ticket, Refusal.unknown(CONFLICT, CALL_UNRESOLVED.name(), CALL_UNRESOLVED.summary())
-				.retryAfter(UNRESOLVED_MILLIS));
-			case UNKNOWN -> lost(ticket, Refusal.unknown(CONFLICT, CALL_UNRESOLVED.name(), CALL_UNRESOLVED.summary()));
-			case RAN -> lost(ticket, Refusal.unknown(CONFLICT, ANSWER_NOT_KEPT.name(), ANSWER_NOT_KEPT.summary()));
-			case ANSWERED -> replay(ticket, repeated.first().answer());
+			case CLAIMED -> refuse(pending, Refusal.unknown(CONFLICT, CALL_UNRESOLVED.name(), CALL_UNRESOLVED.summary())
+				.retryAfter(UNRESOLVED_RETRY_MILLIS));
+			case UNKNOWN ->
+				refuse(pending, Refusal.unknown(CONFLICT, CALL_UNRESOLVED.name(), CALL_UNRESOLVED.summary()));
+			case RAN -> refuse(pending, Refusal.unknown(CONFLICT, ANSWER_NOT_KEPT.name(), ANSWER_NOT_KEPT.summary()));
+			case ANSWERED -> replay(pending, repeated.first().answer());
 		}
 	}
 
-	private void replay(Ticket ticket, KeptAnswer kept) {
+	private void replay(PendingClaim pending, KeptAnswer kept) {
 		List<Map.Entry<String, String>> headers = new ArrayList<>();
 		List<String> flat = kept.headers();
 		for (int i = 0; i + 1 < flat.size(); i += 2) {
 			headers.add(Map.entry(flat.get(i), flat.get(i + 1)));
 		}
-		this.tickets.remove(ticket.call.id());
-		ticket.call.answer().whole(kept.status(), headers, "", kept.body());
-		this.calls.answeredByClaim(ticket.call.id(), Outcome.RAN, "");
+		this.pendingClaims.remove(pending.call.id());
+		pending.call.answer().whole(kept.status(), headers, "", kept.body());
+		this.requests.answeredFromClaim(pending.call.id(), Outcome.RAN, "");
 	}
 
 	private static String callHash(CallerCall call) {
@@ -249,7 +253,7 @@
 		return Digests.sha256(head.getBytes(StandardCharsets.UTF_8)).substring(0, 32);
 	}
 
-	private record Ticket(CallerCall call, ClaimKey key, String nonce) {
+	private record PendingClaim(CallerCall call, ClaimKey key, String nonce) {
 	}
 
 }
--- a/entry/src/main/java/org/wisteriapost/entry/process/EntryEvent.java
+++ b/entry/src/main/java/org/wisteriapost/entry/process/EntryEvent.java
@@ -12,12 +12,12 @@
 import org.wisteriapost.protocol.wire.Frame;
 
 /**
- * Everything that an entry's event loop learns.
+ * Events that an entry's event loop applies to its {@link EntryState}.
  */
 public sealed interface EntryEvent {
 
 	/**
-	 * A caller's request, read whole.
+	 * A caller's request was read completely.
 	 *
 	 * @param call the request
 	 */
@@ -25,15 +25,15 @@
 	}
 
 	/**
-	 * A caller has hung up.
+	 * A caller disconnected before its answer was complete.
 	 *
-	 * @param id its request
+	 * @param id the request's id
 	 */
 	record CallerLeft(long id) implements EntryEvent {
 	}
 
 	/**
-	 * A link is up.
+	 * A link was established.
 	 *
 	 * @param peer the link
 	 */
@@ -41,16 +41,16 @@
 	}
 
 	/**
-	 * A frame has come.
+	 * A frame was received.
 	 *
-	 * @param peer the link it came over
+	 * @param peer the link it was received over
 	 * @param frame the frame
 	 */
 	record FrameArrived(PeerLink peer, Frame frame) implements EntryEvent {
 	}
 
 	/**
-	 * A link is gone.
+	 * A link was closed.
 	 *
 	 * @param peer the link
 	 */
@@ -58,10 +58,10 @@
 	}
 
 	/**
-	 * The platform has said which head it holds.
+	 * The head was read from the platform.
 	 *
 	 * @param head the head, {@link Head#NONE} before the first roll
-	 * @param asOfNanos when it held it, by the monotonic clock
+	 * @param asOfNanos the time at which the platform held it, on the monotonic clock
 	 */
 	record HeadRead(Head head, long asOfNanos) implements EntryEvent {
 	}
@@ -75,34 +75,34 @@
 	}
 
 	/**
-	 * The platform has said which VMs are marked as leaving.
+	 * The marks of leaving VMs were read from the platform.
 	 *
-	 * @param vms their names
+	 * @param vms the names of the marked VMs
 	 */
-	record MarksRead(Set<String> vms) implements EntryEvent {
+	record LeavingMarksRead(Set<String> vms) implements EntryEvent {
 	}
 
 	/**
 	 * The VM list was read.
 	 *
-	 * @param members all VMs of it
+	 * @param members all VMs on the list
 	 */
 	record VmsRead(List<Member> members) implements EntryEvent {
 	}
 
 	/**
-	 * The platform has answered a read or write of a claim object.
+	 * The platform replied to a read or write of a claim object.
 	 *
-	 * @param reply what it said
+	 * @param reply the reply
 	 */
 	record ClaimAnswered(ClaimReply reply) implements EntryEvent {
 	}
 
-	/** Time has passed. */
+	/** The timer fired. */
 	record Tick() implements EntryEvent {
 	}
 
-	/** This process is to leave. */
+	/** This entry is to be drained. */
 	record DrainAsked() implements EntryEvent {
 	}
 
--- a/entry/src/main/java/org/wisteriapost/entry/process/EntryMetrics.java
+++ b/entry/src/main/java/org/wisteriapost/entry/process/EntryMetrics.java
@@ -16,15 +16,16 @@
 import org.wisteriapost.policy.request.Request;
 
 /**
- * The figures of an entry. Times are in seconds, sizes in bytes; the page
- * docs/operations/metrics.md lists them.
+ * The metrics of an entry, as listed in docs/operations/metrics.md. Times are in seconds,
+ * sizes in bytes.
  */
 public final class EntryMetrics {
 
-	// Bounds that latency objectives are set at; a report can only count against these.
-	private static final Duration[] BOUNDS = { Duration.ofMillis(5), Duration.ofMillis(25), Duration.ofMillis(100),
-			Duration.ofMillis(250), Duration.ofMillis(500), Duration.ofMillis(740), Duration.ofSeconds(1),
-			Duration.ofMillis(2500), Duration.ofSeconds(5), Duration.ofSeconds(10), Duration.ofSeconds(30) };
+	// A latency objective can be evaluated only if its bound is one of these buckets.
+	private static final Duration[] LATENCY_BUCKETS = { Duration.ofMillis(5), Duration.ofMillis(25),
+			Duration.ofMillis(100), Duration.ofMillis(250), Duration.ofMillis(500), Duration.ofMillis(740),
+			Duration.ofSeconds(1), Duration.ofMillis(2500), Duration.ofSeconds(5), Duration.ofSeconds(10),
+			Duration.ofSeconds(30) };
 
 	private final MeterRegistry registry;
 
@@ -38,22 +39,19 @@
 	}
 
 	/**
-	 * Returns the figures of one entry without service-level objectives.
+	 * Returns the metrics of an entry without service-level objectives.
 	 */
 	public static EntryMetrics of(MeterRegistry registry) {
 		return of(registry, BurnRecorder.of(List.of()));
 	}
 
-	/**
-	 * Returns the figures of one entry.
-	 */
 	static EntryMetrics of(MeterRegistry registry, BurnRecorder burn) {
 		return new EntryMetrics(registry, burn);
 	}
 
 	/**
 	 * Counts a final answer.
-	 * @param code empty for a whole answer
+	 * @param code empty for a complete answer
 	 */
 	void answered(Request request, Outcome outcome, String code, long tookNanos) {
 		this.burn.answered(request, outcome, code, System.currentTimeMillis());
@@ -61,20 +59,20 @@
 				request.priority().name().toLowerCase(Locale.ROOT), "outcome", outcome.text(), "code", code);
 		Timer.builder("wisteriapost.entry.request.duration")
 			.description("Time from a request's arrival to the end of its answer.")
-			.serviceLevelObjectives(BOUNDS)
+			.serviceLevelObjectives(LATENCY_BUCKETS)
 			.tags(tags)
 			.register(this.registry)
 			.record(Duration.ofNanos(tookNanos));
 	}
 
 	/**
-	 * Counts the time to an answer's first byte.
+	 * Records the time to an answer's first byte.
 	 */
 	void started(Request request, long tookNanos) {
 		this.burn.started(request, tookNanos);
 		Timer.builder("wisteriapost.entry.first.byte.duration")
 			.description("Time from a request's arrival to its answer's first byte.")
-			.serviceLevelObjectives(BOUNDS)
+			.serviceLevelObjectives(LATENCY_BUCKETS)
 			.tags("organisation", request.organisation(), "service", request.service())
 			.register(this.registry)
 			.record(Duration.ofNanos(tookNanos));
@@ -82,23 +80,23 @@
 
 	/**
 	 * Counts a frame that belongs to no call in progress.
-	 * @param why {@code late} or {@code crossed}
+	 * @param reason {@code late} or {@code crossed}
 	 */
-	void dropped(String why) {
+	void dropped(String reason) {
 		this.dropped
-			.computeIfAbsent(why,
-					(reason) -> Counter.builder("wisteriapost.entry.frames.dropped")
+			.computeIfAbsent(reason,
+					(key) -> Counter.builder("wisteriapost.entry.frames.dropped")
 						.description("Frames of agents that belong to no call in progress.")
-						.tag("reason", reason)
+						.tag("reason", key)
 						.register(this.registry))
 			.increment();
 	}
 
 	/**
-	 * Counts a request that was answered before it reached the event loop. From any
-	 * thread.
+	 * Counts a request that was answered before it reached the event loop. May be called
+	 * from any thread.
 	 */
-	void turnedAway(String code) {
+	void rejected(String code) {
 		Counter.builder("wisteriapost.entry.turned.away")
 			.description("Requests answered before they reached the event loop.")
 			.tag("code", code)
@@ -118,7 +116,7 @@
 	}
 
 	/**
-	 * Shows a figure of the present.
+	 * Registers a gauge.
 	 */
 	public <T> void gauge(String name, String description, T state, ToDoubleFunction<T> value) {
 		Gauge.builder(name, state, value).description(description).strongReference(true).register(this.registry);
--- a/entry/src/main/java/org/wisteriapost/entry/process/EntryOutput.java
+++ b/entry/src/main/java/org/wisteriapost/entry/process/EntryOutput.java
@@ -6,33 +6,33 @@
 import org.wisteriapost.policy.membership.Member;
 
 /**
- * What the event loop asks of the I/O around it; no method blocks.
+ * The I/O operations that an entry's event loop requests. No method blocks.
  */
 public interface EntryOutput {
 
 	/**
-	 * Reads a bundle from the platform; the answer comes as an event, a failure not at
-	 * all.
+	 * Reads a bundle from the platform. The result arrives as an
+	 * {@link EntryEvent.BundleRead}; a failure is not reported.
 	 */
 	void readBundle(String digest);
 
 	/**
-	 * Links to exactly these VMs.
+	 * Opens and closes links so that they lead to exactly these VMs.
 	 */
 	void keepLinks(List<Member> members);
 
 	/**
-	 * Shows the HTTP side what is known now.
+	 * Publishes the current state to the HTTP threads.
 	 */
 	void publish(ServiceView view);
 
 	/**
-	 * Returns whether the last byte of every answer has gone out.
+	 * Returns whether all answers were sent completely.
 	 */
 	boolean idle();
 
 	/**
-	 * Says that this entry has drained and may end.
+	 * Reports that this entry has drained and its process may end.
 	 */
 	void drained();
 
--- a/entry/src/main/java/org/wisteriapost/entry/process/EntryProcess.java
+++ b/entry/src/main/java/org/wisteriapost/entry/process/EntryProcess.java
@@ -50,7 +50,7 @@
 import org.wisteriapost.protocol.wire.Frame;
 
 /**
- * One running entry: the event loop and the I/O around it.
+ * A running entry: the event loop and its I/O.
  */
 public final class EntryProcess implements FrontPort, PeerListener, EntryOutput, AutoCloseable {
 
@@ -58,15 +58,15 @@
 
 	private static final String LEAVING = "leaving/";
 
-	// Fine enough for deadlines and queues of milliseconds; 50 wake-ups a second stay far
-	// below the 1.5 % of a core that control may cost.
+	// Fine enough for deadlines and queueing times in milliseconds. 50 wake-ups a second
+	// stay far below the 1.5 % of a core that the control plane may use.
 	private static final long TICK_MILLIS = 20;
 
-	private static final long IDLE_TICKS = 10;
+	private static final long IDLE_TICK_INTERVAL = 10;
 
-	// An entry that dies takes at most this much of its service-level figures with it;
-	// 2,300 entries then write 38 times a second, a tenth of what the platform takes.
-	private static final long BURN_SECONDS = 60;
+	// An entry that crashes loses at most the service-level counts of this period. With
+	// 2,300 entries it causes 38 writes a second, a tenth of the platform's limit.
+	private static final long BURN_SNAPSHOT_SECONDS = 60;
 
 	private final PrometheusMeterRegistry registry = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
 
@@ -80,7 +80,7 @@
 
 	private final CompletableFuture<Void> drained = new CompletableFuture<>();
 
-	private final List<AutoCloseable> open = new ArrayList<>();
+	private final List<AutoCloseable> closeables = new ArrayList<>();
 
 	private final EntryMetrics metrics;
 
@@ -111,8 +111,8 @@
 		long seed = new SecureRandom().nextLong();
 		ClaimTable table = ClaimTable.create(EntrySettings.CLAIM_WRITES.get(settings),
 				RandomSource.SPLIT_MIX_64.create(seed), System.nanoTime());
-		RequestMachine machine = RequestMachine.create(RequestPolicySettings.from(settings, identity.place()), seed,
-				this.invariants);
+		RequestMachine machine = RequestMachine.create(RequestPolicySettings.from(settings, identity.failureDomain()),
+				seed, this.invariants);
 		EntryWiring wiring = new EntryWiring(machine, table, store, this.metrics, this.invariants, System::nanoTime,
 				System::currentTimeMillis, EntrySettings.MAX_HELD_BYTES.get(settings));
 		EntryState state = EntryState.create(identity, this, wiring);
@@ -124,18 +124,18 @@
 		this.metrics.gauge("wisteriapost.entry.bundle.generation", "Generation of the bundle in force here.", this,
 				(process) -> process.view.generation());
 		this.metrics.gauge("wisteriapost.entry.claims.unwritten",
-				"Changes of idempotency keys not in the platform yet.", state, EntryState::unwrittenClaims);
+				"Changes of idempotency keys not in the platform yet.", state, EntryState::pendingClaimOperations);
 		this.metrics.gauge("wisteriapost.invariant.violations", "Times a promise was found broken.", this.invariants,
 				(counts) -> counts.violations().values().stream().mapToLong(Long::longValue).sum());
 	}
 
 	/**
-	 * Returns a running entry; throws when an address cannot be taken. The platform, the
-	 * VM list and the links stay the caller's to close.
+	 * Returns a running entry; throws if an address cannot be bound. The caller closes
+	 * the platform, the VM list and the transport.
 	 */
 	public static EntryProcess start(Settings settings, Platform platform, VmList vmList, Links transport) {
 		EntryProcess process = new EntryProcess(settings, platform, transport);
-		process.open(settings, platform, vmList);
+		process.closeables(settings, platform, vmList);
 		return process;
 	}
 
@@ -154,21 +154,18 @@
 	}
 
 	/**
-	 * Returns the port for monitoring.
+	 * Returns the port of the admin server.
 	 */
 	public int adminPort() {
 		return this.admin.port();
 	}
 
-	/**
-	 * Returns the counts of broken promises.
-	 */
 	public Invariants invariants() {
 		return this.invariants;
 	}
 
 	/**
-	 * Starts to leave; the future completes when the last answer has gone out.
+	 * Starts to drain; the future completes when the last answer was sent.
 	 */
 	public CompletableFuture<Void> drain() {
 		put(new EntryEvent.DrainAsked());
@@ -176,7 +173,8 @@
 	}
 
 	/**
-	 * Returns the future that completes when this entry has drained, for whatever reason.
+	 * Returns the future that completes when this entry has drained, whether by
+	 * {@link #drain()} or because its VM is leaving.
 	 */
 	public CompletableFuture<Void> ended() {
 		return this.drained;
@@ -185,7 +183,7 @@
 	@Override
 	public void close() {
 		this.timer.shutdownNow();
-		this.open.reversed().forEach(EntryProcess::close);
+		this.closeables.reversed().forEach(EntryProcess::close);
 		this.links.close();
 		this.loop.close();
 	}
@@ -202,7 +200,7 @@
 
 	@Override
 	public void turnedAway(String code) {
-		this.metrics.turnedAway(code);
+		this.metrics.rejected(code);
 	}
 
 	@Override
@@ -260,25 +258,26 @@
 		return (now != null) ? now.active() : 0;
 	}
 
-	private void open(Settings settings, Platform platform, VmList vmList) {
+	private void closeables(Settings settings, Platform platform, VmList vmList) {
 		try {
 			Organisations organisations = Organisations.of(settings);
-			this.linkServer = kept(this.links.listen(new InetSocketAddress(EntrySettings.LINK_HOST.get(settings),
+			this.linkServer = register(this.links.listen(new InetSocketAddress(EntrySettings.LINK_HOST.get(settings),
 					EntrySettings.LINK_PORT.get(settings).intValue())));
-			this.front = kept(HttpFront.start(
+			this.front = register(HttpFront.start(
 					new InetSocketAddress(EntrySettings.HTTP_HOST.get(settings),
 							EntrySettings.HTTP_PORT.get(settings).intValue()),
 					FrontLimits.of(settings), organisations, this, TlsSettings.callers(settings)));
-			this.admin = kept(AdminServer.start(
+			this.admin = register(AdminServer.start(
 					new InetSocketAddress(CommonSettings.ADMIN_HOST.get(settings),
 							CommonSettings.ADMIN_PORT.get(settings).intValue()),
 					this.registry, () -> this.view.ready()));
-			kept(PrefixWatch.start(platform, this.timer, HEAD, System::nanoTime, this::headRead));
-			kept(PrefixWatch.start(platform, this.timer, LEAVING, System::nanoTime, this::marksRead));
-			kept(VmPoll.start(vmList, this.timer, (members) -> put(new EntryEvent.VmsRead(members))));
+			register(PrefixWatch.start(platform, this.timer, HEAD, System::nanoTime, this::headRead));
+			register(PrefixWatch.start(platform, this.timer, LEAVING, System::nanoTime, this::leavingMarksRead));
+			register(VmPoll.start(vmList, this.timer, (members) -> put(new EntryEvent.VmsRead(members))));
 			this.timer.scheduleAtFixedRate(this::tick, TICK_MILLIS, TICK_MILLIS, TimeUnit.MILLISECONDS);
 			String vm = CommonSettings.VM.get(settings);
-			this.timer.scheduleAtFixedRate(() -> writeBurn(platform, vm), BURN_SECONDS, BURN_SECONDS, TimeUnit.SECONDS);
+			this.timer.scheduleAtFixedRate(() -> writeBurnSnapshot(platform, vm), BURN_SNAPSHOT_SECONDS,
+					BURN_SNAPSHOT_SECONDS, TimeUnit.SECONDS);
 			this.timer.scheduleWithFixedDelay(organisations::reload, 5, 5, TimeUnit.SECONDS);
 		}
 		catch (RuntimeException ex) {
@@ -287,23 +286,23 @@
 		}
 	}
 
-	// Deadlines and queues need the fine tick; an entry without requests has neither, and
-	// heads and draining are content with the coarse one.
+	// Only deadlines and queues need the fine tick. An entry without requests uses a
+	// coarse one, which is enough for heads and draining.
 	private void tick() {
 		this.ticks++;
-		if (activeRequests() > 0 || this.ticks % IDLE_TICKS == 0) {
+		if (activeRequests() > 0 || this.ticks % IDLE_TICK_INTERVAL == 0) {
 			this.loop.offer(new EntryEvent.Tick());
 		}
 	}
 
-	// Lost writes are not repeated: the next snapshot says all that this one did.
-	private void writeBurn(Platform platform, String vm) {
+	// A failed write is not retried, since the next snapshot contains the same counts.
+	private void writeBurnSnapshot(Platform platform, String vm) {
 		BurnSnapshot snapshot = this.burn.snapshot(vm, System.currentTimeMillis());
 		platform.put("burn/" + vm, BundleCodec.encode(snapshot), new Platform.Expected.Anything());
 	}
 
-	private <T extends AutoCloseable> T kept(T part) {
-		this.open.add(part);
+	private <T extends AutoCloseable> T register(T part) {
+		this.closeables.add(part);
 		return part;
 	}
 
@@ -312,15 +311,15 @@
 		put(new EntryEvent.HeadRead(head, read.asOfNanos()));
 	}
 
-	private void marksRead(PrefixWatch.Values read) {
-		// There is no delete in the platform's calls; an empty value takes a mark back.
+	private void leavingMarksRead(PrefixWatch.Values read) {
+		// The platform has no delete operation; an empty value revokes a mark.
 		Set<String> vms = read.values()
 			.entrySet()
 			.stream()
 			.filter((mark) -> mark.getValue().length > 0)
 			.map((mark) -> mark.getKey().substring(LEAVING.length()))
 			.collect(Collectors.toSet());
-		put(new EntryEvent.MarksRead(vms));
+		put(new EntryEvent.LeavingMarksRead(vms));
 	}
 
 	private static void close(AutoCloseable part) {
--- a/entry/src/main/java/org/wisteriapost/entry/process/EntryState.java
+++ b/entry/src/main/java/org/wisteriapost/entry/process/EntryState.java
@@ -28,17 +28,17 @@
 import org.wisteriapost.protocol.wire.Role;
 
 /**
- * All that an entry knows; the event loop's thread alone applies events to it.
+ * The state of an entry. Only the event loop's thread applies events to it.
  */
 public final class EntryState {
 
-	// Heads are pushed on change; now and then once more, for a neighbour that lost one
-	// and to renew how long ago the platform confirmed it.
-	private static final long REPEAT_HEAD_NANOS = TimeUnit.SECONDS.toNanos(2);
+	// Heads are sent on change, and again at this interval for a peer that missed one and
+	// to update the time at which the platform last confirmed it.
+	private static final long HEAD_RESEND_NANOS = TimeUnit.SECONDS.toNanos(2);
 
-	private static final long RETRY_BUNDLE_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
+	private static final long BUNDLE_RETRY_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
-	private static final long CLAIMS_WAIT_NANOS = TimeUnit.SECONDS.toNanos(3);
+	private static final long CLAIM_FLUSH_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(3);
 
 	private final Identity identity;
 
@@ -46,13 +46,13 @@
 
 	private final LongSupplier clock;
 
-	private final LongSupplier dayMillis;
+	private final LongSupplier wallMillis;
 
 	private final SuspensionWatch suspension;
 
-	private final Calls calls;
+	private final ActiveRequests requests;
 
-	private final ClaimKeeper claims;
+	private final ClaimCoordinator claims;
 
 	private final HeadTracker heads;
 
@@ -60,7 +60,7 @@
 
 	private final LinkChoice linkChoice;
 
-	private final Draining draining;
+	private final DrainState draining;
 
 	private final PeerTable peers = new PeerTable();
 
@@ -68,71 +68,71 @@
 
 	private long headSentNanos;
 
-	private long bundleAskedNanos;
+	private long bundleRequestedNanos;
 
-	private RejectionPermit shown = RejectionPermit.NONE;
+	private RejectionPermit publishedPermit = RejectionPermit.NONE;
 
-	private long idleNanos;
+	private long idleSinceNanos;
 
-	private boolean finished;
+	private boolean drained;
 
 	private EntryState(Identity identity, EntryOutput output, EntryWiring wiring) {
 		this.identity = identity;
 		this.output = output;
 		this.clock = wiring.clock();
-		this.dayMillis = wiring.wallMillis();
-		this.suspension = SuspensionWatch.start(this.clock.getAsLong(), this.dayMillis.getAsLong());
+		this.wallMillis = wiring.wallMillis();
+		this.suspension = SuspensionWatch.start(this.clock.getAsLong(), this.wallMillis.getAsLong());
 		this.heads = new HeadTracker(wiring.invariants());
-		this.membership = Membership.of(identity.vm(), identity.place());
+		this.membership = Membership.of(identity.vm(), identity.failureDomain());
 		this.linkChoice = LinkChoice.of(identity.vm());
-		this.draining = new Draining(identity.keepSeconds());
-		this.claims = new ClaimKeeper(wiring.claims(), wiring.store(), wiring.clock(), wiring.wallMillis());
-		this.calls = new Calls(wiring, this.claims, this.heads::generation);
-		this.claims.tells(this.calls);
-		this.reports = new RunnerReports(this.calls, this.heads);
+		this.draining = new DrainState(identity.addressCacheSeconds());
+		this.claims = new ClaimCoordinator(wiring.claims(), wiring.store(), wiring.clock(), wiring.wallMillis());
+		this.requests = new ActiveRequests(wiring, this.claims, this.heads::generation);
+		this.claims.attach(this.requests);
+		this.reports = new RunnerReports(this.requests, this.heads);
 	}
 
 	/**
-	 * Returns an entry that has heard nothing yet.
+	 * Returns the initial state of an entry: no bundle, no peers.
 	 */
 	public static EntryState create(Identity identity, EntryOutput output, EntryWiring wiring) {
 		return new EntryState(identity, output, wiring);
 	}
 
 	/**
-	 * Returns how many changes of idempotency keys are not in the platform yet.
+	 * Returns how many claim changes are not yet written to the platform.
 	 */
-	int unwrittenClaims() {
-		return this.claims.unwritten();
+	int pendingClaimOperations() {
+		return this.claims.pendingOperations();
 	}
 
-	/**
-	 * Applies one event.
-	 */
 	public void apply(EntryEvent event) {
-		if (this.suspension.woke(this.clock.getAsLong(), this.dayMillis.getAsLong())) {
+		if (this.suspension.woke(this.clock.getAsLong(), this.wallMillis.getAsLong())) {
 			this.heads.suspended(this.clock.getAsLong());
 			publish();
 		}
 		switch (event) {
-			case EntryEvent.CallArrived arrived -> this.calls.arrive(arrived.call());
-			case EntryEvent.CallerLeft left -> this.calls.callerLeft(left.id());
+			case EntryEvent.CallArrived arrived -> this.requests.arrived(arrived.call());
+			case EntryEvent.CallerLeft left -> this.requests.callerDisconnected(left.id());
 			case EntryEvent.LinkUp up -> linkUp(up.peer());
-			case EntryEvent.FrameArrived arrived -> frame(arrived.peer(), arrived.frame());
+			case EntryEvent.FrameArrived arrived -> onFrame(arrived.peer(), arrived.frame());
 			case EntryEvent.LinkDown down -> linkDown(down.peer());
-			case EntryEvent.HeadRead read -> headRead(read.head(), read.asOfNanos());
-			case EntryEvent.BundleRead read -> bundle(read.content());
-			case EntryEvent.MarksRead read -> marks(read.vms());
-			case EntryEvent.VmsRead read -> vms(read.members());
-			case EntryEvent.ClaimAnswered answered -> this.claims.reply(answered.reply());
+			case EntryEvent.HeadRead read -> onPlatformHead(read.head(), read.asOfNanos());
+			case EntryEvent.BundleRead read -> onBundle(read.content());
+			case EntryEvent.LeavingMarksRead read -> onLeavingMarks(read.vms());
+			case EntryEvent.VmsRead read -> onVmList(read.members());
+			case EntryEvent.ClaimAnswered answered -> this.claims.onReply(answered.reply());
 			case EntryEvent.Tick tick -> tick();
 			case EntryEvent.DrainAsked asked -> drain();
 		}
 	}
 
 	private void linkUp(PeerLink peer) {
-		peer.send(frame()
-			.setHello(Hello.newBuilder().setVm(this.identity.vm()).setPlace(this.identity.place()).setRole(Role.ENTRY))
+		peer.send(newFrame()
+			.setHello(Hello.newBuilder()
+				.setVm(this.identity.vm())
+				.setPlace(this.identity.failureDomain())
+				.setRole(Role.ENTRY))
 			.build());
 		if (this.heads.generation() > 0) {
 			sendHead(peer);
@@ -148,40 +148,41 @@
 		}
 		switch (peer.role()) {
 			case ENTRY -> {
-				this.membership.linked(peer.vm(), this.peers.linked(peer.vm()));
+				this.membership.linked(peer.vm(), this.peers.isLinked(peer.vm()));
 				publish();
 			}
 			default -> {
-				this.reports.lost(peer.vm());
-				this.calls.linkDown(peer);
+				this.reports.disconnected(peer.vm());
+				this.requests.linkDown(peer);
 				publish();
 			}
 		}
 	}
 
-	private void frame(PeerLink peer, Frame frame) {
+	private void onFrame(PeerLink peer, Frame frame) {
 		if (frame.getGeneration() > this.heads.generation() && peer.asksFor(frame.getGeneration())) {
-			peer.send(frame().setHeadRequest(org.wisteriapost.protocol.wire.HeadRequest.getDefaultInstance()).build());
+			peer.send(
+					newFrame().setHeadRequest(org.wisteriapost.protocol.wire.HeadRequest.getDefaultInstance()).build());
 		}
 		switch (frame.getBodyCase()) {
-			case HELLO -> hello(peer, frame.getHello());
-			case HEAD -> heard(peer, frame.getHead());
+			case HELLO -> onHello(peer, frame.getHello());
+			case HEAD -> onPeerHead(peer, frame.getHead());
 			case HEAD_REQUEST -> sendHead(peer);
 			case BUNDLE_REQUEST -> sendBundle(peer, frame.getBundleRequest().getDigest());
-			case BUNDLE_REPLY -> replied(frame.getBundleReply());
-			case REPORT -> report(peer, frame.getReport());
-			case CALL_STARTED -> this.calls.started(peer, frame.getCallStarted());
-			case CALL_DATA -> this.calls.data(peer, frame.getCallData());
-			case CALL_END -> this.calls.ended(peer, frame.getCallEnd());
-			case LEAVING -> announced(peer.vm());
+			case BUNDLE_REPLY -> onBundleReply(frame.getBundleReply());
+			case REPORT -> onReport(peer, frame.getReport());
+			case CALL_STARTED -> this.requests.started(peer, frame.getCallStarted());
+			case CALL_DATA -> this.requests.data(peer, frame.getCallData());
+			case CALL_END -> this.requests.ended(peer, frame.getCallEnd());
+			case LEAVING -> onLeavingAnnounced(peer.vm());
 			default -> {
-				// What only agents say to each other is not for an entry.
+				// Frames that only agents exchange are ignored.
 			}
 		}
 	}
 
-	private void hello(PeerLink peer, Hello hello) {
-		// The VM list lags: an address it names may by now be another VM's.
+	private void onHello(PeerLink peer, Hello hello) {
+		// The VM list lags, so its address may by now belong to another VM.
 		if (!peer.hello(hello)) {
 			peer.close();
 			return;
@@ -191,45 +192,45 @@
 			this.membership.linked(peer.vm(), true);
 		}
 		else {
-			this.calls.linkUp(peer);
+			this.requests.linkUp(peer);
 		}
 		publish();
 	}
 
-	private void heard(PeerLink peer, org.wisteriapost.protocol.wire.Head head) {
+	private void onPeerHead(PeerLink peer, org.wisteriapost.protocol.wire.Head head) {
 		if (head.getGeneration() < this.heads.generation()) {
 			sendHead(peer);
 			return;
 		}
-		if (this.heads.learn(head.getGeneration(), head.getDigest(), false, this.clock.getAsLong())) {
-			peer.send(frame()
+		if (this.heads.headReceived(head.getGeneration(), head.getDigest(), false, this.clock.getAsLong())) {
+			peer.send(newFrame()
 				.setBundleRequest(org.wisteriapost.protocol.wire.BundleRequest.newBuilder().setDigest(head.getDigest()))
 				.build());
-			askBundle();
+			requestBundle();
 		}
 	}
 
-	private void headRead(Head head, long asOfNanos) {
-		if (this.heads.learn(head.generation(), head.digest(), true, asOfNanos)) {
-			askBundle();
+	private void onPlatformHead(Head head, long asOfNanos) {
+		if (this.heads.headReceived(head.generation(), head.digest(), true, asOfNanos)) {
+			requestBundle();
 		}
 	}
 
-	private void askBundle() {
-		this.bundleAskedNanos = this.clock.getAsLong();
-		this.heads.wanted().ifPresent(this.output::readBundle);
+	private void requestBundle() {
+		this.bundleRequestedNanos = this.clock.getAsLong();
+		this.heads.pending().ifPresent(this.output::readBundle);
 	}
 
-	private void replied(BundleReply reply) {
+	private void onBundleReply(BundleReply reply) {
 		Map<String, byte[]> approvals = reply.getApprovalsList()
 			.stream()
 			.collect(Collectors.toMap(Approval::getOperator, (approval) -> approval.getSignature().toByteArray(),
 					(first, second) -> first));
-		bundle(new BundleContent(reply.getDigest(), reply.getBundle().toByteArray(), approvals));
+		onBundle(new BundleContent(reply.getDigest(), reply.getBundle().toByteArray(), approvals));
 	}
 
-	private void bundle(BundleContent content) {
-		if (!this.heads.take(content, this.clock.getAsLong())) {
+	private void onBundle(BundleContent content) {
+		if (!this.heads.activate(content, this.clock.getAsLong())) {
 			return;
 		}
 		this.reports.headChanged();
@@ -237,27 +238,27 @@
 		publish();
 	}
 
-	private void report(PeerLink peer, org.wisteriapost.protocol.wire.Report report) {
+	private void onReport(PeerLink peer, org.wisteriapost.protocol.wire.Report report) {
 		if (!report.getVm().equals(peer.vm())) {
 			return;
 		}
 		if (report.getLeaving()) {
-			announced(report.getVm());
+			onLeavingAnnounced(report.getVm());
 		}
-		this.reports.seen(report, this.clock.getAsLong());
+		this.reports.received(report, this.clock.getAsLong());
 	}
 
-	private void announced(String vm) {
+	private void onLeavingAnnounced(String vm) {
 		this.membership.announced(vm);
 		leavingChanged();
 	}
 
-	private void marks(Set<String> vms) {
+	private void onLeavingMarks(Set<String> vms) {
 		this.membership.marks(vms);
 		leavingChanged();
 	}
 
-	private void vms(List<Member> members) {
+	private void onVmList(List<Member> members) {
 		this.membership.list(members);
 		this.output.keepLinks(this.linkChoice.choose(members));
 		leavingChanged();
@@ -265,7 +266,7 @@
 
 	private void leavingChanged() {
 		Set<String> leaving = this.membership.leaving();
-		this.calls.decide(new RequestEvent.LeavingSeen(leaving));
+		this.requests.decide(new RequestEvent.LeavingSeen(leaving));
 		if (leaving.contains(this.identity.vm())) {
 			drain();
 		}
@@ -281,45 +282,45 @@
 
 	private void tick() {
 		long now = this.clock.getAsLong();
-		// The view is made anew after changes only, and a bundle is confirmed without
-		// one.
-		if (!rejections().untilNanos().equals(this.shown.untilNanos())) {
+		// A confirmation of the bundle extends the permit without any other change that
+		// would publish it.
+		if (!rejectionPermit().untilNanos().equals(this.publishedPermit.untilNanos())) {
 			publish();
 		}
-		this.calls.decide(new RequestEvent.Tick());
+		this.requests.decide(new RequestEvent.Tick());
 		this.claims.tick();
-		if (this.heads.wanted().isPresent() && now - this.bundleAskedNanos > RETRY_BUNDLE_NANOS) {
-			askBundle();
+		if (this.heads.pending().isPresent() && now - this.bundleRequestedNanos > BUNDLE_RETRY_NANOS) {
+			requestBundle();
 		}
-		if (this.heads.generation() > 0 && now - this.headSentNanos > REPEAT_HEAD_NANOS) {
+		if (this.heads.generation() > 0 && now - this.headSentNanos > HEAD_RESEND_NANOS) {
 			sendHeads();
 		}
-		if (this.draining.refuses(now)) {
-			this.calls.decide(new RequestEvent.Drain());
+		if (this.draining.startRefusing(now)) {
+			this.requests.decide(new RequestEvent.Drain());
 			publish();
 		}
-		if (this.draining.refusing() && this.calls.size() == 0 && !this.finished && this.output.idle()
-				&& claimsWritten(now)) {
-			this.finished = true;
+		if (this.draining.refusing() && this.requests.size() == 0 && !this.drained && this.output.idle()
+				&& claimsWrittenOrTimedOut(now)) {
+			this.drained = true;
 			this.output.drained();
 		}
 	}
 
-	// The last answers should be kept for their callers' repeats, but a platform that is
-	// down must not hold a VM back that has to go: the repeats are then told "unknown".
-	private boolean claimsWritten(long now) {
-		if (this.idleNanos == 0) {
-			this.idleNanos = now;
+	// The last answers are stored for repeated calls. A platform that is down must not
+	// keep a leaving VM running, so the wait is limited; such repeats get "unknown".
+	private boolean claimsWrittenOrTimedOut(long now) {
+		if (this.idleSinceNanos == 0) {
+			this.idleSinceNanos = now;
 		}
-		return this.claims.unwritten() == 0 || now - this.idleNanos > CLAIMS_WAIT_NANOS;
+		return this.claims.pendingOperations() == 0 || now - this.idleSinceNanos > CLAIM_FLUSH_TIMEOUT_NANOS;
 	}
 
-	private RejectionPermit rejections() {
-		return this.heads.rejections(this.clock.getAsLong(), this.dayMillis.getAsLong());
+	private RejectionPermit rejectionPermit() {
+		return this.heads.rejectionPermit(this.clock.getAsLong(), this.wallMillis.getAsLong());
 	}
 
 	private void publish() {
-		this.shown = rejections();
+		this.publishedPermit = rejectionPermit();
 		Map<String, ServiceSpec> services = this.heads.bundle()
 			.map((bundle) -> bundle.services()
 				.stream()
@@ -329,9 +330,9 @@
 			.stream()
 			.map((member) -> "http://" + member.host() + ":" + member.httpPort())
 			.toList();
-		boolean ready = this.heads.generation() > 0 && this.peers.agents() > 0 && !this.draining.started();
+		boolean ready = this.heads.generation() > 0 && this.peers.agentLinks() > 0 && !this.draining.started();
 		this.output.publish(new ServiceView(this.heads.generation(), services, entries, this.draining.refusing(), ready,
-				this.shown));
+				this.publishedPermit));
 	}
 
 	private void sendHeads() {
@@ -340,14 +341,13 @@
 	}
 
 	private void sendHead(PeerLink peer) {
-		peer.send(frame().setHead(this.heads.wire(this.clock.getAsLong())).build());
+		peer.send(newFrame().setHead(this.heads.toWire(this.clock.getAsLong())).build());
 	}
 
-	// Only entries name each other to callers; to an agent an entry that leaves is one
-	// caller fewer.
+	// Only entries advertise each other to callers; agents need no notice.
 	private void sendLeaving(PeerLink peer) {
 		if (peer.role() == Role.ENTRY) {
-			peer.send(frame().setLeaving(Leaving.newBuilder().setVm(this.identity.vm())).build());
+			peer.send(newFrame().setLeaving(Leaving.newBuilder().setVm(this.identity.vm())).build());
 		}
 	}
 
@@ -360,10 +360,10 @@
 				.forEach((operator, signature) -> reply.addApprovals(
 						Approval.newBuilder().setOperator(operator).setSignature(ByteString.copyFrom(signature))));
 		});
-		peer.send(frame().setBundleReply(reply).build());
+		peer.send(newFrame().setBundleReply(reply).build());
 	}
 
-	private Frame.Builder frame() {
+	private Frame.Builder newFrame() {
 		return Frame.newBuilder().setGeneration(this.heads.generation());
 	}
 
--- a/entry/src/main/java/org/wisteriapost/entry/process/EntryWiring.java
+++ b/entry/src/main/java/org/wisteriapost/entry/process/EntryWiring.java
@@ -8,17 +8,16 @@
 import org.wisteriapost.policy.request.RequestMachine;
 
 /**
- * What surrounds an entry's state: the process puts the real parts here, a random run its
- * own.
+ * The dependencies of an {@link EntryState}, which simulations replace by their own.
  *
- * @param machine the decisions on requests
- * @param claims the records of calls that may run at most once
- * @param store where these records are kept
- * @param metrics the figures
- * @param invariants the counts of broken promises
+ * @param machine decides on requests
+ * @param claims the claims of idempotency keys
+ * @param store stores the claims in the platform
+ * @param metrics the entry's metrics
+ * @param invariants counts violated invariants
  * @param clock the monotonic clock, in nanoseconds
- * @param wallMillis milliseconds since 1970
- * @param maxHeldBytes bound on an answer that is held back until it is whole
+ * @param wallMillis the wall clock, in milliseconds since 1970
+ * @param maxHeldBytes the size up to which an answer that is not streamed is buffered
  */
 public record EntryWiring(RequestMachine machine, ClaimTable claims, ClaimStore store, EntryMetrics metrics,
 		Invariants invariants, LongSupplier clock, LongSupplier wallMillis, long maxHeldBytes) {
--- a/entry/src/main/java/org/wisteriapost/entry/process/HeadTracker.java
+++ b/entry/src/main/java/org/wisteriapost/entry/process/HeadTracker.java
@@ -20,38 +20,38 @@
 import org.wisteriapost.policy.routing.RejectionPermit;
 
 /**
- * The bundle in force as this entry knows it. Its generation never goes down, whoever
- * says so: a neighbour that lags, or a platform that was put back from a copy.
+ * The head and the active bundle as known to this entry. The generation never decreases,
+ * whether a peer lags or the platform was restored from a backup.
  */
 final class HeadTracker {
 
-	// Agents report every second.
-	private static final long FIRST_REPORTS_NANOS = TimeUnit.SECONDS.toNanos(3);
+	// Agents report every second, so each has reported by then.
+	private static final long FIRST_REPORTS_WAIT_NANOS = TimeUnit.SECONDS.toNanos(3);
 
-	// Until a bundle that operators have rolled is to be in force at every entry.
-	private static final Duration IN_FORCE = Duration.ofSeconds(8);
+	// The time within which a bundle that operators roll must be active at every entry.
+	private static final Duration ACTIVATION_DELAY = Duration.ofSeconds(8);
 
 	private final Invariants invariants;
 
-	private final RejectionGuard guard = RejectionGuard.of(IN_FORCE);
+	private final RejectionGuard guard = RejectionGuard.of(ACTIVATION_DELAY);
 
-	private Known current = Known.NONE;
+	private KnownHead current = KnownHead.NONE;
 
-	private Optional<Known> wanted = Optional.empty();
+	private Optional<KnownHead> pending = Optional.empty();
 
 	private Optional<Bundle> bundle = Optional.empty();
 
 	private Optional<BundleContent> content = Optional.empty();
 
-	// For each service the digest that runners may still answer with until all of them
-	// have switched once.
-	private Map<String, Set<String>> previous = new HashMap<>();
+	// For each service the digests other than the head's that are accepted until all
+	// runners have switched.
+	private Map<String, Set<String>> previousDigests = new HashMap<>();
 
-	private final Set<String> settled = new HashSet<>();
+	private final Set<String> switchedServices = new HashSet<>();
 
-	private long takenNanos;
+	private long activatedNanos;
 
-	// As of when the platform is known to have held the current head.
+	// The time at which the platform last confirmed the current head.
 	private final KnownMoment confirmed = new KnownMoment();
 
 	HeadTracker(Invariants invariants) {
@@ -59,52 +59,54 @@
 	}
 
 	/**
-	 * Takes a head that the platform or a neighbour named; returns whether its bundle is
-	 * now wanted.
-	 * @param fromPlatform whether the platform itself said so
-	 * @param asOfNanos when it was so
+	 * Applies a head that was read from the platform or received from a peer; returns
+	 * whether its bundle has to be fetched.
+	 * @param fromPlatform whether it was read from the platform
+	 * @param asOfNanos the time at which it was the head
 	 */
-	boolean learn(long generation, String digest, boolean fromPlatform, long asOfNanos) {
+	boolean headReceived(long generation, String digest, boolean fromPlatform, long asOfNanos) {
 		if (generation == this.current.generation && generation > 0) {
 			boolean same = this.invariants.holds(digest.equals(this.current.digest), "one-winner",
-					"generation " + generation + " is " + this.current.digest + ", heard " + digest);
+					"generation " + generation + " is " + this.current.digest + ", received " + digest);
 			if (same && fromPlatform) {
 				confirmed(asOfNanos);
 			}
 			return false;
 		}
-		if (generation <= this.wanted.map(Known::generation).orElse(this.current.generation)) {
+		if (generation <= this.pending.map(KnownHead::generation).orElse(this.current.generation)) {
 			return false;
 		}
-		this.wanted = Optional.of(new Known(generation, digest, fromPlatform, asOfNanos));
+		this.pending = Optional.of(new KnownHead(generation, digest, fromPlatform, asOfNanos));
 		return true;
 	}
 
 	/**
-	 * Takes a bundle; returns whether it is now in force.
+	 * Activates a bundle if it is the one of the pending head; returns whether it did.
 	 */
-	boolean take(BundleContent read, long nowNanos) {
-		if (this.wanted.isEmpty() || !this.wanted.get().digest.equals(read.digest())
-				|| !Digests.sha256(read.bytes()).equals(read.digest())) {
+	boolean activate(BundleContent received, long nowNanos) {
+		if (this.pending.isEmpty() || !this.pending.get().digest.equals(received.digest())
+				|| !Digests.sha256(received.bytes()).equals(received.digest())) {
 			return false;
 		}
-		Known next = this.wanted.get();
+		KnownHead next = this.pending.get();
 		if (!this.invariants.holds(next.generation > this.current.generation, "no-revert",
 				"generation " + this.current.generation + " to " + next.generation)) {
 			return false;
 		}
-		Bundle now = BundleCodec.bundle(read.bytes());
-		this.settled.removeIf((service) -> !weights(this.bundle, service).equals(weights(Optional.of(now), service)));
-		this.previous = predecessors(now);
-		this.takenNanos = nowNanos;
+		Bundle now = BundleCodec.bundle(received.bytes());
+		this.switchedServices.removeIf(
+				(service) -> !weightsDigest(this.bundle, service).equals(weightsDigest(Optional.of(now), service)));
+		this.previousDigests = previousDigestsAfter(now);
+		this.activatedNanos = nowNanos;
 		this.current = next;
-		this.wanted = Optional.empty();
+		this.pending = Optional.empty();
 		this.bundle = Optional.of(now);
-		this.content = Optional.of(read);
+		this.content = Optional.of(received);
 		this.confirmed.forget();
 		if (next.fromPlatform) {
-			// The bundle may have been long under way, and a newer one been rolled since.
-			confirmed(next.namedNanos);
+			// Not the present time: fetching the bundle may have taken long, and a newer
+			// one may have been rolled since.
+			confirmed(next.announcedNanos);
 		}
 		return true;
 	}
@@ -115,7 +117,8 @@
 	}
 
 	/**
-	 * Hears that this VM was suspended: what is known is older than it seems.
+	 * Discards earlier confirmations after this VM was suspended, since the monotonic
+	 * clock did not count that time.
 	 */
 	void suspended(long nowNanos) {
 		this.confirmed.doubt(nowNanos);
@@ -123,86 +126,86 @@
 	}
 
 	/**
-	 * Stops accepting older weights of a service that nobody serves any more.
+	 * Stops accepting previous weights of a service once no runner serves them any more.
 	 */
-	void switched(String service, String digest) {
-		Set<String> digests = this.previous.getOrDefault(service, new HashSet<>());
+	void stopAccepting(String service, String digest) {
+		Set<String> digests = this.previousDigests.getOrDefault(service, new HashSet<>());
 		digests.remove(digest);
 		if (digests.isEmpty()) {
-			this.previous.remove(service);
-			this.settled.add(service);
+			this.previousDigests.remove(service);
+			this.switchedServices.add(service);
 		}
 	}
 
 	/**
-	 * Notes that all runners of a service that are known here serve the head's weights.
-	 * An entry that has just heard of its first bundle waits until every runner has had
-	 * time to report.
+	 * Marks a service as switched when all its known runners serve the head's weights.
+	 * Has no effect right after a bundle became active, until every runner has had time
+	 * to report.
 	 */
 	void allSwitched(String service, long nowNanos) {
-		if (nowNanos - this.takenNanos > FIRST_REPORTS_NANOS) {
-			this.settled.add(service);
+		if (nowNanos - this.activatedNanos > FIRST_REPORTS_WAIT_NANOS) {
+			this.switchedServices.add(service);
 		}
 	}
 
 	/**
-	 * Accepts weights that a runner serves while it is behind the head, or ahead of it;
-	 * returns whether that is new.
+	 * Accepts weights that a runner serves while it is behind or ahead of the head;
+	 * returns whether they were not accepted before.
 	 *
-	 * An entry that starts in the middle of a roll, or hears of two rolls before the
-	 * first is done, would else refuse every call until some runner has switched. The
-	 * runner's agent has checked the approvals of every bundle it serves. Once all
-	 * runners have switched, one that comes back with older weights is not accepted.
+	 * Otherwise an entry that starts during a roll, or that receives two heads before the
+	 * first roll is complete, would refuse every call until some runner has switched. The
+	 * runner's agent has verified the approvals of every bundle that it serves. Once all
+	 * runners have switched, a runner that returns with older weights is not accepted.
 	 */
-	boolean alsoServed(String service, String digest) {
-		boolean known = digests().getOrDefault(service, Set.of()).contains(digest);
+	boolean acceptServed(String service, String digest) {
+		boolean known = acceptedDigests().getOrDefault(service, Set.of()).contains(digest);
 		boolean model = this.bundle.flatMap((now) -> now.service(service))
 			.filter((spec) -> spec.kind() == ServiceSpec.Kind.MODEL)
 			.isPresent();
-		if (known || !model || digest.isEmpty() || this.settled.contains(service)) {
+		if (known || !model || digest.isEmpty() || this.switchedServices.contains(service)) {
 			return false;
 		}
-		return this.previous.computeIfAbsent(service, (name) -> new HashSet<>()).add(digest);
+		return this.previousDigests.computeIfAbsent(service, (name) -> new HashSet<>()).add(digest);
 	}
 
 	/**
-	 * Returns the services of which runners may still answer with other weights than the
-	 * head's, with these.
+	 * Returns for each service the digests other than the head's that runners may still
+	 * answer with.
 	 */
-	Map<String, Set<String>> previous() {
-		return Map.copyOf(this.previous);
+	Map<String, Set<String>> previousDigests() {
+		return Map.copyOf(this.previousDigests);
 	}
 
 	/**
-	 * Returns whether the bundle in force is known to be the newest, recently enough to
-	 * call a request wrong by it. One whose head is known and that is not here yet may
-	 * hold what the request asks for.
+	 * Returns until when requests may be rejected by the active bundle. None are rejected
+	 * while the bundle of a newer head is being fetched, which may contain what a request
+	 * asks for.
 	 */
-	RejectionPermit rejections(long nowNanos, long nowDayMillis) {
-		return this.wanted.isEmpty() ? this.guard.permit(nowNanos, nowDayMillis) : RejectionPermit.NONE;
+	RejectionPermit rejectionPermit(long nowNanos, long nowWallMillis) {
+		return this.pending.isEmpty() ? this.guard.permit(nowNanos, nowWallMillis) : RejectionPermit.NONE;
 	}
 
 	/**
-	 * Returns for each service the digests an answer may come from.
+	 * Returns for each service the digests of the weights that may answer its calls.
 	 */
-	Map<String, Set<String>> digests() {
+	Map<String, Set<String>> acceptedDigests() {
 		Map<String, Set<String>> digests = new HashMap<>();
 		this.bundle.ifPresent((now) -> now.services()
 			.forEach((spec) -> digests.computeIfAbsent(spec.name(), (name) -> new HashSet<>())
 				.add(now.weightsDigest(spec))));
-		this.previous.forEach((service, older) -> digests.get(service).addAll(older));
+		this.previousDigests.forEach((service, older) -> digests.get(service).addAll(older));
 		return digests;
 	}
 
 	/**
-	 * Returns the digest whose bundle is not here yet.
+	 * Returns the digest of the bundle that has to be fetched, if any.
 	 */
-	Optional<String> wanted() {
-		return this.wanted.map(Known::digest);
+	Optional<String> pending() {
+		return this.pending.map(KnownHead::digest);
 	}
 
 	/**
-	 * Returns the bundle in force with its signatures, when it has this digest.
+	 * Returns the active bundle with its signatures if it has this digest.
 	 */
 	Optional<BundleContent> content(String digest) {
 		return this.content.filter((held) -> held.digest().equals(digest));
@@ -217,9 +220,9 @@
 	}
 
 	/**
-	 * Returns the head as it is told to neighbours.
+	 * Returns the head as it is sent to peers.
 	 */
-	org.wisteriapost.protocol.wire.Head wire(long nowNanos) {
+	org.wisteriapost.protocol.wire.Head toWire(long nowNanos) {
 		OptionalLong age = this.confirmed.ageNanos(nowNanos);
 		return org.wisteriapost.protocol.wire.Head.newBuilder()
 			.setGeneration(this.current.generation)
@@ -229,9 +232,10 @@
 			.build();
 	}
 
-	// Not only the last one: runners may still serve what was in force several rolls ago
-	// when these follow each other faster than weights move.
-	private Map<String, Set<String>> predecessors(Bundle next) {
+	// Includes the digests of all previous bundles that are still accepted: when rolls
+	// follow each other faster than weights are transferred, runners may be several
+	// bundles behind.
+	private Map<String, Set<String>> previousDigestsAfter(Bundle next) {
 		Map<String, Set<String>> digests = new HashMap<>();
 		this.bundle.ifPresent((old) -> old.services()
 			.stream()
@@ -239,7 +243,7 @@
 			.forEach((spec) -> next.service(spec.name())
 				.filter((now) -> now.kind() == ServiceSpec.Kind.MODEL)
 				.ifPresent((now) -> {
-					Set<String> older = new HashSet<>(this.previous.getOrDefault(spec.name(), Set.of()));
+					Set<String> older = new HashSet<>(this.previousDigests.getOrDefault(spec.name(), Set.of()));
 					older.add(old.weightsDigest(spec));
 					older.remove(next.weightsDigest(now));
 					if (!older.isEmpty()) {
@@ -249,19 +253,19 @@
 		return digests;
 	}
 
-	private static Optional<String> weights(Optional<Bundle> bundle, String service) {
+	private static Optional<String> weightsDigest(Optional<Bundle> bundle, String service) {
 		return bundle.flatMap((known) -> known.service(service).map(known::weightsDigest));
 	}
 
 	/**
 	 * A head.
 	 *
-	 * @param fromPlatform whether the platform itself named it
-	 * @param namedNanos as of when it was named first
+	 * @param fromPlatform whether it was first read from the platform, not from a peer
+	 * @param announcedNanos the time as of which it was first known to be the head
 	 */
-	private record Known(long generation, String digest, boolean fromPlatform, long namedNanos) {
+	private record KnownHead(long generation, String digest, boolean fromPlatform, long announcedNanos) {
 
-		private static final Known NONE = new Known(0, "", false, 0);
+		private static final KnownHead NONE = new KnownHead(0, "", false, 0);
 
 	}
 
--- a/entry/src/main/java/org/wisteriapost/entry/process/Identity.java
+++ b/entry/src/main/java/org/wisteriapost/entry/process/Identity.java
@@ -1,11 +1,11 @@
 package org.wisteriapost.entry.process;
 
 /**
- * Who this entry is.
+ * The identity of an entry.
  *
- * @param vm its VM's name
- * @param place its failure domain
- * @param keepSeconds how long callers may keep an address answer that names it
+ * @param vm the name of its VM
+ * @param failureDomain its failure domain
+ * @param addressCacheSeconds how long callers may cache its address
  */
-public record Identity(String vm, String place, long keepSeconds) {
+public record Identity(String vm, String failureDomain, long addressCacheSeconds) {
 }
--- a/entry/src/main/java/org/wisteriapost/entry/process/PeerTable.java
+++ b/entry/src/main/java/org/wisteriapost/entry/process/PeerTable.java
@@ -9,7 +9,7 @@
 import org.wisteriapost.protocol.wire.Role;
 
 /**
- * The links over which a Hello has come.
+ * The links whose peer has sent a valid Hello.
  */
 final class PeerTable {
 
@@ -20,23 +20,20 @@
 	}
 
 	/**
-	 * Removes a link; false when no Hello had come over it.
+	 * Removes a link; returns false if it was not in the table.
 	 */
 	boolean remove(PeerLink peer) {
 		return this.links.remove(peer);
 	}
 
-	/**
-	 * Returns whether there is a link to a VM.
-	 */
-	boolean linked(String vm) {
+	boolean isLinked(String vm) {
 		return this.links.stream().anyMatch((peer) -> peer.vm().equals(vm));
 	}
 
 	/**
-	 * Returns how many links lead to agents.
+	 * Returns the number of links to agents.
 	 */
-	long agents() {
+	long agentLinks() {
 		return this.links.stream().filter((peer) -> peer.role() == Role.AGENT).count();
 	}
 
--- a/entry/src/main/java/org/wisteriapost/entry/process/RunnerReports.java
+++ b/entry/src/main/java/org/wisteriapost/entry/process/RunnerReports.java
@@ -10,68 +10,68 @@
 import org.wisteriapost.protocol.wire.Report;
 
 /**
- * Passes agents' reports on to the decisions, and ends the time in which a predecessor's
- * weights are accepted: for each service once all its linked runners have switched. From
- * then on a runner that comes back with old weights is not used.
+ * Passes agents' reports to the {@link ActiveRequests}, and stops accepting a service's
+ * previous weights once all its linked runners have switched. From then on a runner that
+ * returns with old weights gets no calls.
  */
 final class RunnerReports {
 
-	private final Calls calls;
+	private final ActiveRequests requests;
 
 	private final HeadTracker heads;
 
-	private final Map<String, Report> last = new HashMap<>();
+	private final Map<String, Report> lastByVm = new HashMap<>();
 
-	RunnerReports(Calls calls, HeadTracker heads) {
-		this.calls = calls;
+	RunnerReports(ActiveRequests requests, HeadTracker heads) {
+		this.requests = requests;
 		this.heads = heads;
 	}
 
-	void seen(Report report, long nowNanos) {
-		this.last.put(report.getVm(), report);
-		if (report.getAdmitting() && this.heads.alsoServed(report.getService(), report.getWeightsDigest())) {
+	void received(Report report, long nowNanos) {
+		this.lastByVm.put(report.getVm(), report);
+		if (report.getAdmitting() && this.heads.acceptServed(report.getService(), report.getWeightsDigest())) {
 			headChanged();
 		}
-		this.calls.decide(new RequestEvent.RunnerSeen(view(report)));
-		if (this.heads.previous().containsKey(report.getService())) {
-			endSwitch(report.getService());
+		this.requests.decide(new RequestEvent.RunnerSeen(status(report)));
+		if (this.heads.previousDigests().containsKey(report.getService())) {
+			stopAcceptingUnserved(report.getService());
 		}
-		else if (!behind(report.getService())) {
+		else if (!anyBehindHead(report.getService())) {
 			this.heads.allSwitched(report.getService(), nowNanos);
 		}
 	}
 
-	void lost(String vm) {
-		this.last.remove(vm);
+	void disconnected(String vm) {
+		this.lastByVm.remove(vm);
 	}
 
 	/**
-	 * Tells the decisions which weights are accepted now.
+	 * Passes the digests that are accepted now to the {@link ActiveRequests}.
 	 */
 	void headChanged() {
-		this.calls.decide(new RequestEvent.HeadSeen(this.heads.generation(), this.heads.digests()));
+		this.requests.decide(new RequestEvent.HeadSeen(this.heads.generation(), this.heads.acceptedDigests()));
 	}
 
-	private void endSwitch(String service) {
-		Set<String> ended = new HashSet<>(this.heads.previous().get(service));
-		this.last.values()
+	private void stopAcceptingUnserved(String service) {
+		Set<String> ended = new HashSet<>(this.heads.previousDigests().get(service));
+		this.lastByVm.values()
 			.stream()
 			.filter((report) -> report.getService().equals(service))
 			.forEach((report) -> ended.remove(report.getWeightsDigest()));
-		if (!behind(service) && !ended.isEmpty()) {
-			ended.forEach((digest) -> this.heads.switched(service, digest));
+		if (!anyBehindHead(service) && !ended.isEmpty()) {
+			ended.forEach((digest) -> this.heads.stopAccepting(service, digest));
 			headChanged();
 		}
 	}
 
-	private boolean behind(String service) {
-		return this.last.values()
+	private boolean anyBehindHead(String service) {
+		return this.lastByVm.values()
 			.stream()
 			.filter((report) -> report.getService().equals(service))
 			.anyMatch((report) -> report.getBundleGeneration() < this.heads.generation());
 	}
 
-	private static RunnerView view(Report report) {
+	private static RunnerView status(Report report) {
 		return new RunnerView(report.getVm(), report.getPlace(), report.getService(),
 				report.getAdmitting() && !report.getLeaving(), report.getPlain() ? "" : report.getWeightsDigest(),
 				report.getBundleGeneration(), report.getRunning(), report.getQueued(), report.getCapacity(),
--- a/entry/src/main/java/org/wisteriapost/entry/process/package-info.java
+++ b/entry/src/main/java/org/wisteriapost/entry/process/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The entry's events and the state that its one event loop applies them to.
+ * The entry's event loop: its events, its state and the I/O around it.
  */
 package org.wisteriapost.entry.process;
--- a/entry/src/test/java/org/wisteriapost/entry/process/EntryStateTests.java
+++ b/entry/src/test/java/org/wisteriapost/entry/process/EntryStateTests.java
@@ -29,9 +29,9 @@
 import static org.hamcrest.MatcherAssert.assertThat;
 
 /**
- * A caller is told for good that there is no such model by what the entry shows its HTTP
- * side. Bundles roll within eight seconds; the entry shows that its own may be old once
- * it has not been confirmed for nine tenths of that, whether or not anything happens.
+ * A request for an unknown model is rejected for good only by a recent bundle. Bundles
+ * become active within 8 s, so the published view stops rejecting once its bundle has not
+ * been confirmed for nine tenths of that.
  */
 class EntryStateTests {
 
@@ -41,16 +41,16 @@
 
 	private static final String DIGEST = Digests.sha256(CONTENT);
 
-	private final Output output = new Output();
+	private final RecordingOutput output = new RecordingOutput();
 
 	private long now = 100_000 * MILLI;
 
-	private long dayMillis = 1_000_000;
+	private long wallMillis = 1_000_000;
 
 	private final EntryState state = state();
 
 	@BeforeEach
-	void take() {
+	void activateBundle() {
 		confirm(this.now);
 		this.state.apply(new EntryEvent.BundleRead(new BundleContent(DIGEST, CONTENT, Map.of())));
 	}
@@ -60,7 +60,7 @@
 		EntryWiring wiring = new EntryWiring(RequestMachine.create(RequestPolicySettings.defaults(), 7, invariants),
 				ClaimTable.create(50, RandomSource.SPLIT_MIX_64.create(7), this.now),
 				ClaimStore.of(new FakePlatform(), (reply) -> {
-				}), EntryMetrics.of(new SimpleMeterRegistry()), invariants, () -> this.now, () -> this.dayMillis,
+				}), EntryMetrics.of(new SimpleMeterRegistry()), invariants, () -> this.now, () -> this.wallMillis,
 				1 << 20);
 		return EntryState.create(new Identity("e", "p1", 1), this.output, wiring);
 	}
@@ -69,9 +69,9 @@
 		this.state.apply(new EntryEvent.HeadRead(new Head(1, DIGEST, "amy", 0, "n"), asOfNanos));
 	}
 
-	private void pass(long millis) {
+	private void advance(long millis) {
 		this.now += millis * MILLI;
-		this.dayMillis += millis;
+		this.wallMillis += millis;
 	}
 
 	private void tick() {
@@ -79,40 +79,39 @@
 	}
 
 	private boolean mayReject() {
-		return this.output.view.mayReject(this.now, this.dayMillis);
+		return this.output.view.mayReject(this.now, this.wallMillis);
 	}
 
 	@Test
-	void theBundleThatWasJustConfirmedRejects() {
+	void aRecentlyConfirmedBundleAllowsRejections() {
 		assertThat(mayReject(), Matchers.equalTo(true));
 	}
 
-	// Nothing changes but the time. The view is made anew after changes only.
+	// Only time passes, and no event publishes a new view.
 	@ParameterizedTest
 	@CsvSource({ "7200,true", "7201,false" })
-	void theViewGrowsOldWithTheBundle(long millis, boolean rejects) {
-		pass(millis);
+	void theViewStopsRejectingOnceTheBundleIsStale(long millis, boolean mayReject) {
+		advance(millis);
 		tick();
-		assertThat(mayReject(), Matchers.equalTo(rejects));
+		assertThat(mayReject(), Matchers.equalTo(mayReject));
 	}
 
 	@Test
-	void theViewGrowsYoungWhenTheHeadIsConfirmed() {
-		pass(8000);
+	void theViewRejectsAgainWhenTheHeadIsConfirmed() {
+		advance(8000);
 		tick();
 		confirm(this.now);
 		tick();
 		assertThat(mayReject(), Matchers.equalTo(true));
-		pass(5000);
+		advance(5000);
 		confirm(this.now);
 		tick();
-		pass(5000);
+		advance(5000);
 		tick();
 		assertThat(mayReject(), Matchers.equalTo(true));
 	}
 
-	// The newer bundle may hold what a request asks for. Its head is known long before it
-	// is here.
+	// The newer bundle may contain what a request asks for, but is not fetched yet.
 	@Test
 	void aBundleRejectsNothingOnceANewerHeadIsKnown() {
 		this.state.apply(new EntryEvent.HeadRead(new Head(2, "newer", "amy", 0, "n"), this.now));
@@ -120,37 +119,37 @@
 		assertThat(mayReject(), Matchers.equalTo(false));
 	}
 
-	// The thread that decides is held up, and the HTTP side goes on.
+	// The HTTP threads go on using the last view.
 	@Test
-	void theViewGrowsOldWhileNothingIsDecided() {
-		pass(7201);
+	void theViewStopsRejectingWhileTheEventLoopIsStalled() {
+		advance(7201);
 		assertThat(mayReject(), Matchers.equalTo(false));
 	}
 
-	// The VM is suspended for a minute, in which operators roll. The monotonic clock has
-	// stood still, so the bundle seems as young as before.
-	// What is shown anew for another reason rests on what was known before, too.
+	// The monotonic clock stands still while the VM is suspended, so the bundle seems
+	// more recent than it is. With true, a view is also published before the next
+	// confirmation.
 	@ParameterizedTest
 	@ValueSource(booleans = { false, true })
-	void whatWasKnownBeforeASuspensionRejectsNothing(boolean ticked) {
-		long askedBefore = this.now - MILLI;
-		this.dayMillis += 60_000;
+	void nothingIsRejectedAfterASuspensionUntilTheHeadIsConfirmedAgain(boolean ticked) {
+		long requestedBeforeNanos = this.now - MILLI;
+		this.wallMillis += 60_000;
 		if (ticked) {
 			tick();
-			this.state.apply(new EntryEvent.MarksRead(Set.of()));
+			this.state.apply(new EntryEvent.LeavingMarksRead(Set.of()));
 		}
 		assertThat(mayReject(), Matchers.equalTo(false));
-		confirm(askedBefore);
+		confirm(requestedBeforeNanos);
 		tick();
 		assertThat(mayReject(), Matchers.equalTo(false));
-		pass(1);
+		advance(1);
 		confirm(this.now);
 		tick();
 		assertThat(mayReject(), Matchers.equalTo(true));
 	}
 
-	/** Keeps what it is shown. */
-	private static final class Output implements EntryOutput {
+	/** Records the last published view. */
+	private static final class RecordingOutput implements EntryOutput {
 
 		private ServiceView view = ServiceView.EMPTY;
 
--- a/entry/src/test/java/org/wisteriapost/entry/process/HeadTrackerTests.java
+++ b/entry/src/test/java/org/wisteriapost/entry/process/HeadTrackerTests.java
@@ -30,124 +30,123 @@
 		assertThat(this.invariants.violations(), is(Map.of()));
 	}
 
-	// Callers are answered throughout. Operators roll twice within seconds; the runners
-	// have fetched neither version and still serve what was in force before both.
+	// Two rolls within seconds: the runners have fetched neither version and still serve
+	// the one before. Their answers must be accepted meanwhile.
 	@Test
-	void weightsOfTwoRollsAgoAreAcceptedUntilNobodyServesThem() {
+	void weightsOfTwoRollsAgoAreAcceptedUntilNoRunnerServesThem() {
 		String first = roll(1, "a");
 		String second = roll(2, "b");
 		String third = roll(3, "c");
-		assertThat(this.heads.digests().get("lm"), is(Set.of(first, second, third)));
-		this.heads.switched("lm", first);
-		assertThat(this.heads.digests().get("lm"), is(Set.of(second, third)));
-		this.heads.switched("lm", second);
-		assertThat(this.heads.previous(), is(Map.of()));
+		assertThat(this.heads.acceptedDigests().get("lm"), is(Set.of(first, second, third)));
+		this.heads.stopAccepting("lm", first);
+		assertThat(this.heads.acceptedDigests().get("lm"), is(Set.of(second, third)));
+		this.heads.stopAccepting("lm", second);
+		assertThat(this.heads.previousDigests(), is(Map.of()));
 	}
 
-	// An entry is replaced in the middle of a roll. It has never heard of the bundle
-	// before, and every runner still serves that one.
+	// An entry that starts during a roll does not know the previous bundle, which every
+	// runner still serves.
 	@Test
 	void runnerOfAnUnknownPredecessorIsAccepted() {
 		String current = roll(7, "b");
-		assertThat(this.heads.alsoServed("lm", "older"), is(true));
-		assertThat(this.heads.alsoServed("lm", "older"), is(false));
-		assertThat(this.heads.digests().get("lm"), is(Set.of(current, "older")));
+		assertThat(this.heads.acceptServed("lm", "older"), is(true));
+		assertThat(this.heads.acceptServed("lm", "older"), is(false));
+		assertThat(this.heads.acceptedDigests().get("lm"), is(Set.of(current, "older")));
 	}
 
-	// All runners have switched; one comes back with the weights of before, for example
-	// an engine that a paused agent has ordered. It gets no calls.
+	// After all runners have switched, one returns with the old weights, for example an
+	// engine that was started by an agent that had been paused.
 	@Test
 	void olderWeightsAreNotAcceptedOnceAllHaveSwitched() {
 		String first = roll(1, "a");
 		roll(2, "b");
-		this.heads.switched("lm", first);
-		assertThat(this.heads.alsoServed("lm", first), is(false));
+		this.heads.stopAccepting("lm", first);
+		assertThat(this.heads.acceptServed("lm", first), is(false));
 	}
 
 	@Test
-	void entryThatHasJustStartedWaitsForReportsBeforeItTakesTheRollForDone() {
+	void restartedEntryWaitsForReportsBeforeItEndsTheSwitch() {
 		roll(7, "b");
 		this.heads.allSwitched("lm", 1);
-		assertThat(this.heads.alsoServed("lm", "older"), is(true));
-		this.heads.switched("lm", "older");
-		assertThat(this.heads.alsoServed("lm", "older"), is(false));
+		assertThat(this.heads.acceptServed("lm", "older"), is(true));
+		this.heads.stopAccepting("lm", "older");
+		assertThat(this.heads.acceptServed("lm", "older"), is(false));
 	}
 
 	@Test
-	void weightsOfNoServiceOrNoneAreNotAccepted() {
+	void emptyDigestsAndUnknownServicesAreNotAccepted() {
 		roll(1, "a");
-		assertThat(this.heads.alsoServed("other", "digest"), is(false));
-		assertThat(this.heads.alsoServed("lm", ""), is(false));
+		assertThat(this.heads.acceptServed("other", "digest"), is(false));
+		assertThat(this.heads.acceptServed("lm", ""), is(false));
 	}
 
 	@Test
 	void bundleWithTheSameWeightsHasNoPredecessor() {
 		roll(1, "a");
 		roll(2, "a");
-		assertThat(this.heads.previous(), is(Map.of()));
+		assertThat(this.heads.previousDigests(), is(Map.of()));
 	}
 
 	@Test
 	void lowerGenerationAndOtherContentAreIgnored() {
 		roll(2, "b");
-		assertThat(this.heads.learn(1, "digest", true, 0), is(false));
-		this.heads.learn(3, "digest", true, 0);
-		assertThat(this.heads.take(new BundleContent("digest", new byte[1], Map.of()), 0), is(false));
+		assertThat(this.heads.headReceived(1, "digest", true, 0), is(false));
+		this.heads.headReceived(3, "digest", true, 0);
+		assertThat(this.heads.activate(new BundleContent("digest", new byte[1], Map.of()), 0), is(false));
 		assertThat(this.heads.generation(), is(2L));
 	}
 
-	// The platform names a head and is cut off. Its bundle comes from a neighbour half a
-	// minute later; operators have rolled a newer one meanwhile. Were the bundle taken
-	// for the newest as of its coming, callers would be told for good that there is no
-	// such model.
+	// The bundle arrives from a peer 30 s after its head was read from the platform,
+	// which is unreachable since. If it counted as confirmed on arrival, requests for a
+	// model of a newer bundle would be rejected for good.
 	@Test
-	void aBundleIsTheNewestAsOfWhenItsHeadWasNamed() {
+	void aBundleIsConfirmedAsOfWhenItsHeadWasRead() {
 		byte[] content = BundleCodec.encode(bundle(1, "a"));
 		String digest = Digests.sha256(content);
-		this.heads.learn(1, digest, true, 0);
-		this.heads.take(new BundleContent(digest, content, Map.of()), 30 * SECOND);
+		this.heads.headReceived(1, digest, true, 0);
+		this.heads.activate(new BundleContent(digest, content, Map.of()), 30 * SECOND);
 		assertThat(this.heads.generation(), is(1L));
 		assertThat(mayReject(30 * SECOND), is(false));
-		assertThat(this.heads.wire(30 * SECOND).getConfirmedAgeMillis(), is(30_000L));
-		this.heads.learn(1, digest, true, 31 * SECOND);
+		assertThat(this.heads.toWire(30 * SECOND).getConfirmedAgeMillis(), is(30_000L));
+		this.heads.headReceived(1, digest, true, 31 * SECOND);
 		assertThat(mayReject(31 * SECOND), is(true));
 	}
 
 	@Test
-	void aBundleThatComesSoonIsEnoughToReject() {
+	void aBundleThatArrivesSoonAfterItsHeadAllowsRejections() {
 		byte[] content = BundleCodec.encode(bundle(1, "a"));
 		String digest = Digests.sha256(content);
-		this.heads.learn(1, digest, true, 0);
-		this.heads.take(new BundleContent(digest, content, Map.of()), SECOND);
+		this.heads.headReceived(1, digest, true, 0);
+		this.heads.activate(new BundleContent(digest, content, Map.of()), SECOND);
 		assertThat(mayReject(SECOND), is(true));
 		assertThat(mayReject(8 * SECOND), is(false));
 	}
 
-	// An agent that starts relies on a head that the platform is said to have confirmed.
-	// That it confirmed the one before says nothing of this one.
+	// Agents rely on heads that the platform has confirmed. Its confirmation of the
+	// previous head does not apply to this one.
 	@Test
-	void aHeadThatOnlyANeighbourHasNamedIsNotSaidToBeConfirmed() {
+	void aHeadKnownOnlyFromAPeerIsNotSentAsConfirmed() {
 		roll(1, "a");
 		byte[] content = BundleCodec.encode(bundle(2, "b"));
 		String digest = Digests.sha256(content);
-		this.heads.learn(2, digest, false, SECOND);
-		this.heads.take(new BundleContent(digest, content, Map.of()), SECOND);
-		assertThat(this.heads.wire(SECOND).getConfirmed(), is(false));
-		this.heads.learn(2, digest, true, 2 * SECOND);
-		assertThat(this.heads.wire(3 * SECOND).getConfirmed(), is(true));
-		assertThat(this.heads.wire(3 * SECOND).getConfirmedAgeMillis(), is(1000L));
+		this.heads.headReceived(2, digest, false, SECOND);
+		this.heads.activate(new BundleContent(digest, content, Map.of()), SECOND);
+		assertThat(this.heads.toWire(SECOND).getConfirmed(), is(false));
+		this.heads.headReceived(2, digest, true, 2 * SECOND);
+		assertThat(this.heads.toWire(3 * SECOND).getConfirmed(), is(true));
+		assertThat(this.heads.toWire(3 * SECOND).getConfirmedAgeMillis(), is(1000L));
 	}
 
-	// The age would be too low by as long as the VM was suspended.
+	// The confirmed age would lack the time for which the VM was suspended.
 	@Test
-	void aHeadConfirmedBeforeASuspensionIsNotSaidToBeConfirmed() {
+	void aHeadConfirmedBeforeASuspensionIsNotSentAsConfirmed() {
 		roll(1, "a");
 		this.heads.suspended(SECOND);
-		assertThat(this.heads.wire(SECOND).getConfirmed(), is(false));
+		assertThat(this.heads.toWire(SECOND).getConfirmed(), is(false));
 	}
 
 	private boolean mayReject(long nowNanos) {
-		return this.heads.rejections(nowNanos, 0).allows(nowNanos, 0);
+		return this.heads.rejectionPermit(nowNanos, 0).allows(nowNanos, 0);
 	}
 
 	private static Bundle bundle(long generation, String model) {
@@ -163,8 +162,8 @@
 		Bundle bundle = bundle(generation, model);
 		byte[] content = BundleCodec.encode(bundle);
 		String digest = Digests.sha256(content);
-		this.heads.learn(generation, digest, true, 0);
-		assertThat(this.heads.take(new BundleContent(digest, content, Map.of()), 0), is(true));
+		this.heads.headReceived(generation, digest, true, 0);
+		assertThat(this.heads.activate(new BundleContent(digest, content, Map.of()), 0), is(true));
 		return bundle.weightsDigest(lm(model));
 	}
 
