--- a/entry/src/main/java/org/wisteriapost/entry/caller/AnswerSink.java
+++ b/entry/src/main/java/org/wisteriapost/entry/caller/AnswerSink.java
@@ -4,36 +4,36 @@
 import java.util.Map;
 
 /**
- * Where the answer to one caller goes: either one {@link Refusal}, one whole answer, or a
- * head, data and an end.
+ * Receives the answer to one caller: either a {@link Refusal}, a complete answer, or a
+ * stream of a head, data and an end.
  */
 public interface AnswerSink {
 
 	/**
-	 * Gives the caller its final answer without a run's content; after a head went out
-	 * the answer is cut instead, since a caller would read an error as more of the
-	 * answer.
+	 * Sends a refusal as the final answer. If a head was already sent, the connection is
+	 * reset instead, since a caller would read the error as part of the answer.
 	 */
 	void refuse(Refusal refusal);
 
 	/**
-	 * Gives the caller a whole answer.
+	 * Sends a complete answer.
 	 */
 	void whole(int status, List<Map.Entry<String, String>> headers, String weights, byte[] body);
 
 	/**
-	 * Sends an answer's head; data follows. Its outcome header says that the run has
-	 * started; only a whole end confirms it.
+	 * Sends the head of a streamed answer. Its outcome header says "ran" although the run
+	 * has only started; the caller may rely on it only after a regular end of the stream.
 	 */
 	void start(int status, List<Map.Entry<String, String>> headers, String weights);
 
 	/**
-	 * Sends a piece of the body; false when the caller is too slow and was cut.
+	 * Sends a chunk of the body; returns false if the caller reads too slowly and its
+	 * connection was reset.
 	 */
 	boolean data(byte[] data);
 
 	/**
-	 * Ends a streamed answer whole.
+	 * Ends a streamed answer regularly.
 	 */
 	void end();
 
--- a/entry/src/main/java/org/wisteriapost/entry/caller/CallHandler.java
+++ b/entry/src/main/java/org/wisteriapost/entry/caller/CallHandler.java
@@ -21,8 +21,8 @@
 import org.xnio.XnioExecutor;
 
 /**
- * Takes one request: checks what its head says, reads its body within bounds of size and
- * time, and hands it to the event loop.
+ * Handles a caller's request: checks its headers, reads its body within limits of size
+ * and time, and submits it to the event loop.
  */
 final class CallHandler implements HttpHandler {
 
@@ -43,39 +43,39 @@
 	static final Code TOKEN_DOUBTFUL = Code.refusal("token-doubtful",
 			"The bearer token is not known here, and not all files of tokens were read lately.");
 
-	private static final Map<Code, Integer> STATUS = Map.of(CallCheck.TOKEN_UNKNOWN, 401, CallCheck.SERVICE_UNKNOWN,
-			404, CallCheck.MODEL_UNKNOWN, 404, CallCheck.PATH_UNKNOWN, 404, CallCheck.METHOD_UNKNOWN, 405,
+	private static final Map<Code, Integer> STATUS = Map.of(CallParser.TOKEN_UNKNOWN, 401, CallParser.SERVICE_UNKNOWN,
+			404, CallParser.MODEL_UNKNOWN, 404, CallParser.PATH_UNKNOWN, 404, CallParser.METHOD_UNKNOWN, 405,
 			BODY_TOO_LARGE, 413, BODY_TOO_SLOW, 408);
 
 	private static final int BAD_REQUEST = 400;
 
 	private static final Pattern REQUEST_ID = Pattern.compile("[A-Za-z0-9._-]{1,64}");
 
-	// A full entry frees a slot with each answer that ends.
-	private static final long FULL_MILLIS = 200;
+	// Short, since every answer that ends frees a slot.
+	private static final long FULL_RETRY_MILLIS = 200;
 
-	private static final long LEAVING_MILLIS = 1;
+	private static final long LEAVING_RETRY_MILLIS = 1;
 
-	private static final long ABSENT_MILLIS = 1000;
+	private static final long STALE_STATE_RETRY_MILLIS = 1000;
 
-	private final CallCheck check;
+	private final CallParser parser;
 
-	private final FrontLimits limits;
+	private final HttpLimits limits;
 
-	private final FrontPort port;
+	private final CallIntake intake;
 
 	private final AtomicLong ids = new AtomicLong();
 
 	private final AtomicInteger active = new AtomicInteger();
 
-	CallHandler(CallCheck check, FrontLimits limits, FrontPort port) {
-		this.check = check;
+	CallHandler(CallParser parser, HttpLimits limits, CallIntake intake) {
+		this.parser = parser;
 		this.limits = limits;
-		this.port = port;
+		this.intake = intake;
 	}
 
 	/**
-	 * Returns the requests in progress.
+	 * Returns the number of requests in progress.
 	 */
 	int active() {
 		return this.active.get();
@@ -90,73 +90,75 @@
 			next.proceed();
 		});
 		String requestId = requestId(exchange.getRequestHeaders());
-		CallerAnswer answer = new CallerAnswer(exchange, requestId, this.limits.unsentBytes());
+		CallerAnswer answer = new CallerAnswer(exchange, requestId, this.limits.maxUnsentBytes());
 		try {
-			String organisation = this.check.organisation(exchange);
+			String organisation = this.parser.organisation(exchange);
 			Optional<Refusal> refusal = refusal(now, exchange);
 			if (refusal.isPresent()) {
-				answerNow(exchange, answer, refusal.get());
+				rejectOnIoThread(exchange, answer, refusal.get());
 				return;
 			}
-			long deadline = this.check.deadline(exchange, nowNanos);
-			read(exchange, answer, (body) -> submit(exchange, requestId, organisation, deadline, body, answer));
+			long deadline = this.parser.deadline(exchange, nowNanos);
+			readBody(exchange, answer, (body) -> submit(exchange, requestId, organisation, deadline, body, answer));
 		}
 		catch (CodedException ex) {
-			answerNow(exchange, answer, refusal(exchange, ex));
+			rejectOnIoThread(exchange, answer, refusal(exchange, ex));
 		}
 	}
 
 	private Refusal refusal(HttpServerExchange exchange, CodedException ex) {
-		if (ex.code().equals(CallCheck.TOKEN_UNKNOWN) && !this.check.mayRejectToken(exchange)) {
-			return Refusal.later(TOKEN_DOUBTFUL.name(), TOKEN_DOUBTFUL.summary(), ABSENT_MILLIS);
+		if (ex.code().equals(CallParser.TOKEN_UNKNOWN) && !this.parser.mayRejectToken(exchange)) {
+			return Refusal.later(TOKEN_DOUBTFUL.name(), TOKEN_DOUBTFUL.summary(), STALE_STATE_RETRY_MILLIS);
 		}
-		return bad(ex);
+		return invalidRequest(ex);
 	}
 
 	private Optional<Refusal> refusal(int now, HttpServerExchange exchange) {
-		ServiceView view = this.port.view();
+		ServiceView view = this.intake.view();
 		if (view.leaving()) {
-			Refusal leaving = Refusal.later(ENTRY_LEAVING.name(), ENTRY_LEAVING.summary(), LEAVING_MILLIS);
+			Refusal leaving = Refusal.later(ENTRY_LEAVING.name(), ENTRY_LEAVING.summary(), LEAVING_RETRY_MILLIS);
 			return Optional.of(new Refusal(leaving.status(), leaving.code(), leaving.message(), leaving.outcome(),
 					leaving.retryAfterMillis(), view.entries()));
 		}
-		if (now > this.limits.streams()) {
-			return Optional.of(Refusal.later(ENTRY_FULL.name(), ENTRY_FULL.summary(), FULL_MILLIS));
+		if (now > this.limits.maxRequests()) {
+			return Optional.of(Refusal.later(ENTRY_FULL.name(), ENTRY_FULL.summary(), FULL_RETRY_MILLIS));
 		}
 		if (view.generation() == 0) {
-			return Optional.of(Refusal.later(BUNDLE_ABSENT.name(), BUNDLE_ABSENT.summary(), ABSENT_MILLIS));
+			return Optional.of(Refusal.later(BUNDLE_ABSENT.name(), BUNDLE_ABSENT.summary(), STALE_STATE_RETRY_MILLIS));
 		}
-		if (exchange.getRequestContentLength() > this.limits.bodyBytes()) {
-			return Optional.of(bad(CodedException.of(BODY_TOO_LARGE, "the limit is " + this.limits.bodyBytes())));
+		if (exchange.getRequestContentLength() > this.limits.maxBodyBytes()) {
+			return Optional
+				.of(invalidRequest(CodedException.of(BODY_TOO_LARGE, "the limit is " + this.limits.maxBodyBytes())));
 		}
 		return Optional.empty();
 	}
 
-	// A body that trickles in holds a slot and its buffer; the timer takes both back.
-	private void read(HttpServerExchange exchange, CallerAnswer answer, java.util.function.Consumer<byte[]> next) {
+	// The timeout keeps slow senders from occupying request slots and body buffers.
+	private void readBody(HttpServerExchange exchange, CallerAnswer answer, java.util.function.Consumer<byte[]> next) {
 		XnioExecutor.Key timer = exchange.getIoThread()
-			.executeAfter(() -> tooSlow(exchange, answer), this.limits.bodyTimeout().toMillis(), TimeUnit.MILLISECONDS);
-		exchange.getRequestReceiver().setMaxBufferSize(this.limits.bodyBytes());
+			.executeAfter(() -> bodyTimedOut(exchange, answer), this.limits.bodyTimeout().toMillis(),
+					TimeUnit.MILLISECONDS);
+		exchange.getRequestReceiver().setMaxBufferSize(this.limits.maxBodyBytes());
 		exchange.getRequestReceiver().receiveFullBytes((same, body) -> {
 			timer.remove();
 			next.accept(body);
 		}, (same, ex) -> {
 			timer.remove();
-			unreadable(exchange, answer, ex);
+			bodyReadFailed(exchange, answer, ex);
 		});
 	}
 
-	private void tooSlow(HttpServerExchange exchange, CallerAnswer answer) {
+	private void bodyTimedOut(HttpServerExchange exchange, CallerAnswer answer) {
 		exchange.setPersistent(false);
-		answer.refuse(
-				bad(CodedException.of(BODY_TOO_SLOW, "the limit is " + this.limits.bodyTimeout().toMillis() + " ms")));
+		answer.refuse(invalidRequest(
+				CodedException.of(BODY_TOO_SLOW, "the limit is " + this.limits.bodyTimeout().toMillis() + " ms")));
 	}
 
-	private void unreadable(HttpServerExchange exchange, CallerAnswer answer, IOException ex) {
+	private void bodyReadFailed(HttpServerExchange exchange, CallerAnswer answer, IOException ex) {
 		if (ex instanceof Receiver.RequestToLargeException || ex instanceof io.undertow.server.RequestTooBigException) {
 			exchange.setPersistent(false);
-			answerNow(exchange, answer,
-					bad(CodedException.of(BODY_TOO_LARGE, "the limit is " + this.limits.bodyBytes())));
+			rejectOnIoThread(exchange, answer,
+					invalidRequest(CodedException.of(BODY_TOO_LARGE, "the limit is " + this.limits.maxBodyBytes())));
 			return;
 		}
 		IoUtils.safeClose(exchange.getConnection());
@@ -165,40 +167,41 @@
 	private void submit(HttpServerExchange exchange, String requestId, String organisation, long deadlineNanos,
 			byte[] body, CallerAnswer answer) {
 		exchange.dispatch(SameThreadExecutor.INSTANCE, () -> {
-			ServiceView view = this.port.view();
+			ServiceView view = this.intake.view();
 			try {
-				CallerCall call = this.check.call(this.ids.incrementAndGet(), requestId, organisation, deadlineNanos,
+				CallerCall call = this.parser.parse(this.ids.incrementAndGet(), requestId, organisation, deadlineNanos,
 						exchange, body, view, answer);
-				HangUpWatch.start(exchange, () -> this.port.gone(call.id()));
-				if (!this.port.submit(call)) {
-					this.port.turnedAway(ENTRY_FULL.name());
-					answer.refuse(Refusal.later(ENTRY_FULL.name(), ENTRY_FULL.summary(), FULL_MILLIS));
+				HangUpWatch.start(exchange, () -> this.intake.callerDisconnected(call.id()));
+				if (!this.intake.submit(call)) {
+					this.intake.rejected(ENTRY_FULL.name());
+					answer.refuse(Refusal.later(ENTRY_FULL.name(), ENTRY_FULL.summary(), FULL_RETRY_MILLIS));
 				}
 			}
 			catch (CodedException ex) {
 				Refusal refusal = refusal(ex, view);
-				this.port.turnedAway(refusal.code());
+				this.intake.rejected(refusal.code());
 				answer.refuse(refusal);
 			}
 		});
 	}
 
-	// What a bundle lacks is wrong only if no newer one has it: see RejectionGuard. The
-	// age is that of the bundle it was judged by.
+	// A service or model that the bundle lacks may be in a newer one, so it is rejected
+	// for good only by a recent bundle; see RejectionGuard. The permit must be that of
+	// the view which the request was checked against.
 	private static Refusal refusal(CodedException ex, ServiceView view) {
-		boolean byBundle = ex.code().equals(CallCheck.SERVICE_UNKNOWN) || ex.code().equals(CallCheck.MODEL_UNKNOWN);
+		boolean byBundle = ex.code().equals(CallParser.SERVICE_UNKNOWN) || ex.code().equals(CallParser.MODEL_UNKNOWN);
 		if (byBundle && !view.mayReject(System.nanoTime(), System.currentTimeMillis())) {
-			return Refusal.later(BUNDLE_DOUBTFUL.name(), BUNDLE_DOUBTFUL.summary(), ABSENT_MILLIS);
+			return Refusal.later(BUNDLE_DOUBTFUL.name(), BUNDLE_DOUBTFUL.summary(), STALE_STATE_RETRY_MILLIS);
 		}
-		return bad(ex);
+		return invalidRequest(ex);
 	}
 
-	private void answerNow(HttpServerExchange exchange, CallerAnswer answer, Refusal refusal) {
-		this.port.turnedAway(refusal.code());
+	private void rejectOnIoThread(HttpServerExchange exchange, CallerAnswer answer, Refusal refusal) {
+		this.intake.rejected(refusal.code());
 		exchange.dispatch(SameThreadExecutor.INSTANCE, () -> answer.refuse(refusal));
 	}
 
-	static Refusal bad(CodedException ex) {
+	static Refusal invalidRequest(CodedException ex) {
 		return Refusal.bad(STATUS.getOrDefault(ex.code(), BAD_REQUEST), ex.code().name(),
 				ex.code().summary() + " " + ex.getMessage());
 	}
--- a/entry/src/main/java/org/wisteriapost/entry/caller/CallKey.java
+++ b/entry/src/main/java/org/wisteriapost/entry/caller/CallKey.java
@@ -1,10 +1,10 @@
 package org.wisteriapost.entry.caller;
 
 /**
- * The idempotency key of a call, with the time that its caller made it.
+ * The idempotency key of a call, with the time at which the caller issued it.
  *
- * @param text as the caller wrote it
- * @param issuedMillis milliseconds since 1970
+ * @param text the key as sent by the caller
+ * @param issuedMillis the time of issue, in milliseconds since 1970
  */
 public record CallKey(String text, long issuedMillis) {
 }
--- a/entry/src/main/java/org/wisteriapost/entry/caller/CallCheck.java
+++ b/entry/src/main/java/org/wisteriapost/entry/caller/CallParser.java
@@ -22,10 +22,10 @@
 import org.wisteriapost.protocol.CallerHeaders;
 
 /**
- * Turns one HTTP request into a {@link CallerCall} or finds what is wrong with it, before
- * anything is queued, claimed or sent.
+ * Parses an HTTP request into a {@link CallerCall}. A request that is invalid is rejected
+ * here, before anything is queued, claimed or sent.
  */
-final class CallCheck {
+final class CallParser {
 
 	static final Code TOKEN_UNKNOWN = Code.error("token-unknown", "The bearer token is absent or of no organisation.");
 
@@ -55,8 +55,9 @@
 
 	private static final Set<String> METHODS = Set.of("GET", "HEAD", "POST", "PUT", "PATCH", "DELETE");
 
-	// Hop by hop, ours alone, or set anew for the next hop.
-	private static final Set<String> NOT_PASSED = Set.of("connection", "keep-alive", "proxy-connection", "te",
+	// Hop-by-hop headers, headers for the entry only, and headers that are set anew for
+	// the runner.
+	private static final Set<String> WITHHELD_HEADERS = Set.of("connection", "keep-alive", "proxy-connection", "te",
 			"trailer", "transfer-encoding", "upgrade", "host", "content-length", "authorization", "expect",
 			"accept-encoding", "idempotency-key-time", "wisteriapost-deadline-ms", "wisteriapost-service",
 			"wisteriapost-request-id");
@@ -71,15 +72,15 @@
 
 	private final Organisations organisations;
 
-	private final FrontLimits limits;
+	private final HttpLimits limits;
 
-	CallCheck(Organisations organisations, FrontLimits limits) {
+	CallParser(Organisations organisations, HttpLimits limits) {
 		this.organisations = organisations;
 		this.limits = limits;
 	}
 
 	/**
-	 * Returns the organisation; throws when the token is no one's.
+	 * Returns the organisation of the request's token; throws if there is none.
 	 */
 	String organisation(HttpServerExchange exchange) {
 		return this.organisations.find(exchange.getRequestHeaders().getFirst(Headers.AUTHORIZATION))
@@ -87,15 +88,15 @@
 	}
 
 	/**
-	 * Returns whether a token that is no one's here is so for good.
+	 * Returns whether a token that is unknown here may be rejected for good.
 	 */
 	boolean mayRejectToken(HttpServerExchange exchange) {
 		return this.organisations.mayReject(exchange.getRequestHeaders().getFirst(Headers.AUTHORIZATION));
 	}
 
 	/**
-	 * Returns when the caller stops waiting.
-	 * @param nowNanos when the request's head came
+	 * Returns the request's deadline on the monotonic clock.
+	 * @param nowNanos the time at which the request's head was received
 	 */
 	long deadline(HttpServerExchange exchange, long nowNanos) {
 		String text = exchange.getRequestHeaders().getFirst(CallerHeaders.DEADLINE);
@@ -109,27 +110,27 @@
 			}
 		}
 		catch (NumberFormatException ex) {
-			// Said below, as for one that is out of bounds.
+			// Rejected below, as is a number that is out of bounds.
 		}
 		throw CodedException.of(HEADER_INVALID,
 				CallerHeaders.DEADLINE + " takes 1 to " + this.limits.maxDeadline().toMillis());
 	}
 
 	/**
-	 * Returns the call; throws when it is wrong in itself.
+	 * Returns the call; throws if the request is invalid.
 	 */
-	CallerCall call(long id, String requestId, String organisation, long deadlineNanos, HttpServerExchange exchange,
+	CallerCall parse(long id, String requestId, String organisation, long deadlineNanos, HttpServerExchange exchange,
 			byte[] body, ServiceView view, AnswerSink answer) {
 		String path = exchange.getRequestURI();
 		if (path.equals(CHAT)) {
-			return chat(id, requestId, organisation, deadlineNanos, exchange, body, view, answer);
+			return chatCall(id, requestId, organisation, deadlineNanos, exchange, body, view, answer);
 		}
-		return passed(id, requestId, organisation, deadlineNanos, exchange, body, view, answer);
+		return plainServiceCall(id, requestId, organisation, deadlineNanos, exchange, body, view, answer);
 	}
 
-	private CallerCall chat(long id, String requestId, String organisation, long deadlineNanos,
+	private CallerCall chatCall(long id, String requestId, String organisation, long deadlineNanos,
 			HttpServerExchange exchange, byte[] body, ServiceView view, AnswerSink answer) {
-		JsonNode tree = parse(body);
+		JsonNode tree = chatBody(body);
 		String model = tree.path("model").asText("");
 		String named = exchange.getRequestHeaders().getFirst(CallerHeaders.SERVICE);
 		ServiceSpec spec = view.service((named != null) ? named : model)
@@ -146,7 +147,7 @@
 				tree.path("stream").asBoolean(false), Optional.empty(), answer);
 	}
 
-	private CallerCall passed(long id, String requestId, String organisation, long deadlineNanos,
+	private CallerCall plainServiceCall(long id, String requestId, String organisation, long deadlineNanos,
 			HttpServerExchange exchange, byte[] body, ServiceView view, AnswerSink answer) {
 		String rest = exchange.getRequestURI().substring(SERVICES.length());
 		int slash = rest.indexOf('/');
@@ -172,16 +173,16 @@
 		if (text == null || text.isBlank()) {
 			throw CodedException.of(KEY_MISSING, "send " + CallerHeaders.IDEMPOTENCY_KEY);
 		}
-		if (!CallKeys.wellFormed(text)) {
+		if (!IdempotencyKeyParser.isWellFormed(text)) {
 			throw CodedException.of(HEADER_INVALID,
 					CallerHeaders.IDEMPOTENCY_KEY + " takes 1 to 128 printable ASCII characters without spaces");
 		}
-		return CallKeys.read(text, headers.getFirst(CallerHeaders.IDEMPOTENCY_KEY_TIME))
+		return IdempotencyKeyParser.parse(text, headers.getFirst(CallerHeaders.IDEMPOTENCY_KEY_TIME))
 			.orElseThrow(() -> CodedException.of(KEY_WITHOUT_TIME, "begin the key with milliseconds since 1970 and"
 					+ " a dash, use a version 7 UUID, or send " + CallerHeaders.IDEMPOTENCY_KEY_TIME));
 	}
 
-	private static JsonNode parse(byte[] body) {
+	private static JsonNode chatBody(byte[] body) {
 		try {
 			JsonNode tree = MAPPER.readTree(body);
 			if (tree != null && tree.isObject() && tree.path("model").isTextual() && tree.path("messages").isArray()) {
@@ -212,7 +213,8 @@
 		};
 	}
 
-	// An ordinary short request is a few hundred tokens asked for with a few kilobytes.
+	// A typical short request has a body of a few kilobytes and asks for a few hundred
+	// tokens, and so costs 1.
 	private static int cost(int bytes, int tokens) {
 		return Math.min(MAX_COST, 1 + bytes / BYTES_PER_COST + tokens / TOKENS_PER_COST);
 	}
@@ -221,7 +223,7 @@
 		List<Map.Entry<String, String>> headers = new ArrayList<>();
 		exchange.getRequestHeaders().forEach((header) -> {
 			String name = header.getHeaderName().toString();
-			if (!NOT_PASSED.contains(name.toLowerCase(Locale.ROOT))) {
+			if (!WITHHELD_HEADERS.contains(name.toLowerCase(Locale.ROOT))) {
 				header.forEach((value) -> headers.add(Map.entry(name, value)));
 			}
 		});
--- a/entry/src/main/java/org/wisteriapost/entry/caller/CallerAnswer.java
+++ b/entry/src/main/java/org/wisteriapost/entry/caller/CallerAnswer.java
@@ -17,13 +17,12 @@
 import org.xnio.channels.StreamSinkChannel;
 
 /**
- * The answer to one caller: either one {@link Refusal}, one whole answer, or a head, data
- * and an end. Every method may be called from any thread and returns at once; bytes are
- * written on the connection's I/O thread.
+ * The answer to one caller over HTTP. Every method may be called from any thread and does
+ * not block; bytes are written on the connection's I/O thread.
  *
- * What waits for a slow caller is bounded: without the bound a few stalled phones hold
- * their answers in the heap until every other caller of this entry fails. Past it the
- * answer is cut.
+ * The bytes that are queued for a slow caller are limited, so that a few callers that
+ * stop reading cannot exhaust the heap for all others. Past the limit the connection is
+ * reset.
  */
 public final class CallerAnswer implements AnswerSink {
 
@@ -33,19 +32,19 @@
 
 	private final long maxUnsentBytes;
 
-	private final boolean fractions;
+	private final boolean fractionalRetryAfter;
 
 	private final Queue<ByteBuffer> queue = new ArrayDeque<>();
 
-	private long unsent;
+	private long unsentBytes;
 
-	private boolean headed;
+	private boolean headSent;
 
 	private boolean ended;
 
-	// Apart from ended: an answer that is cut before its queued bytes are written must
-	// not look like one that has ended with none.
-	private boolean cut;
+	// Distinct from ended: an aborted answer drops its queued bytes, and must not be
+	// completed as if there had been none.
+	private boolean aborted;
 
 	private StreamSinkChannel channel;
 
@@ -55,17 +54,18 @@
 		this(exchange, requestId, maxUnsentBytes, false);
 	}
 
-	private CallerAnswer(HttpServerExchange exchange, String requestId, long maxUnsentBytes, boolean fractions) {
+	private CallerAnswer(HttpServerExchange exchange, String requestId, long maxUnsentBytes,
+			boolean fractionalRetryAfter) {
 		this.exchange = exchange;
 		this.requestId = requestId;
 		this.maxUnsentBytes = maxUnsentBytes;
-		this.fractions = fractions;
+		this.fractionalRetryAfter = fractionalRetryAfter;
 	}
 
 	/**
-	 * Returns an answer to a caller that understands fractions of a second in
+	 * Returns an answer to a caller that understands fractional seconds in
 	 * {@code Retry-After}.
-	 * @param maxUnsentBytes what may wait for a slow caller
+	 * @param maxUnsentBytes the limit of the bytes queued for a slow caller
 	 */
 	public static CallerAnswer withFractions(HttpServerExchange exchange, String requestId, long maxUnsentBytes) {
 		return new CallerAnswer(exchange, requestId, maxUnsentBytes, true);
@@ -74,28 +74,28 @@
 	@Override
 	public void refuse(Refusal refusal) {
 		synchronized (this) {
-			if (this.headed || this.ended) {
-				cut();
+			if (this.headSent || this.ended) {
+				abort();
 				return;
 			}
-			this.headed = true;
+			this.headSent = true;
 			this.ended = true;
 		}
-		onIoThread(() -> send(refusal));
+		onIoThread(() -> sendRefusal(refusal));
 	}
 
 	@Override
 	public void whole(int status, List<Map.Entry<String, String>> headers, String weights, byte[] body) {
 		synchronized (this) {
-			if (this.headed || this.ended) {
+			if (this.headSent || this.ended) {
 				return;
 			}
-			this.headed = true;
+			this.headSent = true;
 			this.ended = true;
-			add(body);
+			enqueue(body);
 		}
 		onIoThread(() -> {
-			head(status, headers, weights, Outcome.RAN);
+			sendHead(status, headers, weights, Outcome.RAN);
 			this.exchange.setResponseContentLength(body.length);
 			flush();
 		});
@@ -104,12 +104,12 @@
 	@Override
 	public void start(int status, List<Map.Entry<String, String>> headers, String weights) {
 		synchronized (this) {
-			if (this.headed) {
+			if (this.headSent) {
 				return;
 			}
-			this.headed = true;
+			this.headSent = true;
 		}
-		onIoThread(() -> head(status, headers, weights, Outcome.RAN));
+		onIoThread(() -> sendHead(status, headers, weights, Outcome.RAN));
 	}
 
 	@Override
@@ -118,9 +118,9 @@
 			if (this.ended) {
 				return true;
 			}
-			add(data);
-			if (this.unsent > this.maxUnsentBytes) {
-				cut();
+			enqueue(data);
+			if (this.unsentBytes > this.maxUnsentBytes) {
+				abort();
 				return false;
 			}
 		}
@@ -140,28 +140,28 @@
 	}
 
 	/**
-	 * Ends the answer visibly: the connection is reset, so that no client can take a part
-	 * for the whole, whatever framing it understands.
+	 * Aborts the answer by resetting the connection, so that no client can take a partial
+	 * answer for a complete one.
 	 */
-	public void cut() {
+	public void abort() {
 		synchronized (this) {
 			this.ended = true;
-			this.cut = true;
+			this.aborted = true;
 			this.queue.clear();
 		}
 		onIoThread(this::reset);
 	}
 
-	// Writing nothing looks like a full socket, so nothing is not queued.
-	private void add(byte[] data) {
+	// An empty buffer is not queued: writing it returns 0, as a full socket does.
+	private void enqueue(byte[] data) {
 		if (data.length > 0) {
-			this.unsent += data.length;
+			this.unsentBytes += data.length;
 			this.queue.add(ByteBuffer.wrap(data));
 		}
 	}
 
-	// Load: some hundred events a second that come from runners on this very thread. Harm
-	// prevented: queued, each costs another turn of the selector.
+	// Runs the task directly if possible: runners send hundreds of events a second on
+	// this thread, and queueing each would cost an additional wake-up of the selector.
 	private void onIoThread(Runnable task) {
 		if (Thread.currentThread() == this.exchange.getIoThread()) {
 			task.run();
@@ -170,55 +170,55 @@
 		this.exchange.getIoThread().execute(task);
 	}
 
-	private void send(Refusal refusal) {
+	private void sendRefusal(Refusal refusal) {
 		if (this.exchange.isResponseStarted() || this.exchange.isComplete()) {
 			reset();
 			return;
 		}
 		this.exchange.setStatusCode(refusal.status());
-		common(refusal.outcome());
+		addCommonHeaders(refusal.outcome());
 		this.exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
 		if (refusal.retryAfterMillis() > 0) {
 			this.exchange.getResponseHeaders()
-				.put(Headers.RETRY_AFTER,
-						this.fractions ? refusal.retryAfterFraction() : Long.toString(refusal.retryAfterSeconds()));
+				.put(Headers.RETRY_AFTER, this.fractionalRetryAfter ? refusal.retryAfterFractionalSeconds()
+						: Long.toString(refusal.retryAfterSeconds()));
 			this.exchange.getResponseHeaders()
 				.put(new HttpString(CallerHeaders.RETRY_AFTER_MILLIS), refusal.retryAfterMillis());
 		}
 		this.exchange.getResponseSender().send(ByteBuffer.wrap(refusal.json(this.requestId)));
 	}
 
-	private void head(int status, List<Map.Entry<String, String>> headers, String weights, Outcome outcome) {
+	private void sendHead(int status, List<Map.Entry<String, String>> headers, String weights, Outcome outcome) {
 		if (this.exchange.isResponseStarted() || this.exchange.isComplete()) {
 			return;
 		}
 		this.exchange.setStatusCode(status);
 		headers.forEach(
 				(header) -> this.exchange.getResponseHeaders().add(new HttpString(header.getKey()), header.getValue()));
-		common(outcome);
+		addCommonHeaders(outcome);
 		if (!weights.isEmpty()) {
 			this.exchange.getResponseHeaders().put(new HttpString(CallerHeaders.WEIGHTS), weights);
 		}
 	}
 
-	private void common(Outcome outcome) {
+	private void addCommonHeaders(Outcome outcome) {
 		this.exchange.getResponseHeaders().put(new HttpString(CallerHeaders.OUTCOME), outcome.text());
 		this.exchange.getResponseHeaders().put(new HttpString(CallerHeaders.REQUEST_ID), this.requestId);
 	}
 
 	private void flush() {
-		if (this.exchange.isComplete() || this.closing || isCut()) {
+		if (this.exchange.isComplete() || this.closing || isAborted()) {
 			return;
 		}
 		try {
-			write();
+			writeQueued();
 		}
 		catch (IOException | IllegalStateException ex) {
 			reset();
 		}
 	}
 
-	private void write() throws IOException {
+	private void writeQueued() throws IOException {
 		if (this.channel == null) {
 			this.channel = this.exchange.getResponseChannel();
 			this.channel.getWriteSetter().set((ChannelListener<StreamSinkChannel>) (same) -> flush());
@@ -243,12 +243,12 @@
 			return;
 		}
 		this.closing = true;
-		this.channel.getWriteSetter().set((ChannelListener<StreamSinkChannel>) (same) -> finish());
+		this.channel.getWriteSetter().set((ChannelListener<StreamSinkChannel>) (same) -> flushAndEnd());
 		this.channel.shutdownWrites();
-		finish();
+		flushAndEnd();
 	}
 
-	private void finish() {
+	private void flushAndEnd() {
 		try {
 			if (!this.channel.flush()) {
 				this.channel.resumeWrites();
@@ -267,21 +267,20 @@
 	}
 
 	private synchronized void written(int count, ByteBuffer buffer) {
-		this.unsent -= count;
+		this.unsentBytes -= count;
 		if (!buffer.hasRemaining()) {
 			this.queue.remove(buffer);
 		}
 	}
 
-	// Looked at together with the queue: the last data and the end may both come between
-	// the look at an empty queue and this one, and an answer ended there would lack its
-	// tail but look whole.
+	// Checks the queue again under the same lock: the last data and the end may both have
+	// come since the queue was found empty, and the answer would be ended without them.
 	private synchronized boolean isEnded() {
-		return this.ended && !this.cut && this.queue.isEmpty();
+		return this.ended && !this.aborted && this.queue.isEmpty();
 	}
 
-	private synchronized boolean isCut() {
-		return this.cut;
+	private synchronized boolean isAborted() {
+		return this.aborted;
 	}
 
 	private void reset() {
@@ -290,7 +289,7 @@
 			this.exchange.getConnection().setOption(Options.CLOSE_ABORT, true);
 		}
 		catch (IOException | IllegalArgumentException | UnsupportedOperationException ex) {
-			// The close below is visible without it: the answer has no end.
+			// Without the reset the caller still sees a closed connection and no end.
 		}
 		IoUtils.safeClose(this.exchange.getConnection());
 	}
--- a/entry/src/main/java/org/wisteriapost/entry/caller/CallerCall.java
+++ b/entry/src/main/java/org/wisteriapost/entry/caller/CallerCall.java
@@ -7,25 +7,25 @@
 import org.wisteriapost.policy.request.Request;
 
 /**
- * One caller's request, read whole and found to be in order.
+ * A caller's request that was read completely and is valid.
  *
- * @param request what the decisions need to know
- * @param requestId names it in logs
+ * @param request the properties that scheduling depends on
+ * @param requestId identifies the request in logs
  * @param method the HTTP method
- * @param path as the runner expects it, with the query
- * @param headers to pass on
- * @param body the whole body
- * @param streamed whether the caller asked for a stream; otherwise the answer is held
- * back until it is whole
- * @param key the idempotency key of a call that may not run twice
- * @param answer where its answer goes
+ * @param path the path and query as the runner expects them
+ * @param headers the headers to pass to the runner
+ * @param body the body
+ * @param streamed whether the caller asked for a stream; otherwise the answer is buffered
+ * until it is complete
+ * @param key the idempotency key of a call that must not run twice
+ * @param answer receives the answer
  */
 public record CallerCall(Request request, String requestId, String method, String path,
 		List<Map.Entry<String, String>> headers, byte[] body, boolean streamed, Optional<CallKey> key,
 		AnswerSink answer) {
 
 	/**
-	 * Returns the request's number in this process.
+	 * Returns the request's id, which is unique within this process.
 	 */
 	public long id() {
 		return this.request.id();
--- a/entry/src/main/java/org/wisteriapost/entry/caller/HangUpWatch.java
+++ b/entry/src/main/java/org/wisteriapost/entry/caller/HangUpWatch.java
@@ -11,12 +11,12 @@
 import org.xnio.conduits.StreamSourceConduit;
 
 /**
- * Notices that a caller has hung up while it waits for its answer.
+ * Detects that a caller has disconnected while it waits for its answer.
  *
- * The server does not read a connection between a request and its answer, so a caller
- * that goes away during a long run is noticed only when the answer is written, and its
- * runner works for no one until then. The watch reads on, and gives back to the server
- * what belongs to the connection's next request.
+ * The server does not read a connection between a request and its answer. A caller that
+ * disconnects during a long run would be noticed only when the answer is written, and its
+ * runner would be occupied until then. The watch reads from the connection, and returns
+ * bytes that belong to its next request to the server.
  */
 public final class HangUpWatch implements ReadReadyHandler {
 
@@ -24,32 +24,32 @@
 
 	private final StreamSourceConduit source;
 
-	private final Runnable gone;
+	private final Runnable onDisconnect;
 
-	private boolean over;
+	private boolean stopped;
 
-	private HangUpWatch(HttpServerConnection connection, Runnable gone) {
+	private HangUpWatch(HttpServerConnection connection, Runnable onDisconnect) {
 		this.connection = connection;
 		this.source = connection.getOriginalSourceConduit();
-		this.gone = gone;
+		this.onDisconnect = onDisconnect;
 	}
 
 	/**
-	 * Watches until the exchange ends. Called on the connection's I/O thread.
+	 * Watches until the exchange ends. Must be called on the connection's I/O thread.
 	 */
-	public static void start(HttpServerExchange exchange, Runnable gone) {
+	public static void start(HttpServerExchange exchange, Runnable onDisconnect) {
 		exchange.getConnection().addCloseListener((closed) -> {
 			if (!exchange.isResponseComplete()) {
-				gone.run();
+				onDisconnect.run();
 			}
 		});
 		ServerConnection connection = exchange.getConnection();
 		if (!(connection instanceof HttpServerConnection http) || http.getExtraBytes() != null) {
 			return;
 		}
-		HangUpWatch watch = new HangUpWatch(http, gone);
+		HangUpWatch watch = new HangUpWatch(http, onDisconnect);
 		exchange.addExchangeCompleteListener((done, next) -> {
-			watch.end();
+			watch.stop();
 			next.proceed();
 		});
 		watch.source.setReadReadyHandler(watch);
@@ -58,7 +58,7 @@
 
 	@Override
 	public void readReady() {
-		if (this.over) {
+		if (this.stopped) {
 			return;
 		}
 		PooledByteBuffer pooled = this.connection.getByteBufferPool().allocate();
@@ -66,17 +66,17 @@
 		try {
 			int count = this.source.read(pooled.getBuffer());
 			if (count < 0) {
-				hungUp();
+				disconnected();
 			}
 			else if (count > 0) {
 				pooled.getBuffer().flip();
 				this.connection.ungetRequestBytes(pooled);
 				kept = true;
-				end();
+				stop();
 			}
 		}
 		catch (IOException ex) {
-			hungUp();
+			disconnected();
 		}
 		finally {
 			if (!kept) {
@@ -87,26 +87,26 @@
 
 	@Override
 	public void forceTermination() {
-		hungUp();
+		disconnected();
 	}
 
 	@Override
 	public void terminated() {
-		hungUp();
+		disconnected();
 	}
 
-	private void hungUp() {
-		if (!this.over) {
-			end();
-			this.gone.run();
+	private void disconnected() {
+		if (!this.stopped) {
+			stop();
+			this.onDisconnect.run();
 		}
 	}
 
-	private void end() {
-		if (this.over) {
+	private void stop() {
+		if (this.stopped) {
 			return;
 		}
-		this.over = true;
+		this.stopped = true;
 		this.source.suspendReads();
 		ConduitStreamSourceChannel channel = this.connection.getChannel().getSourceChannel();
 		this.source.setReadReadyHandler(new ReadReadyHandler.ChannelListenerHandler<>(channel));
--- a/entry/src/main/java/org/wisteriapost/entry/caller/HttpFront.java
+++ b/entry/src/main/java/org/wisteriapost/entry/caller/HttpFront.java
@@ -21,7 +21,7 @@
 import org.xnio.Options;
 
 /**
- * The address that callers connect to.
+ * The HTTP server that callers connect to.
  */
 public final class HttpFront implements HttpHandler, AutoCloseable {
 
@@ -29,35 +29,34 @@
 
 	private static final int IO_THREADS = 2;
 
-	// A body over the limit is refused at the limit, but read on for a while: a caller
-	// that
-	// is still sending would find its connection reset and never see the answer.
-	private static final long READ_ON = 4;
+	// A body is refused at the limit, but read up to this multiple of it: a caller that
+	// is still sending would otherwise see a connection reset instead of the refusal.
+	private static final long REFUSED_BODY_READ_FACTOR = 4;
 
 	private static final ObjectMapper MAPPER = new ObjectMapper();
 
-	private final FrontPort port;
+	private final CallIntake intake;
 
-	private final FrontLimits limits;
+	private final HttpLimits limits;
 
 	private final CallHandler calls;
 
 	private Undertow server;
 
-	private HttpFront(FrontPort port, FrontLimits limits, CallHandler calls) {
-		this.port = port;
+	private HttpFront(CallIntake intake, HttpLimits limits, CallHandler calls) {
+		this.intake = intake;
 		this.limits = limits;
 		this.calls = calls;
 	}
 
 	/**
-	 * Returns a running front; throws when the address cannot be taken.
-	 * @param tls towards callers, empty for none
+	 * Returns a running server; throws if the address cannot be bound.
+	 * @param tls the TLS configuration towards callers, empty for plain HTTP
 	 */
-	public static HttpFront start(InetSocketAddress address, FrontLimits limits, Organisations organisations,
-			FrontPort port, Optional<ReloadingTls> tls) {
-		HttpFront front = new HttpFront(port, limits,
-				new CallHandler(new CallCheck(organisations, limits), limits, port));
+	public static HttpFront start(InetSocketAddress address, HttpLimits limits, Organisations organisations,
+			CallIntake intake, Optional<ReloadingTls> tls) {
+		HttpFront front = new HttpFront(intake, limits,
+				new CallHandler(new CallParser(organisations, limits), limits, intake));
 		Undertow.Builder builder = Undertow.builder();
 		if (tls.isPresent()) {
 			builder.addHttpsListener(address.getPort(), address.getHostString(), tls.get().context());
@@ -67,11 +66,11 @@
 		}
 		front.server = builder.setIoThreads(IO_THREADS)
 			.setWorkerThreads(1)
-			.setWorkerOption(Options.CONNECTION_HIGH_WATER, limits.connections())
-			.setWorkerOption(Options.CONNECTION_LOW_WATER, limits.connections())
+			.setWorkerOption(Options.CONNECTION_HIGH_WATER, limits.maxConnections())
+			.setWorkerOption(Options.CONNECTION_LOW_WATER, limits.maxConnections())
 			.setSocketOption(Options.REUSE_ADDRESSES, true)
-			.setServerOption(UndertowOptions.MAX_ENTITY_SIZE, READ_ON * limits.bodyBytes())
-			.setServerOption(UndertowOptions.MAX_HEADER_SIZE, limits.headerBytes())
+			.setServerOption(UndertowOptions.MAX_ENTITY_SIZE, REFUSED_BODY_READ_FACTOR * limits.maxBodyBytes())
+			.setServerOption(UndertowOptions.MAX_HEADER_SIZE, limits.maxHeaderBytes())
 			.setServerOption(UndertowOptions.REQUEST_PARSE_TIMEOUT, (int) limits.bodyTimeout().toMillis())
 			.setHandler(front)
 			.build();
@@ -80,14 +79,14 @@
 	}
 
 	/**
-	 * Returns the port, also when a free one was chosen.
+	 * Returns the port that the server is bound to.
 	 */
 	public int port() {
 		return ((InetSocketAddress) this.server.getListenerInfo().getFirst().getAddress()).getPort();
 	}
 
 	/**
-	 * Returns the requests in progress, their answers' last bytes included.
+	 * Returns the number of requests whose answers are not completely sent.
 	 */
 	public int active() {
 		return this.calls.active();
@@ -99,14 +98,14 @@
 		if (path.equals(ENTRIES)) {
 			entries(exchange);
 		}
-		else if (path.equals(CallCheck.CHAT)) {
+		else if (path.equals(CallParser.CHAT)) {
 			chat(exchange);
 		}
-		else if (path.startsWith(CallCheck.SERVICES)) {
+		else if (path.startsWith(CallParser.SERVICES)) {
 			this.calls.handleRequest(exchange);
 		}
 		else {
-			refuse(exchange, CodedException.of(CallCheck.PATH_UNKNOWN, "see docs/ARCHITECTURE.md for the paths"));
+			refuse(exchange, CodedException.of(CallParser.PATH_UNKNOWN, "see docs/ARCHITECTURE.md for the paths"));
 		}
 	}
 
@@ -117,7 +116,7 @@
 
 	private void chat(HttpServerExchange exchange) {
 		if (!exchange.getRequestMethod().equals(Methods.POST)) {
-			refuse(exchange, CodedException.of(CallCheck.METHOD_UNKNOWN, "use POST"));
+			refuse(exchange, CodedException.of(CallParser.METHOD_UNKNOWN, "use POST"));
 			return;
 		}
 		this.calls.handleRequest(exchange);
@@ -125,15 +124,16 @@
 
 	private void entries(HttpServerExchange exchange) {
 		exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
-		exchange.getResponseHeaders().put(Headers.CACHE_CONTROL, "max-age=" + this.limits.keepSeconds());
+		exchange.getResponseHeaders().put(Headers.CACHE_CONTROL, "max-age=" + this.limits.addressCacheSeconds());
 		exchange.getResponseHeaders().put(new HttpString(CallerHeaders.OUTCOME), Outcome.RAN.text());
 		exchange.getResponseSender()
-			.send(ByteBuffer.wrap(json(new EntriesAnswer(this.port.view().entries(), this.limits.keepSeconds()))));
+			.send(ByteBuffer
+				.wrap(json(new EntriesAnswer(this.intake.view().entries(), this.limits.addressCacheSeconds()))));
 	}
 
 	private static void refuse(HttpServerExchange exchange, CodedException ex) {
 		CallerAnswer answer = new CallerAnswer(exchange, "none", 0);
-		exchange.dispatch(SameThreadExecutor.INSTANCE, () -> answer.refuse(CallHandler.bad(ex)));
+		exchange.dispatch(SameThreadExecutor.INSTANCE, () -> answer.refuse(CallHandler.invalidRequest(ex)));
 	}
 
 	private static byte[] json(Record value) {
@@ -141,15 +141,15 @@
 			return MAPPER.writeValueAsBytes(value);
 		}
 		catch (JsonProcessingException ex) {
-			throw new IllegalStateException("a record of texts always encodes", ex);
+			throw new IllegalStateException("cannot encode the list of entries", ex);
 		}
 	}
 
 	/**
-	 * The addresses to use.
+	 * The answer that lists the entries' addresses, written as JSON.
 	 *
-	 * @param entries as {@code http://IP:PORT}
-	 * @param keepSeconds how long the answer may be kept
+	 * @param entries addresses of the form {@code http://IP:PORT}
+	 * @param keepSeconds how long the answer may be cached
 	 */
 	record EntriesAnswer(List<String> entries, long keepSeconds) {
 	}
--- a/entry/src/main/java/org/wisteriapost/entry/caller/CallKeys.java
+++ b/entry/src/main/java/org/wisteriapost/entry/caller/IdempotencyKeyParser.java
@@ -6,15 +6,15 @@
 import java.util.regex.Pattern;
 
 /**
- * Reads the time out of an idempotency key: a header of its own, a version 7 UUID, or a
- * key that begins with milliseconds since 1970 and a dash.
+ * Parses an idempotency key and its time of issue, which is given by a header of its own,
+ * by a version 7 UUID, or by a key that begins with milliseconds since 1970 and a dash.
  *
- * The time is needed because keys are not kept for ever. Without it a repeat that comes
- * after its key was dropped looks like a new call and would run a second time.
+ * Claims of keys are kept for a limited time. Without the time of issue a repeat that
+ * comes after its claim has expired would look like a new call and run a second time.
  */
-final class CallKeys {
+final class IdempotencyKeyParser {
 
-	private static final Pattern MILLIS_FIRST = Pattern.compile("(\\d{13})-.+");
+	private static final Pattern MILLIS_PREFIX = Pattern.compile("(\\d{13})-.+");
 
 	private static final Pattern MILLIS = Pattern.compile("\\d{13}");
 
@@ -22,35 +22,35 @@
 
 	private static final int UUID_LENGTH = 36;
 
-	private static final int TIME_VERSION = 7;
+	private static final int TIME_ORDERED_VERSION = 7;
 
-	private static final int TIME_SHIFT = 16;
+	private static final int TIMESTAMP_SHIFT = 16;
 
-	private CallKeys() {
+	private IdempotencyKeyParser() {
 	}
 
 	/**
-	 * Returns whether a text can be a key at all.
+	 * Returns whether a text has the form of a key, with or without a time.
 	 */
-	static boolean wellFormed(String text) {
+	static boolean isWellFormed(String text) {
 		return TEXT.matcher(text).matches();
 	}
 
 	/**
-	 * Returns a key with its time, empty when it carries none.
+	 * Returns a key with its time of issue, empty if there is none.
 	 * @param header the value of the time header, or null
 	 */
-	static Optional<CallKey> read(String text, String header) {
+	static Optional<CallKey> parse(String text, String header) {
 		if (header != null) {
 			return MILLIS.matcher(header).matches() ? Optional.of(new CallKey(text, Long.parseLong(header)))
 					: Optional.empty();
 		}
-		Matcher first = MILLIS_FIRST.matcher(text);
+		Matcher first = MILLIS_PREFIX.matcher(text);
 		if (first.matches()) {
 			return Optional.of(new CallKey(text, Long.parseLong(first.group(1))));
 		}
-		return uuid(text).filter((uuid) -> uuid.version() == TIME_VERSION)
-			.map((uuid) -> new CallKey(text, uuid.getMostSignificantBits() >>> TIME_SHIFT));
+		return uuid(text).filter((uuid) -> uuid.version() == TIME_ORDERED_VERSION)
+			.map((uuid) -> new CallKey(text, uuid.getMostSignificantBits() >>> TIMESTAMP_SHIFT));
 	}
 
 	private static Optional<UUID> uuid(String text) {
--- a/entry/src/main/java/org/wisteriapost/entry/caller/Organisations.java
+++ b/entry/src/main/java/org/wisteriapost/entry/caller/Organisations.java
@@ -18,8 +18,8 @@
 import org.wisteriapost.policy.routing.RejectionPermit;
 
 /**
- * Finds the organisation that a bearer token belongs to. Only hashes are kept, so that no
- * token can get into a log or a heap dump.
+ * Maps bearer tokens to organisations. Only hashes of tokens are kept, so that none can
+ * appear in a log or a heap dump.
  */
 public final class Organisations {
 
@@ -27,93 +27,96 @@
 
 	private static final String SCHEME = "Bearer ";
 
-	// Until a token that is put into a file is to be in force at every entry.
-	private static final Duration IN_FORCE = Duration.ofSeconds(8);
+	// The time within which a token that is written to a file must be active at every
+	// entry.
+	private static final Duration ACTIVATION_DELAY = Duration.ofSeconds(8);
 
 	private final Settings settings;
 
 	private final LongSupplier clock;
 
-	private final LongSupplier dayMillis;
+	private final LongSupplier wallMillis;
 
-	private final boolean files;
+	private final boolean hasTokenFiles;
 
-	private final RejectionGuard guard = RejectionGuard.of(IN_FORCE);
+	private final RejectionGuard guard = RejectionGuard.of(ACTIVATION_DELAY);
 
-	private volatile Known known = new Known(Map.of(), RejectionPermit.NONE);
+	private volatile Tokens tokens = new Tokens(Map.of(), RejectionPermit.NONE);
 
-	private Organisations(Settings settings, LongSupplier clock, LongSupplier dayMillis) {
+	private Organisations(Settings settings, LongSupplier clock, LongSupplier wallMillis) {
 		this.settings = settings;
 		this.clock = clock;
-		this.dayMillis = dayMillis;
-		this.files = settings.named(EntrySettings.ORGANISATION)
+		this.wallMillis = wallMillis;
+		this.hasTokenFiles = settings.named(EntrySettings.ORGANISATION)
 			.stream()
 			.anyMatch((name) -> settings.text(EntrySettings.ORGANISATION + " " + name, EntrySettings.TOKEN_FILE.key())
 				.isPresent());
 	}
 
 	/**
-	 * Returns the organisations of some settings.
+	 * Returns the organisations that are declared in the settings.
 	 */
 	public static Organisations of(Settings settings) {
 		return of(settings, System::nanoTime, System::currentTimeMillis);
 	}
 
 	/**
-	 * Returns the organisations of some settings.
+	 * Returns the organisations that are declared in the settings.
 	 * @param clock the monotonic clock, in nanoseconds
-	 * @param dayMillis milliseconds since 1970
+	 * @param wallMillis the wall clock, in milliseconds since 1970
 	 */
-	static Organisations of(Settings settings, LongSupplier clock, LongSupplier dayMillis) {
-		Organisations organisations = new Organisations(settings, clock, dayMillis);
+	static Organisations of(Settings settings, LongSupplier clock, LongSupplier wallMillis) {
+		Organisations organisations = new Organisations(settings, clock, wallMillis);
 		organisations.reload();
 		return organisations;
 	}
 
 	/**
-	 * Reads the token files again, so that tokens are replaced without a restart. Called
-	 * by one thread.
+	 * Reads the token files again, so that tokens can be replaced without a restart. Must
+	 * not be called concurrently.
 	 */
 	public void reload() {
 		long nanos = this.clock.getAsLong();
-		long day = this.dayMillis.getAsLong();
+		long nowWallMillis = this.wallMillis.getAsLong();
 		Map<String, String> byHash = new HashMap<>();
-		boolean whole = read(byHash);
-		if (whole) {
+		boolean complete = read(byHash);
+		if (complete) {
 			this.guard.confirmed(nanos);
 		}
-		this.known = new Known(Map.copyOf(byHash), whole ? this.guard.permit(nanos, day) : this.known.rejections());
+		this.tokens = new Tokens(Map.copyOf(byHash),
+				complete ? this.guard.permit(nanos, nowWallMillis) : this.tokens.rejectionPermit());
 	}
 
 	/**
-	 * Returns whether a token that is not known is no one's for good. Without files all
-	 * tokens are settings of this process; else see {@link RejectionGuard}.
-	 * @param authorization the header, null for none
+	 * Returns whether an unknown token may be rejected for good: always if there are no
+	 * token files, since settings do not change at run time; otherwise only if all files
+	 * were read recently, see {@link RejectionGuard}.
+	 * @param authorization the Authorization header, null if absent
 	 */
 	boolean mayReject(String authorization) {
-		return !bearer(authorization) || !this.files
-				|| this.known.rejections().allows(this.clock.getAsLong(), this.dayMillis.getAsLong());
+		return !hasBearerToken(authorization) || !this.hasTokenFiles
+				|| this.tokens.rejectionPermit().allows(this.clock.getAsLong(), this.wallMillis.getAsLong());
 	}
 
 	/**
-	 * Returns the organisation named by an Authorization header.
+	 * Returns the organisation that the token of an Authorization header belongs to.
 	 */
 	Optional<String> find(String authorization) {
-		if (!bearer(authorization)) {
+		if (!hasBearerToken(authorization)) {
 			return Optional.empty();
 		}
-		// Looked up by hash: the time it takes says nothing about a token.
-		return Optional
-			.ofNullable(this.known.byHash().get(Digests.sha256(authorization.substring(SCHEME.length()).trim())));
+		// A lookup by hash does not leak a token through its timing.
+		return Optional.ofNullable(
+				this.tokens.organisationByHash().get(Digests.sha256(authorization.substring(SCHEME.length()).trim())));
 	}
 
-	private static boolean bearer(String authorization) {
+	private static boolean hasBearerToken(String authorization) {
 		return authorization != null && authorization.regionMatches(true, 0, SCHEME, 0, SCHEME.length());
 	}
 
 	// Returns whether all files could be read.
 	private boolean read(Map<String, String> byHash) {
-		boolean whole = true;
+		boolean complete = true;
 		for (String name : this.settings.named(EntrySettings.ORGANISATION)) {
 			String section = EntrySettings.ORGANISATION + " " + name;
 			Optional<String> file = this.settings.text(section, EntrySettings.TOKEN_FILE.key());
@@ -125,27 +128,27 @@
 				byHash.put(Digests.sha256(Files.readString(Path.of(file.get())).trim()), name);
 			}
 			catch (IOException ex) {
-				// The token that was read before stays good: a file caught in the middle
-				// of being replaced must not shut an organisation out.
+				// The previous token stays valid: a file that is just being replaced must
+				// not lock its organisation out.
 				LOG.log(Level.WARNING, "token-file-unreadable: organisation " + name);
-				whole = false;
-				this.known.byHash().forEach((hash, owner) -> {
+				complete = false;
+				this.tokens.organisationByHash().forEach((hash, owner) -> {
 					if (owner.equals(name)) {
 						byHash.put(hash, owner);
 					}
 				});
 			}
 		}
-		return whole;
+		return complete;
 	}
 
 	/**
-	 * What was read last.
+	 * The tokens that were read last.
 	 *
-	 * @param byHash organisations by the hashes of their tokens
-	 * @param rejections whether that is recent enough to call another token wrong
+	 * @param organisationByHash organisations by the hashes of their tokens
+	 * @param rejectionPermit until when unknown tokens may be rejected
 	 */
-	private record Known(Map<String, String> byHash, RejectionPermit rejections) {
+	private record Tokens(Map<String, String> organisationByHash, RejectionPermit rejectionPermit) {
 	}
 
 }
--- a/entry/src/main/java/org/wisteriapost/entry/caller/Outcome.java
+++ b/entry/src/main/java/org/wisteriapost/entry/caller/Outcome.java
@@ -1,13 +1,13 @@
 package org.wisteriapost.entry.caller;
 
 /**
- * What an answer says of whether the request ran.
+ * Whether the request ran, as stated in the header of an answer.
  */
 public enum Outcome {
 
-	/** The answer is the whole answer of the run. */
+	/** It ran, and the answer is its complete result. */
 	RAN("ran"),
-	/** Certain: not one byte reached a runner. */
+	/** It certainly did not run: no byte of it reached a runner. */
 	NOT_RUN("not-run"),
 	/** It may have run. */
 	UNKNOWN("unknown");
--- a/entry/src/main/java/org/wisteriapost/entry/caller/PromptPrefix.java
+++ b/entry/src/main/java/org/wisteriapost/entry/caller/PromptPrefix.java
@@ -8,15 +8,16 @@
 import org.wisteriapost.policy.bundle.Digests;
 
 /**
- * Names the part of a prompt that other requests are likely to share.
+ * Computes the prefix-cache key of a prompt, which requests with a common beginning
+ * share.
  */
 final class PromptPrefix {
 
 	private static final int PREFIX_CHARS = 256;
 
-	private static final int LONG_HEX_CHARS = 16;
+	private static final int HASH_HEX_CHARS = 16;
 
-	private static final int HEX = 16;
+	private static final int HEX_RADIX = 16;
 
 	private PromptPrefix() {
 	}
@@ -32,7 +33,7 @@
 		String prompt = String.join("\n", contents);
 		String start = prompt.substring(0, Math.min(PREFIX_CHARS, prompt.length()));
 		String digest = Digests.sha256(start.getBytes(StandardCharsets.UTF_8));
-		return Long.parseUnsignedLong(digest.substring(0, LONG_HEX_CHARS), HEX) | 1;
+		return Long.parseUnsignedLong(digest.substring(0, HASH_HEX_CHARS), HEX_RADIX) | 1;
 	}
 
 }
--- a/entry/src/main/java/org/wisteriapost/entry/caller/Refusal.java
+++ b/entry/src/main/java/org/wisteriapost/entry/caller/Refusal.java
@@ -9,14 +9,14 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
 /**
- * A final answer without a run's content.
+ * A final answer that carries an error instead of a result.
  *
  * @param status the HTTP status
  * @param code the stable code
- * @param message one sentence for people
- * @param outcome what is known of the run
- * @param retryAfterMillis when to come back, 0 when coming back unchanged is of no use
- * @param entries other addresses to use, empty for none
+ * @param message a sentence for people
+ * @param outcome whether the request ran
+ * @param retryAfterMillis when to retry, 0 if an unchanged request should not be retried
+ * @param entries addresses of other entries, may be empty
  */
 public record Refusal(int status, String code, String message, Outcome outcome, long retryAfterMillis,
 		List<String> entries) {
@@ -30,50 +30,50 @@
 	}
 
 	/**
-	 * Returns an answer to a request that is wrong in itself; nothing was started.
+	 * Returns the refusal of an invalid request, which was not started.
 	 */
 	public static Refusal bad(int status, String code, String message) {
 		return new Refusal(status, code, message, Outcome.NOT_RUN, 0, List.of());
 	}
 
 	/**
-	 * Returns an answer that turns a request away for now; nothing was started.
+	 * Returns a temporary refusal of a request, which was not started.
 	 */
 	public static Refusal later(String code, String message, long retryAfterMillis) {
 		return new Refusal(503, code, message, Outcome.NOT_RUN, Math.max(1, retryAfterMillis), List.of());
 	}
 
 	/**
-	 * Returns an answer that does not know whether the request ran.
+	 * Returns the answer to a request that may have run.
 	 */
 	public static Refusal unknown(int status, String code, String message) {
 		return new Refusal(status, code, message, Outcome.UNKNOWN, 0, List.of());
 	}
 
 	/**
-	 * Returns this answer with a time to come back.
+	 * Returns this refusal with a time to retry.
 	 */
-	public Refusal retryAfter(long millis) {
+	public Refusal withRetryAfter(long millis) {
 		return new Refusal(this.status, this.code, this.message, this.outcome, millis, this.entries);
 	}
 
 	/**
-	 * Returns the whole seconds to come back after, rounded up: a caller that can only
-	 * count seconds must not come back too early.
+	 * Returns the seconds until a retry, rounded up so that a caller which reads whole
+	 * seconds does not retry too early.
 	 */
 	long retryAfterSeconds() {
 		return (this.retryAfterMillis + SECOND_MILLIS - 1) / SECOND_MILLIS;
 	}
 
 	/**
-	 * Returns the seconds to come back after, with fractions.
+	 * Returns the seconds until a retry, with milliseconds as a fraction.
 	 */
-	String retryAfterFraction() {
+	String retryAfterFractionalSeconds() {
 		return BigDecimal.valueOf(this.retryAfterMillis, 3).toPlainString();
 	}
 
 	/**
-	 * Returns the body.
+	 * Returns the JSON body.
 	 */
 	byte[] json(String requestId) {
 		ObjectNode root = MAPPER.createObjectNode();
@@ -86,7 +86,7 @@
 			return MAPPER.writeValueAsBytes(root);
 		}
 		catch (JsonProcessingException ex) {
-			throw new IllegalStateException("a tree of texts always encodes", ex);
+			throw new IllegalStateException("cannot encode a refusal", ex);
 		}
 	}
 
--- a/entry/src/main/java/org/wisteriapost/entry/caller/ServiceView.java
+++ b/entry/src/main/java/org/wisteriapost/entry/caller/ServiceView.java
@@ -8,19 +8,20 @@
 import org.wisteriapost.policy.routing.RejectionPermit;
 
 /**
- * What the HTTP side may know of the entry's state; replaced whole by the event loop.
+ * An immutable snapshot of the entry's state for the HTTP threads, replaced by the event
+ * loop.
  *
- * @param generation of the bundle in force, 0 for none
- * @param services by name
- * @param entries addresses for callers
- * @param leaving whether this entry refuses new requests because it leaves
+ * @param generation the generation of the active bundle, 0 if there is none
+ * @param services the bundle's services by name
+ * @param entries the addresses of entries that are advertised to callers
+ * @param leaving whether this entry refuses new requests because it is leaving
  * @param ready whether it has a bundle and a link to an agent
- * @param rejections whether the bundle is recent enough to call a request wrong by it
+ * @param rejectionPermit until when requests may be rejected by the bundle
  */
 public record ServiceView(long generation, Map<String, ServiceSpec> services, List<String> entries, boolean leaving,
-		boolean ready, RejectionPermit rejections) {
+		boolean ready, RejectionPermit rejectionPermit) {
 
-	/** Nothing is known yet. */
+	/** The state before the first bundle. */
 	public static final ServiceView EMPTY = new ServiceView(0, Map.of(), List.of(), false, false, RejectionPermit.NONE);
 
 	public ServiceView {
@@ -29,17 +30,14 @@
 	}
 
 	/**
-	 * Returns whether a request may be called wrong by the bundle now.
-	 * @param nowNanos on the monotonic clock
-	 * @param nowDayMillis the time of day, in milliseconds since 1970
+	 * Returns whether a request may be rejected for good by the bundle now.
+	 * @param nowNanos the monotonic clock
+	 * @param nowWallMillis the wall clock, in milliseconds since 1970
 	 */
-	public boolean mayReject(long nowNanos, long nowDayMillis) {
-		return this.rejections.allows(nowNanos, nowDayMillis);
+	public boolean mayReject(long nowNanos, long nowWallMillis) {
+		return this.rejectionPermit.allows(nowNanos, nowWallMillis);
 	}
 
-	/**
-	 * Returns a service by name.
-	 */
 	Optional<ServiceSpec> service(String name) {
 		return Optional.ofNullable(this.services.get(name));
 	}
--- a/entry/src/main/java/org/wisteriapost/entry/caller/package-info.java
+++ b/entry/src/main/java/org/wisteriapost/entry/caller/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The HTTP side of an entry: what callers and monitoring see.
+ * The HTTP interface of an entry towards callers.
  */
 package org.wisteriapost.entry.caller;
--- a/entry/src/main/java/org/wisteriapost/entry/process/ClaimCoordinator.java
+++ b/entry/src/main/java/org/wisteriapost/entry/process/ClaimCoordinator.java
@@ -228,7 +228,7 @@
 		}
 		switch (repeated.first().state()) {
 			case CLAIMED -> refuse(pending, Refusal.unknown(CONFLICT, CALL_UNRESOLVED.name(), CALL_UNRESOLVED.summary())
-				.retryAfter(UNRESOLVED_RETRY_MILLIS));
+				.withRetryAfter(UNRESOLVED_RETRY_MILLIS));
 			case UNKNOWN ->
 				refuse(pending, Refusal.unknown(CONFLICT, CALL_UNRESOLVED.name(), CALL_UNRESOLVED.summary()));
 			case RAN -> refuse(pending, Refusal.unknown(CONFLICT, ANSWER_NOT_KEPT.name(), ANSWER_NOT_KEPT.summary()));
--- a/entry/src/main/java/org/wisteriapost/entry/process/EntryProcess.java
+++ b/entry/src/main/java/org/wisteriapost/entry/process/EntryProcess.java
@@ -16,10 +16,10 @@
 import io.micrometer.prometheusmetrics.PrometheusMeterRegistry;
 import org.apache.commons.rng.simple.RandomSource;
 import org.wisteriapost.entry.EntrySettings;
+import org.wisteriapost.entry.caller.CallIntake;
 import org.wisteriapost.entry.caller.CallerCall;
-import org.wisteriapost.entry.caller.FrontLimits;
-import org.wisteriapost.entry.caller.FrontPort;
 import org.wisteriapost.entry.caller.HttpFront;
+import org.wisteriapost.entry.caller.HttpLimits;
 import org.wisteriapost.entry.caller.Organisations;
 import org.wisteriapost.entry.caller.ServiceView;
 import org.wisteriapost.entry.claim.ClaimStore;
@@ -52,7 +52,7 @@
 /**
  * A running entry: the event loop and its I/O.
  */
-public final class EntryProcess implements FrontPort, PeerListener, EntryOutput, AutoCloseable {
+public final class EntryProcess implements CallIntake, PeerListener, EntryOutput, AutoCloseable {
 
 	private static final String HEAD = "head";
 
@@ -194,12 +194,12 @@
 	}
 
 	@Override
-	public void gone(long id) {
+	public void callerDisconnected(long id) {
 		put(new EntryEvent.CallerLeft(id));
 	}
 
 	@Override
-	public void turnedAway(String code) {
+	public void rejected(String code) {
 		this.metrics.rejected(code);
 	}
 
@@ -266,7 +266,7 @@
 			this.front = register(HttpFront.start(
 					new InetSocketAddress(EntrySettings.HTTP_HOST.get(settings),
 							EntrySettings.HTTP_PORT.get(settings).intValue()),
-					FrontLimits.of(settings), organisations, this, TlsSettings.callers(settings)));
+					HttpLimits.of(settings), organisations, this, TlsSettings.callers(settings)));
 			this.admin = register(AdminServer.start(
 					new InetSocketAddress(CommonSettings.ADMIN_HOST.get(settings),
 							CommonSettings.ADMIN_PORT.get(settings).intValue()),
--- a/entry/src/test/java/org/wisteriapost/entry/caller/CallerAnswerTests.java
+++ b/entry/src/test/java/org/wisteriapost/entry/caller/CallerAnswerTests.java
@@ -31,18 +31,18 @@
 
 	private static final int ROUNDS = 1500;
 
-	private static final int AT_ONCE = 8;
+	private static final int CONCURRENT_CALLS = 8;
 
-	private static final int PIECES = 6;
+	private static final int CHUNKS = 6;
 
-	// Up to some tens of microseconds: about what writing one piece takes.
+	// Some tens of microseconds, about the time that writing a chunk takes.
 	private static final long MAX_SPINS = 997;
 
 	private final AtomicLong seed = new AtomicLong();
 
 	private final HttpCaller caller = HttpCaller.create(1);
 
-	private final ExecutorService loops = Executors.newFixedThreadPool(4);
+	private final ExecutorService executor = Executors.newFixedThreadPool(4);
 
 	private Undertow server;
 
@@ -60,13 +60,13 @@
 	void stop() {
 		this.caller.close();
 		this.server.stop();
-		this.loops.shutdownNow();
+		this.executor.shutdownNow();
 	}
 
-	// Events come from runners on the very thread that writes to the caller. Queued
-	// behind each other each would cost another turn of the selector.
+	// Runners' events arrive on the I/O thread of the caller's connection. Queueing each
+	// write would cost an additional wake-up of the selector.
 	@Test
-	void onItsOwnThreadAnAnswerIsWrittenAtOnce() throws Exception {
+	void dataIsWrittenImmediatelyOnTheIoThread() throws Exception {
 		CompletableFuture<Boolean> written = new CompletableFuture<>();
 		Undertow other = Undertow.builder()
 			.addHttpListener(0, "127.0.0.1")
@@ -74,7 +74,7 @@
 			.setHandler((exchange) -> exchange.dispatch(SameThreadExecutor.INSTANCE, () -> {
 				CallerAnswer answer = new CallerAnswer(exchange, "request", 1 << 20);
 				answer.start(200, List.of(), "");
-				answer.data("piece".getBytes(StandardCharsets.UTF_8));
+				answer.data("chunk".getBytes(StandardCharsets.UTF_8));
 				written.complete(exchange.isResponseStarted());
 				answer.end();
 			}))
@@ -85,46 +85,45 @@
 			HttpReply reply = this.caller.call(HttpCall.of("GET", URI.create("http://127.0.0.1:" + port + "/"), LIMIT))
 				.join();
 			assertThat(written.join(), is(true));
-			assertThat(new String(reply.body(), StandardCharsets.UTF_8), is("piece"));
+			assertThat(new String(reply.body(), StandardCharsets.UTF_8), is("chunk"));
 		}
 		finally {
 			other.stop();
 		}
 	}
 
-	// The last piece of a stream and its end come from the event loop while the I/O
-	// thread has just found nothing more to write. An answer that is ended right there
-	// lacks its tail, yet its framing is whole, so the caller believes it. Many short
-	// streams are sent so that the two threads meet at that step.
+	// Race: the last data and the end of a stream arrive just after the I/O thread has
+	// found the queue empty. If the answer is ended then, its last data is missing but
+	// its framing is valid. Many short streams are sent to provoke the race.
 	@Test
-	void streamKeepsItsTailWhenItsEndComesAtOnce() throws Exception {
+	void streamIsCompleteWhenItsEndFollowsItsLastData() throws Exception {
 		int port = ((InetSocketAddress) this.server.getListenerInfo().getFirst().getAddress()).getPort();
 		URI target = URI.create("http://127.0.0.1:" + port + "/");
-		int shortened = 0;
+		int truncated = 0;
 		for (int i = 0; i < ROUNDS; i++) {
 			List<CompletableFuture<HttpReply>> replies = new ArrayList<>();
-			for (int j = 0; j < AT_ONCE; j++) {
+			for (int j = 0; j < CONCURRENT_CALLS; j++) {
 				replies.add(this.caller.call(HttpCall.of("GET", target, LIMIT)));
 			}
 			for (CompletableFuture<HttpReply> reply : replies) {
 				byte[] body = reply.get(LIMIT.toSeconds(), TimeUnit.SECONDS).body();
-				shortened += new String(body, StandardCharsets.UTF_8).equals("012345") ? 0 : 1;
+				truncated += new String(body, StandardCharsets.UTF_8).equals("012345") ? 0 : 1;
 			}
 		}
-		assertThat("answers without their tail", shortened, is(0));
+		assertThat("truncated answers", truncated, is(0));
 	}
 
-	private static void spin(long times) {
-		for (long i = 0; i < times; i++) {
+	private static void spin(long iterations) {
+		for (long i = 0; i < iterations; i++) {
 			Thread.onSpinWait();
 		}
 	}
 
 	private void answer(HttpServerExchange exchange) {
 		CallerAnswer answer = new CallerAnswer(exchange, "r", 1 << 20);
-		this.loops.execute(() -> {
+		this.executor.execute(() -> {
 			answer.start(200, List.of(), "");
-			for (int i = 0; i < PIECES; i++) {
+			for (int i = 0; i < CHUNKS; i++) {
 				spin(this.seed.incrementAndGet() % MAX_SPINS);
 				answer.data(String.valueOf(i).getBytes(StandardCharsets.UTF_8));
 			}
--- a/entry/src/test/java/org/wisteriapost/entry/caller/HttpFrontTests.java
+++ b/entry/src/test/java/org/wisteriapost/entry/caller/HttpFrontTests.java
@@ -30,9 +30,8 @@
 import static org.hamcrest.MatcherAssert.assertThat;
 
 /**
- * A caller is told for good that its token is no one's, or that there is no such service,
- * by what may be old: a file of tokens that could not be read, a bundle that was replaced
- * while the answer was made.
+ * An unknown token or service is rejected for good only by recent state, not while a
+ * token file could not be read, nor by a bundle that was replaced during the check.
  */
 class HttpFrontTests {
 
@@ -43,7 +42,7 @@
 
 	private final HttpCaller caller = HttpCaller.create(1);
 
-	private final Port port = new Port();
+	private final ScriptedIntake intake = new ScriptedIntake();
 
 	private Organisations organisations;
 
@@ -61,8 +60,8 @@
 				token = token-of-kelpie
 				""".formatted(file()));
 		this.organisations = Organisations.of(settings);
-		this.front = HttpFront.start(new InetSocketAddress("127.0.0.1", 0), FrontLimits.of(settings),
-				this.organisations, this.port, Optional.empty());
+		this.front = HttpFront.start(new InetSocketAddress("127.0.0.1", 0), HttpLimits.of(settings), this.organisations,
+				this.intake, Optional.empty());
 	}
 
 	@AfterEach
@@ -80,7 +79,7 @@
 		return this.caller.call(HttpCall.of("GET", uri, LONG).header("Authorization", authorization)).join();
 	}
 
-	private static void says(HttpReply reply, int status, String code) {
+	private static void assertRefused(HttpReply reply, int status, String code) {
 		assertThat(new String(reply.body(), StandardCharsets.UTF_8),
 				Matchers.containsString("\"code\":\"" + code + "\""));
 		assertThat(reply.status(), Matchers.equalTo(status));
@@ -95,36 +94,37 @@
 		return new ServiceView(generation, Map.of(), List.of(), false, true, rejections);
 	}
 
-	// The file is there a moment later, and the token in it.
+	// The token may be in the file that could not be read.
 	@Test
 	void aTokenIsNotRejectedWhileAFileOfTokensCouldNotBeRead() throws IOException {
-		says(get("Bearer token-of-baobab"), 503, "token-doubtful");
-		says(get("Bearer token-of-kelpie"), 503, "bundle-absent");
+		assertRefused(get("Bearer token-of-baobab"), 503, "token-doubtful");
+		assertRefused(get("Bearer token-of-kelpie"), 503, "bundle-absent");
 		Files.writeString(file(), "token-of-baobab\n");
 		this.organisations.reload();
-		says(get("Bearer token-of-baobab"), 503, "bundle-absent");
-		says(get("Bearer other"), 401, "token-unknown");
+		assertRefused(get("Bearer token-of-baobab"), 503, "bundle-absent");
+		assertRefused(get("Bearer other"), 401, "token-unknown");
 	}
 
-	// It is wrong whatever the files hold.
+	// Such a header is invalid whatever the token files contain.
 	@ParameterizedTest
 	@CsvSource({ "Basic x", "Bearer" })
-	void whatIsNoTokenIsRejectedAtOnce(String authorization) {
-		says(get(authorization), 401, "token-unknown");
+	void aHeaderWithoutABearerTokenIsRejectedAtOnce(String authorization) {
+		assertRefused(get(authorization), 401, "token-unknown");
 	}
 
-	// The bundle that lacks the service may be old, the next one was just confirmed.
+	// The view of the check is stale; the next one was just confirmed and must not be
+	// used to reject.
 	@Test
-	void whatABundleLacksIsRejectedByTheAgeOfThatBundle() {
-		this.port.views.add(view(1, false));
-		this.port.views.add(view(1, false));
-		this.port.views.add(view(2, true));
-		says(get("Bearer token-of-kelpie"), 503, "bundle-doubtful");
-		says(get("Bearer token-of-kelpie"), 404, "service-unknown");
+	void anUnknownServiceIsRejectedByThePermitOfTheSameView() {
+		this.intake.views.add(view(1, false));
+		this.intake.views.add(view(1, false));
+		this.intake.views.add(view(2, true));
+		assertRefused(get("Bearer token-of-kelpie"), 503, "bundle-doubtful");
+		assertRefused(get("Bearer token-of-kelpie"), 404, "service-unknown");
 	}
 
-	/** Shows each view once, the last one over and over. */
-	private static final class Port implements FrontPort {
+	/** Returns each view once, then the last one repeatedly. */
+	private static final class ScriptedIntake implements CallIntake {
 
 		private final Queue<ServiceView> views = new ConcurrentLinkedQueue<>();
 
@@ -134,11 +134,11 @@
 		}
 
 		@Override
-		public void gone(long id) {
+		public void callerDisconnected(long id) {
 		}
 
 		@Override
-		public void turnedAway(String code) {
+		public void rejected(String code) {
 		}
 
 		@Override
--- a/entry/src/test/java/org/wisteriapost/entry/caller/OrganisationsTests.java
+++ b/entry/src/test/java/org/wisteriapost/entry/caller/OrganisationsTests.java
@@ -18,8 +18,8 @@
 import static org.hamcrest.MatcherAssert.assertThat;
 
 /**
- * A caller whose token was put into its organisation's file is told for good that it is
- * no one's, by what was read of the file before.
+ * An unknown token is rejected for good only by token files that were read recently,
+ * since it may have been written to its organisation's file meanwhile.
  */
 class OrganisationsTests {
 
@@ -34,7 +34,7 @@
 
 	private long now = 100_000 * MILLI;
 
-	private long dayMillis = 1_000_000;
+	private long wallMillis = 1_000_000;
 
 	@BeforeEach
 	void read() throws IOException {
@@ -48,12 +48,12 @@
 
 	private Organisations organisations(String token) {
 		return Organisations.of(Settings.parse("test.ini", "[organisation baobab]\n" + token + "\n"), () -> this.now,
-				() -> this.dayMillis);
+				() -> this.wallMillis);
 	}
 
-	private void pass(long millis) {
+	private void advance(long millis) {
 		this.now += millis * MILLI;
-		this.dayMillis += millis;
+		this.wallMillis += millis;
 	}
 
 	@Test
@@ -64,7 +64,7 @@
 		assertThat(this.organisations.find("Bearer first"), Matchers.equalTo(Optional.empty()));
 	}
 
-	// A file caught in the middle of being replaced must not shut an organisation out.
+	// A file that is just being replaced must not lock its organisation out.
 	@Test
 	void aTokenStaysGoodWhileItsFileCannotBeRead() throws IOException {
 		Files.delete(file());
@@ -74,18 +74,18 @@
 
 	@ParameterizedTest
 	@CsvSource({ "0,true", "7200,true", "7201,false" })
-	void anUnknownTokenIsRejectedOnlyByFilesThatWereReadLately(long millis, boolean rejects) throws IOException {
-		pass(5000);
+	void anUnknownTokenIsRejectedOnlyByFilesThatWereReadRecently(long millis, boolean mayReject) throws IOException {
+		advance(5000);
 		this.organisations.reload();
 		Files.delete(file());
-		pass(millis);
+		advance(millis);
 		this.organisations.reload();
-		assertThat(this.organisations.mayReject(OTHER), Matchers.equalTo(rejects));
+		assertThat(this.organisations.mayReject(OTHER), Matchers.equalTo(mayReject));
 	}
 
 	@Test
 	void nothingIsRejectedAfterASuspensionUntilTheFilesAreReadAgain() throws IOException {
-		this.dayMillis += 60_000;
+		this.wallMillis += 60_000;
 		assertThat(this.organisations.mayReject(OTHER), Matchers.equalTo(false));
 		Files.delete(file());
 		this.organisations.reload();
@@ -95,20 +95,20 @@
 		assertThat(this.organisations.mayReject(OTHER), Matchers.equalTo(true));
 	}
 
-	// It is wrong whatever the files hold.
+	// Such a header is invalid whatever the token files contain.
 	@ParameterizedTest
 	@NullSource
 	@ValueSource(strings = { "Basic x", "" })
-	void whatIsNoTokenIsAlwaysRejected(String authorization) {
-		pass(60_000);
+	void aHeaderWithoutABearerTokenIsAlwaysRejected(String authorization) {
+		advance(60_000);
 		assertThat(this.organisations.mayReject(authorization), Matchers.equalTo(true));
 	}
 
-	// Tokens in settings change by a restart only.
+	// Tokens in settings change only with a restart.
 	@Test
-	void withoutFilesNothingGrowsOld() {
+	void tokensInSettingsNeverBecomeStale() {
 		Organisations fixed = organisations("token = first");
-		pass(60_000);
+		advance(60_000);
 		assertThat(fixed.mayReject(OTHER), Matchers.equalTo(true));
 	}
 
--- a/entry/src/test/java/org/wisteriapost/entry/caller/PipelinedRefusalTests.java
+++ b/entry/src/test/java/org/wisteriapost/entry/caller/PipelinedRefusalTests.java
@@ -18,10 +18,10 @@
 
 	private static final int REQUESTS = 20_000;
 
-	// One caller sends its requests without waiting for answers, and each is refused on
-	// the I/O thread. None of them ends the thread that all callers share.
+	// Each pipelined request is refused on the I/O thread. If the refusals nested, the
+	// stack would overflow and end the thread that all callers share.
 	@Test
-	void requestsThatAreRefusedAtOnceDoNotNest() throws Exception {
+	void pipelinedRefusalsDoNotOverflowTheStack() throws Exception {
 		Undertow server = Undertow.builder()
 			.addHttpListener(0, "127.0.0.1")
 			.setIoThreads(1)
