--- a/entry/src/main/java/org/wisteriapost/entry/platform/BundleContent.java
+++ b/entry/src/main/java/org/wisteriapost/entry/platform/BundleContent.java
@@ -3,12 +3,12 @@
 import java.util.Map;
 
 /**
- * A bundle's bytes and signatures, as read; the bytes are checked against the digest by
- * whoever uses them.
+ * The bytes and signatures of a bundle, unverified: the user must compare the bytes with
+ * the digest.
  *
- * @param digest the digest it was asked for by
- * @param bytes the canonical bundle
- * @param approvals signature by operator
+ * @param digest the digest by which the bundle was requested
+ * @param bytes the canonical encoding of the bundle
+ * @param approvals the signatures by operator
  */
 public record BundleContent(String digest, byte[] bytes, Map<String, byte[]> approvals) {
 
--- a/entry/src/main/java/org/wisteriapost/entry/platform/BundleReader.java
+++ b/entry/src/main/java/org/wisteriapost/entry/platform/BundleReader.java
@@ -8,48 +8,46 @@
 import org.wisteriapost.protocol.outside.Platform;
 
 /**
- * Reads bundles and their signatures from the platform. Used by one thread.
+ * Reads bundles and their signatures from the platform. Not thread-safe.
  */
 public final class BundleReader {
 
-	private static final String BUNDLES = "bundles/";
+	private static final String BUNDLE_PREFIX = "bundles/";
 
-	private static final String APPROVALS = "approvals/";
+	private static final String APPROVAL_PREFIX = "approvals/";
 
 	private final Platform platform;
 
 	private String lastDigest = "";
 
-	private CompletableFuture<Optional<BundleContent>> last = CompletableFuture.completedFuture(Optional.empty());
+	private CompletableFuture<Optional<BundleContent>> lastRead = CompletableFuture.completedFuture(Optional.empty());
 
 	private BundleReader(Platform platform) {
 		this.platform = platform;
 	}
 
-	/**
-	 * Returns a reader.
-	 */
 	public static BundleReader of(Platform platform) {
 		return new BundleReader(platform);
 	}
 
 	/**
-	 * Returns a bundle with its signatures, empty when the platform has no such digest.
+	 * Returns a bundle with its signatures, empty if the platform has none with this
+	 * digest.
 	 *
-	 * Failure: over a full link a bundle takes longer than its asker waits until it asks
-	 * again, and copies would fill the link. So the read under way serves again.
+	 * A read in progress is shared: over a saturated link a bundle takes longer than the
+	 * caller's retry interval, and further copies would keep the link saturated.
 	 */
 	public CompletableFuture<Optional<BundleContent>> read(String digest) {
-		if (this.last.isDone() || !digest.equals(this.lastDigest)) {
-			this.last = fetch(digest);
+		if (this.lastRead.isDone() || !digest.equals(this.lastDigest)) {
+			this.lastRead = fetch(digest);
 			this.lastDigest = digest;
 		}
-		return this.last;
+		return this.lastRead;
 	}
 
 	private CompletableFuture<Optional<BundleContent>> fetch(String digest) {
-		String prefix = APPROVALS + digest + "/";
-		return this.platform.get(BUNDLES + digest)
+		String prefix = APPROVAL_PREFIX + digest + "/";
+		return this.platform.get(BUNDLE_PREFIX + digest)
 			.thenCombine(this.platform.list(prefix), (stored, listing) -> stored
 				.map((bundle) -> new BundleContent(digest, bundle.value(), signatures(prefix, listing))));
 	}
--- a/entry/src/main/java/org/wisteriapost/entry/platform/PrefixWatch.java
+++ b/entry/src/main/java/org/wisteriapost/entry/platform/PrefixWatch.java
@@ -14,19 +14,18 @@
 import org.wisteriapost.protocol.outside.Platform;
 
 /**
- * Keeps one waiting watch on a prefix of the platform and tells all values under it after
- * each answer, also after one without a change: that one confirms them.
+ * Watches a prefix of the platform by long polling. Passes all values under the prefix to
+ * a listener after each reply, including a reply without a change, which confirms them.
  */
 public final class PrefixWatch implements AutoCloseable {
 
 	private static final Logger LOG = System.getLogger(PrefixWatch.class.getName());
 
-	// A waiting watch counts as one call, so at rest an entry costs the platform a third
-	// of a read a second for each prefix; the wait also bounds how old a confirmation
-	// gets.
-	private static final Duration WAIT = Duration.ofSeconds(3);
+	// Without changes an entry causes one call per prefix in this time, a third of a call
+	// a second. The wait also limits the staleness of a confirmation.
+	private static final Duration WATCH_WAIT = Duration.ofSeconds(3);
 
-	// After an outage all entries come back at once; the jitter spreads them.
+	// The jitter spreads the retries of all entries after an outage.
 	private static final long RETRY_MIN_MILLIS = 200;
 
 	private static final long RETRY_MAX_MILLIS = 800;
@@ -74,14 +73,14 @@
 		if (this.closed) {
 			return;
 		}
-		long askedNanos = this.clock.getAsLong();
+		long requestedNanos = this.clock.getAsLong();
 		this.platform.list(this.prefix).whenComplete((listing, failure) -> {
 			if (failure != null) {
 				retry(failure);
 				return;
 			}
 			this.values.clear();
-			take(listing, askedNanos);
+			publish(listing, requestedNanos);
 		});
 	}
 
@@ -89,33 +88,34 @@
 		if (this.closed) {
 			return;
 		}
-		long askedNanos = this.clock.getAsLong();
-		this.platform.watch(this.prefix, revision, WAIT).whenComplete((listing, failure) -> {
+		long requestedNanos = this.clock.getAsLong();
+		this.platform.watch(this.prefix, revision, WATCH_WAIT).whenComplete((listing, failure) -> {
 			if (failure != null) {
 				retry(failure);
 				return;
 			}
-			take(listing, asOf(listing, askedNanos));
+			publish(listing, confirmedNanos(listing, requestedNanos));
 		});
 	}
 
-	// A platform that held a watch for its whole wait had no change until the end of it.
-	// One that ended it sooner, or with a change, may have had the next change right
-	// after the call, and the answer have been under way since.
-	private long asOf(Platform.Listing listing, long askedNanos) {
-		long endNanos = askedNanos + WAIT.toNanos();
+	// A watch that was held for its whole wait confirms that there was no change until
+	// its end. One that ended earlier, or with a change, may have been answered right
+	// after the request, and the reply delayed since; so it confirms only the time of
+	// the request.
+	private long confirmedNanos(Platform.Listing listing, long requestedNanos) {
+		long endNanos = requestedNanos + WATCH_WAIT.toNanos();
 		boolean held = listing.items().isEmpty() && this.clock.getAsLong() - endNanos >= 0;
-		return held ? endNanos : askedNanos;
+		return held ? endNanos : requestedNanos;
 	}
 
-	private void take(Platform.Listing listing, long asOfNanos) {
+	private void publish(Platform.Listing listing, long asOfNanos) {
 		listing.items().forEach((item) -> this.values.put(item.key(), item.value()));
 		this.listener.accept(new Values(this.values, asOfNanos));
-		// From the timer's thread, so that answers that come at once do not nest.
+		// Scheduled, so that immediate replies do not recurse.
 		schedule(() -> watch(listing.revision()), 0);
 	}
 
-	// A watch that failed may have missed a change, so the prefix is read whole again.
+	// A failed watch may have missed a change, so the prefix is listed again.
 	private void retry(Throwable failure) {
 		LOG.log(Level.WARNING, "watch-failed: prefix " + this.prefix + ": " + failure.getMessage());
 		schedule(this::list, ThreadLocalRandom.current().nextLong(RETRY_MIN_MILLIS, RETRY_MAX_MILLIS));
@@ -128,10 +128,10 @@
 	}
 
 	/**
-	 * All that is under a prefix.
+	 * All values under a prefix.
 	 *
-	 * @param values by key
-	 * @param asOfNanos when they were the newest, by the monotonic clock
+	 * @param values the values by key
+	 * @param asOfNanos the time as of which they are confirmed, on the monotonic clock
 	 */
 	public record Values(Map<String, byte[]> values, long asOfNanos) {
 
--- a/entry/src/main/java/org/wisteriapost/entry/platform/VmPoll.java
+++ b/entry/src/main/java/org/wisteriapost/entry/platform/VmListPoller.java
@@ -11,16 +11,16 @@
 import org.wisteriapost.protocol.outside.VmList;
 
 /**
- * Reads the VM list every second. The list lags by itself; a second more still leaves two
- * of the three in which a leaving VM may get new work.
+ * Reads the VM list every second. The list itself lags; the period adds at most one of
+ * the three seconds within which a leaving VM must stop receiving work.
  */
-public final class VmPoll implements AutoCloseable {
+public final class VmListPoller implements AutoCloseable {
 
-	private static final Logger LOG = System.getLogger(VmPoll.class.getName());
+	private static final Logger LOG = System.getLogger(VmListPoller.class.getName());
 
 	private static final long PERIOD_MILLIS = 1000;
 
-	private static final String ENTRY = "entry";
+	private static final String ENTRY_ROLE = "entry";
 
 	private final VmList list;
 
@@ -30,19 +30,19 @@
 
 	private volatile boolean closed;
 
-	private VmPoll(VmList list, ScheduledExecutorService timer, Consumer<List<Member>> listener) {
+	private VmListPoller(VmList list, ScheduledExecutorService timer, Consumer<List<Member>> listener) {
 		this.list = list;
 		this.timer = timer;
 		this.listener = listener;
 	}
 
 	/**
-	 * Returns a running poll.
+	 * Returns a running poller.
 	 */
-	public static VmPoll start(VmList list, ScheduledExecutorService timer, Consumer<List<Member>> listener) {
-		VmPoll poll = new VmPoll(list, timer, listener);
-		poll.read();
-		return poll;
+	public static VmListPoller start(VmList list, ScheduledExecutorService timer, Consumer<List<Member>> listener) {
+		VmListPoller poller = new VmListPoller(list, timer, listener);
+		poller.read();
+		return poller;
 	}
 
 	@Override
@@ -54,14 +54,14 @@
 		if (this.closed) {
 			return;
 		}
-		// The last reading stays in force while the list cannot be read: forgetting it
-		// would cut off runners that are well.
+		// The last list stays active while it cannot be read; dropping it would
+		// disconnect healthy runners.
 		this.list.read().whenComplete((vms, failure) -> {
 			if (failure != null) {
 				LOG.log(Level.WARNING, "vm-list-unreadable: " + failure.getMessage());
 			}
 			else {
-				this.listener.accept(vms.stream().map(VmPoll::member).toList());
+				this.listener.accept(vms.stream().map(VmListPoller::member).toList());
 			}
 			if (!this.closed) {
 				this.timer.schedule(this::read, PERIOD_MILLIS, TimeUnit.MILLISECONDS);
@@ -70,7 +70,7 @@
 	}
 
 	private static Member member(VmList.Vm vm) {
-		return new Member(vm.vm(), vm.place(), ENTRY.equals(vm.role()), vm.service(), vm.host(), vm.linkPort(),
+		return new Member(vm.vm(), vm.place(), ENTRY_ROLE.equals(vm.role()), vm.service(), vm.host(), vm.linkPort(),
 				vm.httpPort(), vm.leaving());
 	}
 
--- a/entry/src/main/java/org/wisteriapost/entry/platform/package-info.java
+++ b/entry/src/main/java/org/wisteriapost/entry/platform/package-info.java
@@ -1,4 +1,4 @@
 /**
- * What an entry reads from the platform and the VM list.
+ * Readers of the platform and of the VM list.
  */
 package org.wisteriapost.entry.platform;
--- a/entry/src/main/java/org/wisteriapost/entry/process/EntryProcess.java
+++ b/entry/src/main/java/org/wisteriapost/entry/process/EntryProcess.java
@@ -28,7 +28,7 @@
 import org.wisteriapost.entry.link.PeerListener;
 import org.wisteriapost.entry.platform.BundleReader;
 import org.wisteriapost.entry.platform.PrefixWatch;
-import org.wisteriapost.entry.platform.VmPoll;
+import org.wisteriapost.entry.platform.VmListPoller;
 import org.wisteriapost.kernel.EventLoop;
 import org.wisteriapost.kernel.Invariants;
 import org.wisteriapost.kernel.settings.CommonSettings;
@@ -273,7 +273,7 @@
 					this.registry, () -> this.view.ready()));
 			register(PrefixWatch.start(platform, this.timer, HEAD, System::nanoTime, this::headRead));
 			register(PrefixWatch.start(platform, this.timer, LEAVING, System::nanoTime, this::leavingMarksRead));
-			register(VmPoll.start(vmList, this.timer, (members) -> put(new EntryEvent.VmsRead(members))));
+			register(VmListPoller.start(vmList, this.timer, (members) -> put(new EntryEvent.VmsRead(members))));
 			this.timer.scheduleAtFixedRate(this::tick, TICK_MILLIS, TICK_MILLIS, TimeUnit.MILLISECONDS);
 			String vm = CommonSettings.VM.get(settings);
 			this.timer.scheduleAtFixedRate(() -> writeBurnSnapshot(platform, vm), BURN_SNAPSHOT_SECONDS,
--- a/entry/src/test/java/org/wisteriapost/entry/platform/BundleReaderTests.java
+++ b/entry/src/test/java/org/wisteriapost/entry/platform/BundleReaderTests.java
@@ -18,11 +18,11 @@
 
 	private final BundleReader reader = BundleReader.of(this.platform);
 
-	// A bundle takes seconds over a full link, and the entry asks for it again each half
-	// second while it is not here. Were each a read of its own, all entries together
-	// would fill the link with copies, of which none comes in the time of a call.
+	// A bundle takes seconds over a saturated link, and the entry requests it again every
+	// 500 ms. With a read for each request, the copies would keep the link saturated and
+	// none would arrive before the call times out.
 	@Test
-	void whatIsUnderWayIsNotReadAgain() {
+	void readInProgressIsShared() {
 		CompletableFuture<Optional<BundleContent>> first = this.reader.read("d");
 		CompletableFuture<Optional<BundleContent>> second = this.reader.read("d");
 		assertThat(this.platform.reads, is(1));
@@ -30,9 +30,9 @@
 		assertThat(first.join().isEmpty() && second.join().isEmpty(), is(true));
 	}
 
-	// The read fails, or the platform does not have the bundle yet.
+	// The read may have failed, or the platform did not have the bundle yet.
 	@Test
-	void whatHasEndedIsReadAgain() {
+	void completedOrFailedReadIsRepeated() {
 		CompletableFuture<Optional<BundleContent>> failed = this.reader.read("d");
 		this.platform.answer.completeExceptionally(new IllegalStateException("scripted"));
 		assertThat(failed.isCompletedExceptionally(), is(true));
@@ -43,7 +43,7 @@
 		assertThat(this.platform.reads, is(3));
 	}
 
-	/** Its answers to reads are late. */
+	/** Answers reads when the test completes them. */
 	private static final class SlowPlatform implements Platform {
 
 		private final FakePlatform fake = new FakePlatform();
--- a/entry/src/test/java/org/wisteriapost/entry/platform/PrefixWatchTests.java
+++ b/entry/src/test/java/org/wisteriapost/entry/platform/PrefixWatchTests.java
@@ -19,26 +19,26 @@
 import static org.hamcrest.MatcherAssert.assertThat;
 
 /**
- * A caller is told for good that there is no such model, which was rolled long ago. The
- * answer that confirmed the entry's bundle was seconds under way, and the bundle was
- * taken for the newest as of its coming. It is as of when the platform must have looked.
+ * A reply of the platform may be delayed for seconds. If it counted as a confirmation as
+ * of its arrival, a stale bundle would look recent and requests for newer models would be
+ * rejected for good.
  */
 class PrefixWatchTests {
 
 	private static final long MILLI = 1_000_000;
 
-	private final AnsweredPlatform platform = new AnsweredPlatform();
+	private final ScriptedPlatform platform = new ScriptedPlatform();
 
-	private final List<Long> asOf = new ArrayList<>();
+	private final List<Long> confirmedNanos = new ArrayList<>();
 
 	private long now = 7_000 * MILLI;
 
-	private final long begun = this.now;
+	private final long startNanos = this.now;
 
 	@BeforeEach
 	void start() {
-		PrefixWatch.start(this.platform, new AtOnce(), "head", () -> this.now,
-				(read) -> this.asOf.add(read.asOfNanos()));
+		PrefixWatch.start(this.platform, new ImmediateExecutor(), "head", () -> this.now,
+				(read) -> this.confirmedNanos.add(read.asOfNanos()));
 	}
 
 	private void answer(long millisLater, boolean changed) {
@@ -48,33 +48,33 @@
 	}
 
 	@Test
-	void aListingIsAsOfWhenItWasAskedFor() {
+	void aListingIsConfirmedAsOfItsRequest() {
 		answer(2500, true);
-		assertThat(this.asOf, Matchers.contains(this.begun));
+		assertThat(this.confirmedNanos, Matchers.contains(this.startNanos));
 	}
 
-	// A watch that brings a change, or ends before its time, may have been answered right
-	// after it was asked. One that was held for its whole wait had no change until then.
+	// A watch that returns a change, or ends early, may have been answered right after
+	// the request. One that was held for its whole wait had no change until its end.
 	@ParameterizedTest
 	@CsvSource({ "0,true,0", "2500,true,0", "4000,true,0", "2999,false,0", "3000,false,3000", "5500,false,3000" })
-	void aWatchIsAsOfWhenItWasAskedForOrOfTheEndOfItsWait(long answeredMillis, boolean changed, long asOfMillis) {
+	void aWatchIsConfirmedAsOfItsRequestOrTheEndOfItsWait(long answeredMillis, boolean changed, long asOfMillis) {
 		answer(0, true);
 		answer(answeredMillis, changed);
-		assertThat(this.asOf, Matchers.contains(this.begun, this.begun + asOfMillis * MILLI));
+		assertThat(this.confirmedNanos, Matchers.contains(this.startNanos, this.startNanos + asOfMillis * MILLI));
 	}
 
-	// Asked again after a failure: the moment is that of the call that was answered.
+	// After a retry the time is that of the request which succeeded.
 	@Test
-	void aCallThatFailedCountsForNothing() {
+	void aFailedCallConfirmsNothing() {
 		CompletableFuture<Platform.Listing> failing = this.platform.next;
 		this.now += 1000 * MILLI;
 		failing.completeExceptionally(new IllegalStateException("scripted"));
 		answer(500, true);
-		assertThat(this.asOf, Matchers.contains(this.begun + 1000 * MILLI));
+		assertThat(this.confirmedNanos, Matchers.contains(this.startNanos + 1000 * MILLI));
 	}
 
-	/** Its listings and watches are answered by the test. */
-	private static final class AnsweredPlatform implements Platform {
+	/** Answers listings and watches when the test completes them. */
+	private static final class ScriptedPlatform implements Platform {
 
 		private CompletableFuture<Listing> next = new CompletableFuture<>();
 
@@ -105,10 +105,10 @@
 
 	}
 
-	/** Runs at once what is due later. */
-	private static final class AtOnce extends ScheduledThreadPoolExecutor {
+	/** Runs scheduled tasks immediately. */
+	private static final class ImmediateExecutor extends ScheduledThreadPoolExecutor {
 
-		private AtOnce() {
+		private ImmediateExecutor() {
 			super(1);
 		}
 
