--- a/entry/src/main/java/org/wisteriapost/entry/EntryCommand.java
+++ b/entry/src/main/java/org/wisteriapost/entry/EntryCommand.java
@@ -31,7 +31,7 @@
 import org.wisteriapost.protocol.tls.TlsSettings;
 
 /**
- * Runs an entry until it has drained.
+ * The {@code entry} command, which runs an entry until it has drained.
  */
 public final class EntryCommand implements Command {
 
@@ -40,7 +40,7 @@
 
 	private static final Logger LOG = System.getLogger(EntryCommand.class.getName());
 
-	private static final int THREADS = 2;
+	private static final int LINK_IO_THREADS = 2;
 
 	private static final Options OPTIONS = new Options()
 		.addOption(Option.builder()
@@ -66,11 +66,11 @@
 		try {
 			CommandLine line = new DefaultParser().parse(OPTIONS, args.toArray(String[]::new));
 			if (line.hasOption("help")) {
-				help(out);
+				printHelp(out);
 				return ExitCodes.OK;
 			}
 			if (!line.hasOption("settings") || !line.getArgList().isEmpty()) {
-				help(err);
+				printHelp(err);
 				return ExitCodes.BAD_INPUT;
 			}
 			return run(Settings.read(Path.of(line.getOptionValue("settings"))), out, err);
@@ -98,14 +98,14 @@
 		try (HttpCaller caller = HttpCaller.create(1);
 				Platform platform = provider.platform(caller, CommonSettings.PLATFORM.get(settings));
 				VmList vms = provider.vmList(caller, CommonSettings.VM_LIST.get(settings));
-				Links links = TlsSettings.links(settings, THREADS);
+				Links links = TlsSettings.links(settings, LINK_IO_THREADS);
 				EntryProcess process = EntryProcess.start(settings, platform, vms, links)) {
-			Runtime.getRuntime().addShutdownHook(new Thread(() -> leave(process), "entry-leave"));
+			Runtime.getRuntime().addShutdownHook(new Thread(() -> drain(process), "entry-leave"));
 			out.printf("{\"ready\":\"entry\",\"httpPort\":%d,\"linkPort\":%d,\"adminPort\":%d}%n", process.httpPort(),
 					process.linkPort(), process.adminPort());
 			out.flush();
 			process.ended().join();
-			LOG.log(Level.INFO, "entry-drained: all answers have gone out");
+			LOG.log(Level.INFO, "entry-drained: all answers were sent");
 			return ExitCodes.OK;
 		}
 		catch (CodedException ex) {
@@ -114,15 +114,16 @@
 		}
 	}
 
-	// The virtual machine ends when this hook returns, so the hook waits for the running
-	// answers. Its own exit code would be 143, which reads as a crash; halt says 0.
-	private static void leave(EntryProcess process) {
-		LOG.log(Level.INFO, "entry-leaving: signal");
-		process.drain().join();
+	// The JVM exits when its shutdown hooks return, so this one waits for the answers in
+	// progress. The exit code after a signal would be 143, which supervisors take for a
+	// failure; halt sets 0.
+	private static void drain(EntryProcess entry) {
+		LOG.log(Level.INFO, "entry-leaving: shutdown signal received, draining");
+		entry.drain().join();
 		Runtime.getRuntime().halt(ExitCodes.OK);
 	}
 
-	private static void help(PrintStream to) {
+	private static void printHelp(PrintStream to) {
 		PrintWriter writer = new PrintWriter(to, true);
 		writer.println("wisteriapost entry --settings FILE");
 		OPTIONS.getOptions()
--- a/entry/src/main/java/org/wisteriapost/entry/EntrySettings.java
+++ b/entry/src/main/java/org/wisteriapost/entry/EntrySettings.java
@@ -12,17 +12,17 @@
 import org.wisteriapost.kernel.settings.SettingsSchema;
 
 /**
- * Keys that an entry reads.
+ * The settings of an entry.
  */
 public final class EntrySettings implements SettingsSchema {
 
-	/** The entry's own section. */
+	/** The name of the entry's section. */
 	public static final String SECTION = "entry";
 
-	/** The kind of sections that name organisations. */
+	/** The prefix of the sections that declare organisations. */
 	public static final String ORGANISATION = "organisation";
 
-	/** Where callers connect. */
+	/** The address that callers connect to. */
 	public static final Setting<String> HTTP_HOST = Setting.text(SECTION, "http-host",
 			"IP number that callers connect to.");
 
@@ -31,7 +31,7 @@
 		.number(SECTION, "http-port", 0, 65535, "Port that callers connect to; 0 chooses a free one.")
 		.orElse("0");
 
-	/** Where other entries connect. */
+	/** The address that other entries connect to. */
 	public static final Setting<String> LINK_HOST = Setting.text(SECTION, "link-host",
 			"IP number that other entries connect to.");
 
@@ -40,65 +40,65 @@
 		.number(SECTION, "link-port", 0, 65535, "Port that other entries connect to; 0 chooses a free one.")
 		.orElse("0");
 
-	/** Bound on a request's body. */
+	/** The maximum size of a request's body. */
 	public static final Setting<Long> MAX_BODY_BYTES = Setting
 		.number(SECTION, "max-body-bytes", 1024, 2 << 20, "Most bytes in a request's body.")
 		.orElse("1048576");
 
-	/** Bound on a request's head. */
+	/** The maximum size of a request's headers. */
 	public static final Setting<Long> MAX_HEADER_BYTES = Setting
 		.number(SECTION, "max-header-bytes", 1024, 1 << 20, "Most bytes in a request's headers.")
 		.orElse("16384");
 
-	/** Bound on connections. */
+	/** The maximum number of connections from callers. */
 	public static final Setting<Long> MAX_CONNECTIONS = Setting
 		.number(SECTION, "max-connections", 1, 1_000_000, "Most connections from callers at once.")
 		.orElse("4096");
 
-	/** Bound on requests in progress. */
+	/** The maximum number of requests in progress. */
 	public static final Setting<Long> MAX_STREAMS = Setting
 		.number(SECTION, "max-streams", 1, 1_000_000, "Most requests in progress at once, queued ones included.")
 		.orElse("2048");
 
-	/** Bound on events waiting for the loop. */
+	/** The capacity of the event loop's queue. */
 	public static final Setting<Long> RING_SIZE = Setting
 		.number(SECTION, "ring-size", 64, 1 << 20, "Events that may wait for the event loop, a power of two.")
 		.orElse("8192");
 
-	/** Deadline of a request that names none. */
+	/** The deadline of a request that does not specify one. */
 	public static final Setting<Duration> DEFAULT_DEADLINE = Setting
 		.millis(SECTION, "default-deadline-ms", 1, 3_600_000, "Deadline of a request that does not name one.")
 		.orElse("30000");
 
-	/** The longest deadline. */
+	/** The longest deadline that a request may specify. */
 	public static final Setting<Duration> MAX_DEADLINE = Setting
 		.millis(SECTION, "max-deadline-ms", 1, 3_600_000, "Longest deadline that a request may name.")
 		.orElse("600000");
 
-	/** Bound on the time a request's body takes. */
+	/** The time for receiving a request's headers, and again for its body. */
 	public static final Setting<Duration> BODY_TIMEOUT = Setting
 		.millis(SECTION, "body-timeout-ms", 10, 600_000,
 				"Time in which a request's head, and then its body, must come.")
 		.orElse("10000");
 
-	/** How long callers keep an address answer. */
+	/** How long callers may cache the addresses of entries. */
 	public static final Setting<Long> KEEP_SECONDS = Setting.number(SECTION, "keep-seconds", 1, 2,
 			"Seconds that callers may keep the answer of /v1/entries; a VM that leaves is unnamed this long before it refuses.")
 		.orElse("1");
 
-	/** Bound on an answer that is held back until it is whole. */
+	/** The size up to which an answer that is not streamed is buffered. */
 	public static final Setting<Long> MAX_HELD_BYTES = Setting
 		.number(SECTION, "max-held-bytes", 1024, 64 << 20,
 				"Most bytes of an answer that is held back until it is whole; a larger one is passed on from there.")
 		.orElse("1048576");
 
-	/** Bound on what waits for a slow caller. */
+	/** The maximum number of bytes queued for a slow caller. */
 	public static final Setting<Long> MAX_UNSENT_BYTES = Setting
 		.number(SECTION, "max-unsent-bytes", 4096, 64 << 20,
 				"Most bytes of one streamed answer that wait for its caller; past it the answer is cut.")
 		.orElse("1048576");
 
-	/** Pace of claim writes. */
+	/** The rate limit of writes for idempotency keys. */
 	public static final Setting<Long> CLAIM_WRITES = Setting.number(SECTION, "claim-writes-per-second", 1, 1000,
 			"Writes a second to the platform for idempotency keys; all entries together must stay well below its limit.")
 		.orElse("35");
@@ -133,8 +133,8 @@
 		if (!settings.sections().contains(SECTION)) {
 			return;
 		}
-		// A whole section that is absent has no line of its own to be checked, so the
-		// keys without a default are asked for here.
+		// The check of each key covers only sections that are present, so required keys
+		// of absent sections are checked here.
 		List.of(CommonSettings.VM, CommonSettings.PLACE, CommonSettings.PLATFORM, CommonSettings.VM_LIST)
 			.stream()
 			.filter((setting) -> !settings.sections().contains(setting.section()))
--- a/entry/src/main/java/org/wisteriapost/entry/package-info.java
+++ b/entry/src/main/java/org/wisteriapost/entry/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The entry role: its command, its settings and how its parts are put together.
+ * The entry role: its command and its settings.
  */
 package org.wisteriapost.entry;
--- a/entry/src/test/java/org/wisteriapost/entry/BadInputTests.java
+++ b/entry/src/test/java/org/wisteriapost/entry/BadInputTests.java
@@ -23,39 +23,42 @@
 
 	private static final String CHAT = "/v1/chat/completions";
 
-	private static final String GOOD = "{\"model\":\"lm\",\"messages\":[{\"role\":\"user\",\"content\":\"x\"}]}";
+	private static final String VALID_BODY = "{\"model\":\"lm\",\"messages\":[{\"role\":\"user\",\"content\":\"x\"}]}";
 
 	@AutoClose
-	private final EntryBench bench = EntryBench.start("max-body-bytes = 4096", "body-timeout-ms = 300",
+	private final EntryFixture fixture = EntryFixture.start("max-body-bytes = 4096", "body-timeout-ms = 300",
 			"max-header-bytes = 4096");
 
 	@ParameterizedTest
-	@MethodSource("wrong")
-	void wrongRequestIsToldWhatIsWrongAndStartsNothing(String method, String path, String body, List<String> headers,
-			int status, String code) {
-		HttpReply reply = this.bench.call(method, path, body, headers.toArray(String[]::new)).join();
+	@MethodSource("invalidRequests")
+	void invalidRequestIsRefusedWithItsCodeAndStartsNothing(String method, String path, String body,
+			List<String> headers, int status, String code) {
+		HttpReply reply = this.fixture.call(method, path, body, headers.toArray(String[]::new)).join();
 		assertThat(reply.status(), is(status));
-		assertThat(EntryBench.text(reply), containsString("\"code\":\"" + code + "\""));
-		assertThat(EntryBench.outcome(reply), is("not-run"));
-		assertThat(this.bench.model().calls().size() + this.bench.plain().calls().size(), is(0));
-		assertThat(this.bench.chat("next", false).join().status(), is(200));
+		assertThat(EntryFixture.text(reply), containsString("\"code\":\"" + code + "\""));
+		assertThat(EntryFixture.outcome(reply), is("not-run"));
+		assertThat(this.fixture.model().calls().size() + this.fixture.plain().calls().size(), is(0));
+		assertThat(this.fixture.chat("next", false).join().status(), is(200));
 	}
 
-	static Stream<Arguments> wrong() {
+	static Stream<Arguments> invalidRequests() {
 		List<String> none = List.of();
-		return Stream.of(Arguments.of("POST", CHAT, GOOD, List.of("Authorization", "Bearer no"), 401, "token-unknown"),
-				Arguments.of("POST", CHAT, GOOD, List.of("Authorization", "Basic x"), 401, "token-unknown"),
+		return Stream.of(
+				Arguments.of("POST", CHAT, VALID_BODY, List.of("Authorization", "Bearer no"), 401, "token-unknown"),
+				Arguments.of("POST", CHAT, VALID_BODY, List.of("Authorization", "Basic x"), 401, "token-unknown"),
 				Arguments.of("POST", CHAT, "{\"model\":", none, 400, "body-malformed"),
 				Arguments.of("POST", CHAT, "[]", none, 400, "body-malformed"),
 				Arguments.of("POST", CHAT, "{\"model\":\"lm\"}", none, 400, "body-malformed"),
-				Arguments.of("POST", CHAT, GOOD.replace("lm", "no"), none, 404, "model-unknown"),
-				Arguments.of("POST", CHAT, GOOD.replace("lm", "registry"), none, 404, "model-unknown"),
-				Arguments.of("POST", CHAT, GOOD.replace("lm", "no"), List.of("Wisteriapost-Service", "lm"), 404,
+				Arguments.of("POST", CHAT, VALID_BODY.replace("lm", "no"), none, 404, "model-unknown"),
+				Arguments.of("POST", CHAT, VALID_BODY.replace("lm", "registry"), none, 404, "model-unknown"),
+				Arguments.of("POST", CHAT, VALID_BODY.replace("lm", "no"), List.of("Wisteriapost-Service", "lm"), 404,
 						"model-unknown"),
-				Arguments.of("POST", CHAT, GOOD, List.of("Wisteriapost-Service", "no"), 404, "service-unknown"),
-				Arguments.of("POST", CHAT, GOOD, List.of("Wisteriapost-Deadline-Ms", "soon"), 400, "header-invalid"),
-				Arguments.of("POST", CHAT, GOOD, List.of("Wisteriapost-Deadline-Ms", "-1"), 400, "header-invalid"),
-				Arguments.of("POST", CHAT, GOOD, List.of("Wisteriapost-Priority", "high"), 400, "header-invalid"),
+				Arguments.of("POST", CHAT, VALID_BODY, List.of("Wisteriapost-Service", "no"), 404, "service-unknown"),
+				Arguments.of("POST", CHAT, VALID_BODY, List.of("Wisteriapost-Deadline-Ms", "soon"), 400,
+						"header-invalid"),
+				Arguments.of("POST", CHAT, VALID_BODY, List.of("Wisteriapost-Deadline-Ms", "-1"), 400,
+						"header-invalid"),
+				Arguments.of("POST", CHAT, VALID_BODY, List.of("Wisteriapost-Priority", "high"), 400, "header-invalid"),
 				Arguments.of("POST", CHAT, "x".repeat(5000), none, 413, "body-too-large"),
 				Arguments.of("GET", CHAT, "", none, 405, "method-unknown"),
 				Arguments.of("GET", "/nothing", "", none, 404, "path-unknown"),
@@ -72,46 +75,45 @@
 	}
 
 	@Test
-	void bodyThatTricklesInIsCutOff() throws IOException {
-		String answer = raw("POST " + CHAT + " HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer " + EntryBench.TOKEN
+	void slowBodyTimesOut() throws IOException {
+		String answer = sendRaw("POST " + CHAT + " HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer " + EntryFixture.TOKEN
 				+ "\r\nContent-Length: 100\r\n\r\n{", false);
 		assertThat(answer, containsString("body-too-slow"));
-		assertThat(this.bench.model().calls().size(), is(0));
+		assertThat(this.fixture.model().calls().size(), is(0));
 	}
 
 	@Test
 	void chunkedBodyPastTheLimitIsRefused() throws IOException {
 		String chunk = "1000\r\n" + "x".repeat(4096) + "\r\n";
-		String answer = raw("POST " + CHAT + " HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer " + EntryBench.TOKEN
+		String answer = sendRaw("POST " + CHAT + " HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer " + EntryFixture.TOKEN
 				+ "\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk + chunk + "0\r\n\r\n", false);
 		assertThat(answer, containsString("body-too-large"));
 	}
 
 	@ParameterizedTest
-	@MethodSource("broken")
-	void brokenHttpStartsNothingAndHarmsNoOne(String bytes) throws IOException {
-		raw(bytes, true);
-		assertThat(this.bench.model().calls().size(), is(0));
-		assertThat(this.bench.chat("next", false).join().status(), is(200));
-		EntryBench.await(() -> this.bench.entry().idle());
+	@MethodSource("malformedHttp")
+	void malformedHttpStartsNothingAndDoesNotAffectOtherCallers(String bytes) throws IOException {
+		sendRaw(bytes, true);
+		assertThat(this.fixture.model().calls().size(), is(0));
+		assertThat(this.fixture.chat("next", false).join().status(), is(200));
+		EntryFixture.await(() -> this.fixture.entry().idle());
 	}
 
-	static Stream<String> broken() {
-		String head = "POST " + CHAT + " HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer " + EntryBench.TOKEN + "\r\n";
-		return Stream.of("\u0000\u0001\r\n\r\n", "GET\r\n\r\n", head, head + "Content-Length: 500\r\n\r\n" + GOOD,
+	static Stream<String> malformedHttp() {
+		String head = "POST " + CHAT + " HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer " + EntryFixture.TOKEN + "\r\n";
+		return Stream.of("\u0000\u0001\r\n\r\n", "GET\r\n\r\n", head, head + "Content-Length: 500\r\n\r\n" + VALID_BODY,
 				head + "Content-Length: many\r\n\r\n", head + "X: " + "y".repeat(9000) + "\r\n\r\n",
 				head + "Transfer-Encoding: chunked\r\n\r\nzz\r\n");
 	}
 
-	// Returns all that the entry answers before it closes, or before this caller hangs
-	// up.
-	private String raw(String request, boolean hangUp) throws IOException {
-		try (Socket socket = new Socket("127.0.0.1", this.bench.entry().httpPort())) {
-			socket.setSoTimeout((int) EntryBench.LONG.toMillis());
+	// Returns the entry's answer, or nothing if the caller disconnects after sending.
+	private String sendRaw(String request, boolean disconnect) throws IOException {
+		try (Socket socket = new Socket("127.0.0.1", this.fixture.entry().httpPort())) {
+			socket.setSoTimeout((int) EntryFixture.TIMEOUT.toMillis());
 			OutputStream out = socket.getOutputStream();
 			out.write(request.getBytes(StandardCharsets.ISO_8859_1));
 			out.flush();
-			if (hangUp) {
+			if (disconnect) {
 				return "";
 			}
 			InputStream in = socket.getInputStream();
--- a/entry/src/test/java/org/wisteriapost/entry/EntryBench.java
+++ b/entry/src/test/java/org/wisteriapost/entry/EntryFixture.java
@@ -26,13 +26,13 @@
 import org.wisteriapost.protocol.outside.VmList;
 
 /**
- * One entry in this process with fakes at its interfaces, one agent for each service.
+ * An entry with fakes of its platform and VM list, and a fake agent for each service.
  */
-final class EntryBench implements AutoCloseable {
+final class EntryFixture implements AutoCloseable {
 
 	static final String TOKEN = "token-of-baobab";
 
-	static final Duration LONG = Duration.ofSeconds(20);
+	static final Duration TIMEOUT = Duration.ofSeconds(20);
 
 	static final Bundle FIRST = bundle("1", "aa");
 
@@ -44,7 +44,7 @@
 
 	private final HttpCaller caller = HttpCaller.create(1);
 
-	private final WaitingPlatform platform = new WaitingPlatform();
+	private final LongPollingPlatform platform = new LongPollingPlatform();
 
 	private final List<VmList.Vm> vms = new CopyOnWriteArrayList<>();
 
@@ -54,21 +54,21 @@
 
 	private EntryProcess entry;
 
-	private EntryBench() {
+	private EntryFixture() {
 	}
 
-	static EntryBench start(String... settings) {
-		EntryBench bench = new EntryBench();
-		bench.roll(1, FIRST);
-		bench.vms.add(bench.model.listed(false));
-		bench.vms.add(bench.plain.listed(false));
-		bench.entry = bench.another("n1", settings);
-		bench.vms.add(bench.listed("n1", bench.entry, false));
-		await(() -> bench.entry.view().ready() && bench.chat("probe", false).join().status() == 200
-				&& bench.call("GET", "/services/registry/probe", "").join().status() == 200);
-		bench.model.calls().clear();
-		bench.plain.calls().clear();
-		return bench;
+	static EntryFixture start(String... settings) {
+		EntryFixture fixture = new EntryFixture();
+		fixture.roll(1, FIRST);
+		fixture.vms.add(fixture.model.vmListEntry(false));
+		fixture.vms.add(fixture.plain.vmListEntry(false));
+		fixture.entry = fixture.startEntry("n1", settings);
+		fixture.vms.add(fixture.vmListEntry("n1", fixture.entry, false));
+		await(() -> fixture.entry.view().ready() && fixture.chat("probe", false).join().status() == 200
+				&& fixture.call("GET", "/services/registry/probe", "").join().status() == 200);
+		fixture.model.calls().clear();
+		fixture.plain.calls().clear();
+		return fixture;
 	}
 
 	static Bundle bundle(String version, String chunk) {
@@ -81,21 +81,21 @@
 	}
 
 	static void await(BooleanSupplier condition) {
-		long until = System.nanoTime() + LONG.toNanos();
+		long until = System.nanoTime() + TIMEOUT.toNanos();
 		while (!condition.getAsBoolean()) {
 			if (System.nanoTime() - until > 0) {
-				throw new AssertionError("not within " + LONG);
+				throw new AssertionError("condition not met within " + TIMEOUT);
 			}
 			LockSupport.parkNanos(2_000_000);
 		}
 	}
 
-	/** Starts one more entry on the same surroundings. */
-	EntryProcess another(String vm, String... more) {
-		return another(vm, this.platform, more);
+	/** Starts another entry with the same platform and VM list. */
+	EntryProcess startEntry(String vm, String... settings) {
+		return startEntry(vm, this.platform, settings);
 	}
 
-	EntryProcess another(String vm, Platform on, String... more) {
+	EntryProcess startEntry(String vm, Platform store, String... settings) {
 		String text = """
 				[process]
 				vm = %s
@@ -106,11 +106,11 @@
 				%s
 				[organisation baobab]
 				token = %s
-				""".formatted(vm, String.join("\n", more), TOKEN);
-		return EntryProcess.start(Settings.parse("test.ini", text), on, new ListOf(), this.links);
+				""".formatted(vm, String.join("\n", settings), TOKEN);
+		return EntryProcess.start(Settings.parse("test.ini", text), store, new MutableVmList(), this.links);
 	}
 
-	VmList.Vm listed(String vm, EntryProcess process, boolean leaving) {
+	VmList.Vm vmListEntry(String vm, EntryProcess process, boolean leaving) {
 		return new VmList.Vm(vm, "p1", "r1", "entry", "", "127.0.0.1", process.linkPort(), process.httpPort(), leaving);
 	}
 
@@ -131,7 +131,7 @@
 	}
 
 	CompletableFuture<HttpReply> call(EntryProcess to, String method, String path, String body, String... headers) {
-		HttpCall call = HttpCall.of(method, uri(to, path), LONG)
+		HttpCall call = HttpCall.of(method, uri(to, path), TIMEOUT)
 			.header("Authorization", "Bearer " + TOKEN)
 			.header(CallerHeaders.DEADLINE, "15000");
 		for (int i = 0; i < headers.length; i += 2) {
@@ -164,7 +164,7 @@
 		return this.plain;
 	}
 
-	WaitingPlatform platform() {
+	LongPollingPlatform platform() {
 		return this.platform;
 	}
 
@@ -186,11 +186,11 @@
 		this.links.close();
 	}
 
-	private final class ListOf implements VmList {
+	private final class MutableVmList implements VmList {
 
 		@Override
 		public CompletableFuture<List<Vm>> read() {
-			return CompletableFuture.completedFuture(List.copyOf(EntryBench.this.vms));
+			return CompletableFuture.completedFuture(List.copyOf(EntryFixture.this.vms));
 		}
 
 		@Override
--- a/entry/src/test/java/org/wisteriapost/entry/FakeAgent.java
+++ b/entry/src/test/java/org/wisteriapost/entry/FakeAgent.java
@@ -26,7 +26,7 @@
 import org.wisteriapost.protocol.wire.Role;
 
 /**
- * The agent's side of the links, with an answer for each call that a test chooses.
+ * An agent that answers each call as the test specifies.
  */
 final class FakeAgent implements LinkHandler, AutoCloseable {
 
@@ -40,7 +40,7 @@
 
 	private final BlockingQueue<Call> calls = new LinkedBlockingQueue<>();
 
-	private final BlockingQueue<Frame> others = new LinkedBlockingQueue<>();
+	private final BlockingQueue<Frame> otherFrames = new LinkedBlockingQueue<>();
 
 	private volatile Report report;
 
@@ -66,7 +66,7 @@
 		return new FakeAgent(links, vm, service, digest);
 	}
 
-	/** Answers with the call's body, whole. */
+	/** Answers with the call's body. */
 	static void echo(Link link, Call call) {
 		send(link, started(call, call.getWeightsDigest()));
 		send(link, data(call, call.getBody().toStringUtf8()));
@@ -101,11 +101,11 @@
 		link.send(frame);
 	}
 
-	void answers(BiConsumer<Link, Call> next) {
+	void answerWith(BiConsumer<Link, Call> next) {
 		this.answer = next;
 	}
 
-	void reports(Report next) {
+	void sendReports(Report next) {
 		this.report = next;
 		this.links.forEach(this::sendReport);
 	}
@@ -118,19 +118,19 @@
 		return this.calls;
 	}
 
-	BlockingQueue<Frame> others() {
-		return this.others;
+	BlockingQueue<Frame> otherFrames() {
+		return this.otherFrames;
 	}
 
-	void sends(Frame frame) {
+	void sendToAll(Frame frame) {
 		this.links.forEach((link) -> link.send(frame));
 	}
 
-	void cut() {
+	void closeLinks() {
 		this.links.forEach(Link::close);
 	}
 
-	VmList.Vm listed(boolean leaving) {
+	VmList.Vm vmListEntry(boolean leaving) {
 		return new VmList.Vm(this.vm, "p1", "r1", "agent", this.service, "127.0.0.1", this.server.port(), 0, leaving);
 	}
 
@@ -150,7 +150,7 @@
 			this.answer.accept(link, frame.getCall());
 			return;
 		}
-		this.others.add(frame);
+		this.otherFrames.add(frame);
 	}
 
 	@Override
@@ -161,7 +161,7 @@
 	@Override
 	public void close() {
 		this.server.close();
-		cut();
+		closeLinks();
 	}
 
 	private void sendReport(Link link) {
--- a/entry/src/test/java/org/wisteriapost/entry/HeadSpreadTests.java
+++ b/entry/src/test/java/org/wisteriapost/entry/HeadSpreadTests.java
@@ -15,73 +15,75 @@
 
 class HeadSpreadTests {
 
-	private static final Bundle SECOND = EntryBench.bundle("2", "bb");
+	private static final Bundle SECOND = EntryFixture.bundle("2", "bb");
 
 	private static final String SECOND_DIGEST = SECOND.weightsDigest(SECOND.services().getFirst());
 
 	@AutoClose
-	private final EntryBench bench = EntryBench.start();
+	private final EntryFixture fixture = EntryFixture.start();
 
 	@Test
-	void newHeadReachesAgentsConfirmedAndTheBundleOnRequest() {
-		this.bench.roll(2, SECOND);
-		EntryBench.await(() -> this.bench.model()
-			.others()
+	void agentsReceiveAConfirmedHeadAndTheBundleOnRequest() {
+		this.fixture.roll(2, SECOND);
+		EntryFixture.await(() -> this.fixture.model()
+			.otherFrames()
 			.stream()
 			.anyMatch((frame) -> frame.hasHead() && frame.getHead().getGeneration() == 2
 					&& frame.getHead().getConfirmed()));
 		byte[] bytes = BundleCodec.encode(SECOND);
-		this.bench.model()
-			.sends(Frame.newBuilder()
+		this.fixture.model()
+			.sendToAll(Frame.newBuilder()
 				.setGeneration(1)
 				.setBundleRequest(BundleRequest.newBuilder().setDigest(Digests.sha256(bytes)))
 				.build());
-		EntryBench.await(() -> this.bench.model()
-			.others()
+		EntryFixture.await(() -> this.fixture.model()
+			.otherFrames()
 			.stream()
 			.anyMatch((frame) -> frame.hasBundleReply()
 					&& Digests.sha256(frame.getBundleReply().getBundle().toByteArray()).equals(Digests.sha256(bytes))));
 	}
 
-	// The old weights answer until their runner has switched. Once all have, a runner
-	// that comes back with the old ones gets no call.
+	// Once all runners have switched, a runner that returns with the old weights gets no
+	// calls.
 	@Test
-	void oldWeightsAreUsedUntilTheSwitchAndNeverAfterIt() {
-		this.bench.roll(2, SECOND);
-		EntryBench.await(() -> this.bench.entry().view().generation() == 2);
-		assertThat(this.bench.chat("x", false).join().status(), is(200));
-		var old = this.bench.model().report();
-		this.bench.model().reports(old.toBuilder().setBundleGeneration(2).setWeightsDigest(SECOND_DIGEST).build());
-		EntryBench.await(() -> SECOND_DIGEST
-			.equals(this.bench.chat("x", false).join().header("Wisteriapost-Weights").orElse("")));
-		this.bench.model().reports(old);
-		EntryBench.await(() -> this.bench.chat("x", false, "Wisteriapost-Deadline-Ms", "300").join().status() != 200);
+	void previousWeightsAreAcceptedOnlyUntilAllRunnersHaveSwitched() {
+		this.fixture.roll(2, SECOND);
+		EntryFixture.await(() -> this.fixture.entry().view().generation() == 2);
+		assertThat(this.fixture.chat("x", false).join().status(), is(200));
+		var old = this.fixture.model().report();
+		this.fixture.model()
+			.sendReports(old.toBuilder().setBundleGeneration(2).setWeightsDigest(SECOND_DIGEST).build());
+		EntryFixture.await(() -> SECOND_DIGEST
+			.equals(this.fixture.chat("x", false).join().header("Wisteriapost-Weights").orElse("")));
+		this.fixture.model().sendReports(old);
+		EntryFixture
+			.await(() -> this.fixture.chat("x", false, "Wisteriapost-Deadline-Ms", "300").join().status() != 200);
 	}
 
-	// The platform is put back from an old copy, and its head goes from 2 to 1. The entry
-	// has seen 2 and stays there.
+	// The platform is restored from a backup, and its head goes back from generation 2 to
+	// 1.
 	@Test
-	void headThatGoesBackIsIgnored() {
-		this.bench.roll(2, SECOND);
-		EntryBench.await(() -> this.bench.entry().view().generation() == 2);
-		this.bench.roll(1, EntryBench.FIRST);
-		this.bench.platform().put("leaving/zz", new byte[] { 1 }, new Platform.Expected.Anything()).join();
-		EntryBench.await(() -> this.bench.model().others().stream().filter(Frame::hasHead).count() >= 4);
-		assertThat(this.bench.entry().view().generation(), is(2L));
-		assertThat(this.bench.entry().invariants().violations().isEmpty(), is(true));
+	void headWithALowerGenerationIsIgnored() {
+		this.fixture.roll(2, SECOND);
+		EntryFixture.await(() -> this.fixture.entry().view().generation() == 2);
+		this.fixture.roll(1, EntryFixture.FIRST);
+		this.fixture.platform().put("leaving/zz", new byte[] { 1 }, new Platform.Expected.Anything()).join();
+		EntryFixture.await(() -> this.fixture.model().otherFrames().stream().filter(Frame::hasHead).count() >= 4);
+		assertThat(this.fixture.entry().view().generation(), is(2L));
+		assertThat(this.fixture.entry().invariants().violations().isEmpty(), is(true));
 	}
 
-	// One entry is cut off from the platform when a bundle is rolled. It learns the head
-	// and the bundle from its neighbour, and says that nobody confirmed it to itself.
+	// An entry that cannot reach the platform receives the head and the bundle from a
+	// peer.
 	@Test
-	void entryThatIsCutOffLearnsTheHeadFromItsNeighbour() {
-		WaitingPlatform cutOff = new WaitingPlatform();
+	void entryWithoutThePlatformReceivesTheHeadFromAPeer() {
+		LongPollingPlatform cutOff = new LongPollingPlatform();
 		cutOff.down(true);
-		try (EntryProcess other = this.bench.another("n2", cutOff)) {
-			this.bench.vms().add(this.bench.listed("n2", other, false));
-			EntryBench.await(() -> other.view().generation() == 1);
-			this.bench.roll(2, SECOND);
-			EntryBench.await(() -> other.view().generation() == 2);
+		try (EntryProcess other = this.fixture.startEntry("n2", cutOff)) {
+			this.fixture.vms().add(this.fixture.vmListEntry("n2", other, false));
+			EntryFixture.await(() -> other.view().generation() == 1);
+			this.fixture.roll(2, SECOND);
+			EntryFixture.await(() -> other.view().generation() == 2);
 		}
 		cutOff.close();
 	}
--- a/entry/src/test/java/org/wisteriapost/entry/LeavingTests.java
+++ b/entry/src/test/java/org/wisteriapost/entry/LeavingTests.java
@@ -22,74 +22,74 @@
 
 class LeavingTests {
 
-	private EntryBench bench;
+	private EntryFixture fixture;
 
 	private EntryProcess other;
 
 	@BeforeEach
 	void start() {
-		this.bench = EntryBench.start();
-		this.other = this.bench.another("n2");
-		this.bench.vms().add(this.bench.listed("n2", this.other, false));
-		EntryBench.await(() -> entries(this.bench.entry()).contains(address(this.other)));
-		EntryBench.await(() -> entries(this.other).contains(address(this.bench.entry())));
+		this.fixture = EntryFixture.start();
+		this.other = this.fixture.startEntry("n2");
+		this.fixture.vms().add(this.fixture.vmListEntry("n2", this.other, false));
+		EntryFixture.await(() -> entries(this.fixture.entry()).contains(address(this.other)));
+		EntryFixture.await(() -> entries(this.other).contains(address(this.fixture.entry())));
 	}
 
 	@AfterEach
 	void stop() {
 		this.other.close();
-		this.bench.close();
+		this.fixture.close();
 	}
 
 	@Test
-	void entriesNameThemselvesFirst() {
+	void entriesListTheirOwnAddressFirst() {
 		String own = entries(this.other);
-		assertThat(own.indexOf(address(this.other)) < own.indexOf(address(this.bench.entry())), is(true));
+		assertThat(own.indexOf(address(this.other)) < own.indexOf(address(this.fixture.entry())), is(true));
 		assertThat(own, containsString("\"keepSeconds\":1"));
 	}
 
-	// A VM is told to go in one of three ways. Both entries stop naming it at once; it
-	// still serves callers with an older address answer, then refuses them with the other
-	// address; and its process ends by itself.
+	// Both entries stop advertising the leaving one at once. It still serves callers that
+	// have its address cached, then refuses them with the other entry's address, and
+	// ends.
 	@ParameterizedTest
-	@EnumSource(Way.class)
-	void leavingEntryIsUnnamedThenRefusesThenEnds(Way way) {
-		way.start.accept(this.bench, this.other);
-		EntryBench.await(() -> !entries(this.bench.entry()).contains(address(this.other)));
-		EntryBench.await(() -> !entries(this.other).contains(address(this.other)));
-		EntryBench.await(() -> lookup().status() == 503);
+	@EnumSource(DrainTrigger.class)
+	void leavingEntryIsNoLongerAdvertisedThenRefusesThenEnds(DrainTrigger trigger) {
+		trigger.start.accept(this.fixture, this.other);
+		EntryFixture.await(() -> !entries(this.fixture.entry()).contains(address(this.other)));
+		EntryFixture.await(() -> !entries(this.other).contains(address(this.other)));
+		EntryFixture.await(() -> lookup().status() == 503);
 		HttpReply refused = lookup();
-		assertThat(EntryBench.text(refused), containsString(address(this.bench.entry())));
-		assertThat(EntryBench.text(refused), not(containsString(address(this.other))));
-		assertThat(EntryBench.outcome(refused), is("not-run"));
+		assertThat(EntryFixture.text(refused), containsString(address(this.fixture.entry())));
+		assertThat(EntryFixture.text(refused), not(containsString(address(this.other))));
+		assertThat(EntryFixture.outcome(refused), is("not-run"));
 		assertThat(refused.header("Retry-After").isPresent(), is(true));
 		this.other.ended().join();
-		assertThat(this.bench.entry().ended().isDone(), is(false));
+		assertThat(this.fixture.entry().ended().isDone(), is(false));
 	}
 
-	// A stream runs when its entry is told to go. It must go on to its end, and only then
-	// may the process end.
+	// A drain must not interrupt a stream in progress.
 	@Test
-	void runningStreamEndsWholeBeforeTheProcess() {
+	void runningStreamIsCompletedBeforeTheProcessEnds() {
 		CompletableFuture<Runnable> rest = new CompletableFuture<>();
-		this.bench.model().answers(begin(rest));
-		CompletableFuture<HttpReply> reply = this.bench.chat("x", true);
+		this.fixture.model().answerWith(answerInTwoParts(rest));
+		CompletableFuture<HttpReply> reply = this.fixture.chat("x", true);
 		Runnable end = rest.join();
-		CompletableFuture<Void> ended = this.bench.entry().drain();
-		EntryBench.await(() -> this.bench.call("GET", "/services/registry/x", "").join().status() == 503);
+		CompletableFuture<Void> ended = this.fixture.entry().drain();
+		EntryFixture.await(() -> this.fixture.call("GET", "/services/registry/x", "").join().status() == 503);
 		assertThat(ended.isDone(), is(false));
 		end.run();
-		assertThat(EntryBench.text(reply.join()), is("first last"));
+		assertThat(EntryFixture.text(reply.join()), is("first last"));
 		ended.join();
 	}
 
 	@Test
 	void leavingRunnerGetsNoNewCalls() {
-		this.bench.vms().replaceAll((vm) -> vm.vm().equals("e1") ? this.bench.model().listed(true) : vm);
-		EntryBench.await(() -> this.bench.chat("x", false, "Wisteriapost-Deadline-Ms", "300").join().status() != 200);
+		this.fixture.vms().replaceAll((vm) -> vm.vm().equals("e1") ? this.fixture.model().vmListEntry(true) : vm);
+		EntryFixture
+			.await(() -> this.fixture.chat("x", false, "Wisteriapost-Deadline-Ms", "300").join().status() != 200);
 	}
 
-	private static BiConsumer<Link, Call> begin(CompletableFuture<Runnable> rest) {
+	private static BiConsumer<Link, Call> answerInTwoParts(CompletableFuture<Runnable> rest) {
 		return (link, call) -> {
 			FakeAgent.send(link, FakeAgent.started(call, call.getWeightsDigest()));
 			FakeAgent.send(link, FakeAgent.data(call, "first "));
@@ -101,31 +101,30 @@
 	}
 
 	private HttpReply lookup() {
-		return this.bench.call(this.other, "GET", "/services/registry/x", "").join();
+		return this.fixture.call(this.other, "GET", "/services/registry/x", "").join();
 	}
 
 	private String entries(EntryProcess of) {
-		return EntryBench.text(this.bench.call(of, "GET", "/v1/entries", "").join());
+		return EntryFixture.text(this.fixture.call(of, "GET", "/v1/entries", "").join());
 	}
 
 	private String address(EntryProcess of) {
-		return "\"" + this.bench.uri(of, "").toString() + "\"";
+		return "\"" + this.fixture.uri(of, "").toString() + "\"";
 	}
 
-	private enum Way {
+	private enum DrainTrigger {
 
-		SIGNAL((fleet, entry) -> entry.drain()),
+		SIGNAL((site, entry) -> entry.drain()),
 
-		LIST((fleet, entry) -> fleet.vms()
-			.replaceAll((vm) -> vm.vm().equals("n2") ? fleet.listed("n2", entry, true) : vm)),
+		LIST((site, entry) -> site.vms()
+			.replaceAll((vm) -> vm.vm().equals("n2") ? site.vmListEntry("n2", entry, true) : vm)),
 
-		MARK((fleet, entry) -> fleet.platform()
-			.put("leaving/n2", new byte[] { 1 }, new Platform.Expected.Anything())
-			.join());
+		MARK((site,
+				entry) -> site.platform().put("leaving/n2", new byte[] { 1 }, new Platform.Expected.Anything()).join());
 
-		private final BiConsumer<EntryBench, EntryProcess> start;
+		private final BiConsumer<EntryFixture, EntryProcess> start;
 
-		Way(BiConsumer<EntryBench, EntryProcess> start) {
+		DrainTrigger(BiConsumer<EntryFixture, EntryProcess> start) {
 			this.start = start;
 		}
 
--- a/entry/src/test/java/org/wisteriapost/entry/WaitingPlatform.java
+++ b/entry/src/test/java/org/wisteriapost/entry/LongPollingPlatform.java
@@ -11,9 +11,9 @@
 import org.wisteriapost.protocol.outside.Platform;
 
 /**
- * The fake platform for many threads, with watches that wait.
+ * A thread-safe {@link FakePlatform} whose watches wait for a change.
  */
-final class WaitingPlatform implements Platform {
+final class LongPollingPlatform implements Platform {
 
 	private static final long POLL_MILLIS = 5;
 
@@ -29,7 +29,7 @@
 		this.down = now;
 	}
 
-	/** Makes the next write fail. */
+	/** Injects a fault into the next write. */
 	synchronized void nextPut(FakePlatform.Fault fault) {
 		this.nextPut = Optional.of(fault);
 	}
