--- a/agent/src/main/java/org/wisteriapost/agent/AgentSettings.java
+++ b/agent/src/main/java/org/wisteriapost/agent/AgentSettings.java
@@ -16,7 +16,7 @@
 import org.wisteriapost.kernel.settings.SettingsSchema;
 import org.wisteriapost.policy.agent.AgentIdentity;
 import org.wisteriapost.policy.agent.AgentLimits;
-import org.wisteriapost.policy.agent.OperatorKeys;
+import org.wisteriapost.policy.agent.ApprovalPolicy;
 
 /**
  * Settings of the section {@code [agent]}.
@@ -149,12 +149,12 @@
 				MAX_SWITCHING_SHARE.get(settings), DRAIN_TIMEOUT.get(settings));
 	}
 
-	static OperatorKeys approvalPolicy(Settings settings) {
+	static ApprovalPolicy approvalPolicy(Settings settings) {
 		Map<String, String> keys = settings.named("operator")
 			.stream()
 			.collect(Collectors.toMap((name) -> name,
 					(name) -> CommonSettings.OPERATOR_KEY.get(settings, "operator " + name)));
-		return new OperatorKeys(keys, CommonSettings.APPROVALS.get(settings).intValue());
+		return new ApprovalPolicy(keys, CommonSettings.APPROVALS.get(settings).intValue());
 	}
 
 	static String transferPolicy(Settings settings) {
--- a/agent/src/main/java/org/wisteriapost/agent/RunnerCall.java
+++ b/agent/src/main/java/org/wisteriapost/agent/RunnerCall.java
@@ -123,7 +123,7 @@
 
 	@Override
 	public void onHead(int status, Map<String, String> headers) {
-		this.runnerCalls.loop().post(new AgentEvent.CallAnswered(this.key));
+		this.runnerCalls.loop().post(new AgentEvent.ResponseStarted(this.key));
 		if (status == SERVICE_UNAVAILABLE && NOT_RUN.equals(headers.get(lowerCase(CallerHeaders.OUTCOME)))) {
 			this.decidedEnd = Optional.of(callEnd(Outcome.NOT_RUN, RUNNER_REFUSED.name(), retryAfter(headers)));
 			return;
@@ -133,7 +133,7 @@
 			// Checked before the first byte is sent, so that the caller never reads
 			// tokens of a model other than the one in the bundle.
 			this.decidedEnd = Optional.of(callEnd(Outcome.UNKNOWN, WITHHELD.name(), 0));
-			this.runnerCalls.loop().post(new AgentEvent.WrongWeightsAnswered());
+			this.runnerCalls.loop().post(new AgentEvent.WrongWeightsDetected());
 			cancel();
 			return;
 		}
--- a/agent/src/main/java/org/wisteriapost/agent/transfer/OriginTransfer.java
+++ b/agent/src/main/java/org/wisteriapost/agent/transfer/OriginTransfer.java
@@ -144,7 +144,7 @@
 	}
 
 	@Override
-	public void peers(List<VmList.Vm> agents) {
+	public void setPeers(List<VmList.Vm> agents) {
 	}
 
 	@Override
@@ -156,11 +156,11 @@
 	}
 
 	@Override
-	public void busy(double share) {
+	public void setLateShare(double share) {
 	}
 
 	@Override
-	public void idle(boolean now) {
+	public void setIdle(boolean now) {
 	}
 
 	@Override
--- a/agent/src/test/java/org/wisteriapost/agent/AgentProcessTests.java
+++ b/agent/src/test/java/org/wisteriapost/agent/AgentProcessTests.java
@@ -13,7 +13,7 @@
 import org.wisteriapost.kernel.Invariants;
 import org.wisteriapost.kernel.settings.Settings;
 import org.wisteriapost.policy.agent.AgentEffect;
-import org.wisteriapost.policy.agent.AgentMachine;
+import org.wisteriapost.policy.agent.AgentStateMachine;
 import org.wisteriapost.policy.bundle.Approvals;
 import org.wisteriapost.policy.bundle.Bundle;
 import org.wisteriapost.policy.bundle.BundleCodec;
@@ -201,7 +201,7 @@
 	@Test
 	void orderIsNotSentAfterItsLeaseExpired() {
 		Settings settings = Settings.parse("agent.ini", settings());
-		AgentMachine stateMachine = AgentMachine.create(AgentSettings.identity(settings, "n"),
+		AgentStateMachine stateMachine = AgentStateMachine.create(AgentSettings.identity(settings, "n"),
 				AgentSettings.limits(settings), AgentSettings.approvalPolicy(settings), Invariants.create(),
 				RandomSource.XO_RO_SHI_RO_128_PP.create(1));
 		AgentLoop loop = new AgentLoop(stateMachine, (effect) -> {
--- a/app/src/test/java/org/wisteriapost/app/LargeTableTests.java
+++ b/app/src/test/java/org/wisteriapost/app/LargeTableTests.java
@@ -46,7 +46,7 @@
 	void start() throws Exception {
 		this.running = RunningSite.start(this.folder);
 		this.site = this.running.emulated();
-		this.site.plain();
+		this.site.addPlainRunner();
 	}
 
 	@AfterEach
@@ -89,7 +89,7 @@
 		entries(entries, link);
 		awaitServed(entries, "/lookup/x");
 		this.site.configure(true, MORE_ROUTES);
-		awaitServed(entries, "/" + EmulatedSite.further(MORE_ROUTES - 1) + "/x");
+		awaitServed(entries, "/" + EmulatedSite.extraRoute(MORE_ROUTES - 1) + "/x");
 	}
 
 	// The table is declared anew while an entry fetches it. All that has changed since is
@@ -104,7 +104,7 @@
 			this.site.configure(true, MORE_ROUTES + more);
 			TimeUnit.MILLISECONDS.sleep(300);
 		}
-		awaitServed(1, "/" + EmulatedSite.further(MORE_ROUTES + 7) + "/x");
+		awaitServed(1, "/" + EmulatedSite.extraRoute(MORE_ROUTES + 7) + "/x");
 	}
 
 	// The link carries a table in twenty seconds, so no entry can have it in time. What
@@ -120,7 +120,7 @@
 		TimeUnit.NANOSECONDS.sleep(IN_FORCE_NANOS - (System.nanoTime() - declared));
 		for (int round = 0; round < 3; round++) {
 			for (int entry = 1; entry <= entries; entry++) {
-				int status = status(entry, "/" + EmulatedSite.further(MORE_ROUTES - 1) + "/x");
+				int status = status(entry, "/" + EmulatedSite.extraRoute(MORE_ROUTES - 1) + "/x");
 				assertThat("entry " + entry, status, Matchers.isOneOf(200, 503));
 			}
 		}
--- a/app/src/test/java/org/wisteriapost/app/RestingAgent.java
+++ b/app/src/test/java/org/wisteriapost/app/RestingAgent.java
@@ -64,8 +64,8 @@
 
 	private void measure(EmulatedSite site, Path folder, List<String> command, long seconds, int entries, int peers)
 			throws Exception {
-		site.engine(1);
-		Path settings = site.agentSettings(folder, 1);
+		site.addEngine(1);
+		Path settings = site.writeAgentSettings(folder, 1);
 		SiteSettings read = SiteProvider.load().settings(settings);
 		Handler peer = new Handler(this.ofAgent, List.of());
 		for (int i = 2; i < 2 + peers; i++) {
--- a/app/src/test/java/org/wisteriapost/app/RestingEntry.java
+++ b/app/src/test/java/org/wisteriapost/app/RestingEntry.java
@@ -100,14 +100,14 @@
 	}
 
 	private void surroundings(int entries, int agents, int events) throws Exception {
-		this.site.plain();
+		this.site.addPlainRunner();
 		for (int i = 1; i <= agents; i++) {
-			this.site.engine(1, place(i)).events(events);
-			SiteAgent.start(this.provider.settings(this.site.agentSettings(this.folder, i, place(i))), this.provider,
-					this.quiet);
+			this.site.addEngine(1, place(i)).eventsPerStream(events);
+			SiteAgent.start(this.provider.settings(this.site.writeAgentSettings(this.folder, i, place(i))),
+					this.provider, this.quiet);
 		}
 		for (int i = MEASURED + 1; i <= entries; i++) {
-			DirectProcess.start(this.provider.settings(this.site.entrySettings(this.folder, i, place(i))),
+			DirectProcess.start(this.provider.settings(this.site.writeEntrySettings(this.folder, i, place(i))),
 					this.provider, this.quiet);
 			TimeUnit.MILLISECONDS.sleep(APART_MILLIS);
 		}
@@ -126,7 +126,7 @@
 			.redirectOutput(this.folder.resolve("entry.log").toFile());
 		builder.environment()
 			.put(this.provider.settingsVariable(),
-					this.site.entrySettings(this.folder, MEASURED, place(MEASURED)).toString());
+					this.site.writeEntrySettings(this.folder, MEASURED, place(MEASURED)).toString());
 		long started = System.nanoTime();
 		Process entry = builder.start();
 		try {
--- a/app/src/test/java/org/wisteriapost/app/RunningSite.java
+++ b/app/src/test/java/org/wisteriapost/app/RunningSite.java
@@ -60,11 +60,11 @@
 	}
 
 	Path entrySettings(int number) throws Exception {
-		return this.site.entrySettings(this.folder, number);
+		return this.site.writeEntrySettings(this.folder, number);
 	}
 
 	Path agentSettings(int number) throws Exception {
-		return this.site.agentSettings(this.folder, number);
+		return this.site.writeAgentSettings(this.folder, number);
 	}
 
 	DirectProcess entry(Path settings) {
--- a/app/src/test/java/org/wisteriapost/app/SiteTests.java
+++ b/app/src/test/java/org/wisteriapost/app/SiteTests.java
@@ -112,7 +112,7 @@
 
 	private static List<String> allIds() {
 		List<String> ids = new ArrayList<>();
-		for (int event = 1; event <= EmulatedRunner.EVENTS; event++) {
+		for (int event = 1; event <= EmulatedRunner.DEFAULT_EVENTS_PER_STREAM; event++) {
 			ids.add("id: " + event);
 		}
 		return ids;
@@ -120,8 +120,8 @@
 
 	@Test
 	void aRequestReachesItsRunnerUnchangedAndItsAnswerTheCaller() throws Exception {
-		EmulatedRunner engine = this.site.engine(1);
-		this.site.plain();
+		EmulatedRunner engine = this.site.addEngine(1);
+		this.site.addPlainRunner();
 		entry(1);
 		awaitServing();
 		HttpReply reply = stream();
@@ -129,7 +129,7 @@
 		assertThat(ids(reply), Matchers.equalTo(allIds()));
 		assertThat(reply.header("X-Wisteriapost-Response-Signature").orElseThrow(),
 				Matchers.equalTo("proof-" + engine.id()));
-		EmulatedRunner.Seen seen = engine.seen().getLast();
+		EmulatedRunner.ExecutedRequest seen = engine.executedRequests().getLast();
 		assertThat(seen.path(), Matchers.equalTo("/draft/x"));
 		assertThat(new String(seen.body(), StandardCharsets.UTF_8), Matchers.equalTo("prompt"));
 		assertThat(seen.organisation(), Matchers.equalTo("org-one"));
@@ -139,8 +139,8 @@
 	@ParameterizedTest
 	@CsvSource({ "/draft/x,key-none,401", "/unknown/x,key-one,404", "/lookup/x,key-one,200" })
 	void whatIsNotDeclaredIsRejected(String path, String key, int status) throws Exception {
-		this.site.engine(1);
-		this.site.plain();
+		this.site.addEngine(1);
+		this.site.addPlainRunner();
 		entry(1);
 		awaitServing();
 		assertThat(call("GET", path, key, new byte[0]).status(), Matchers.equalTo(status));
@@ -151,37 +151,37 @@
 	// engine after the last whole one.
 	@Test
 	void aStreamThatBreaksGoesOnElsewhereAfterItsLastWholeEvent() throws Exception {
-		EmulatedRunner first = this.site.engine(1);
-		EmulatedRunner second = this.site.engine(1);
-		this.site.plain();
+		EmulatedRunner first = this.site.addEngine(1);
+		EmulatedRunner second = this.site.addEngine(1);
+		this.site.addPlainRunner();
 		entry(1);
 		awaitServing();
-		first.breakAfter(7);
-		second.breakAfter(7);
+		first.resetStreamsAfter(7);
+		second.resetStreamsAfter(7);
 		HttpReply reply = stream();
 		assertThat(reply.status(), Matchers.equalTo(200));
 		assertThat(ids(reply), Matchers.equalTo(allIds()));
-		List<EmulatedRunner.Seen> seen = new ArrayList<>(first.seen());
-		seen.addAll(second.seen());
-		assertThat(seen.stream().filter((one) -> "7".equals(one.lastEvent())).count(), Matchers.equalTo(1L));
+		List<EmulatedRunner.ExecutedRequest> seen = new ArrayList<>(first.executedRequests());
+		seen.addAll(second.executedRequests());
+		assertThat(seen.stream().filter((one) -> "7".equals(one.lastEventId())).count(), Matchers.equalTo(1L));
 	}
 
 	// New weights are named. The agent brings them to its engine: every piece that the
 	// engine takes is the named version's.
 	@Test
 	void namedWeightsReachEveryEngineWhole() throws Exception {
-		EmulatedRunner first = this.site.engine(1);
-		EmulatedRunner second = this.site.engine(1);
-		this.site.plain();
+		EmulatedRunner first = this.site.addEngine(1);
+		EmulatedRunner second = this.site.addEngine(1);
+		this.site.addPlainRunner();
 		agent(1);
 		agent(2);
 		entry(1);
 		awaitServing();
-		this.site.name(2);
+		this.site.setTargetVersion(2);
 		await("version 2 everywhere", () -> first.version() == 2 && second.version() == 2);
 		for (EmulatedRunner engine : List.of(first, second)) {
-			for (int piece = 0; piece < EmulatedSite.pieces(); piece++) {
-				assertThat(engine.taken().get(piece), Matchers.equalTo(EmulatedSite.piece(2, piece)));
+			for (int piece = 0; piece < EmulatedSite.chunkCount(); piece++) {
+				assertThat(engine.loadedChunks().get(piece), Matchers.equalTo(EmulatedSite.chunk(2, piece)));
 			}
 		}
 		await("requests on version 2",
@@ -191,32 +191,32 @@
 	// An engine is added without weights; it gets the first version from its peer.
 	@Test
 	void anAddedEngineIsBroughtUp() throws Exception {
-		EmulatedRunner first = this.site.engine(1);
-		this.site.plain();
+		EmulatedRunner first = this.site.addEngine(1);
+		this.site.addPlainRunner();
 		agent(1);
 		entry(1);
 		awaitServing();
-		EmulatedRunner added = this.site.engine(0);
+		EmulatedRunner added = this.site.addEngine(0);
 		agent(2);
 		await("the added engine holds weights", () -> added.version() == 1);
-		first.breakAfter(0);
-		await("it gets requests", () -> stream().status() == 200 && !added.seen().isEmpty());
+		first.resetStreamsAfter(0);
+		await("it gets requests", () -> stream().status() == 200 && !added.executedRequests().isEmpty());
 	}
 
 	// The store goes away and forgets its history meanwhile. Requests go on as before;
 	// once it is back, a route that was dropped is gone.
 	@Test
 	void anOutageOfTheStoreStopsNoRequestAndItsEndBringsTheChanges() throws Exception {
-		this.site.engine(1);
-		this.site.plain();
+		this.site.addEngine(1);
+		this.site.addPlainRunner();
 		entry(1);
 		awaitServing();
-		this.site.store().down(true);
+		this.site.store().setUnavailable(true);
 		assertThat(stream().status(), Matchers.equalTo(200));
 		this.site.configure(false);
-		this.site.store().forget();
+		this.site.store().discardHistory();
 		assertThat(call("GET", "/lookup/x", EmulatedSite.KEY, new byte[0]).status(), Matchers.equalTo(200));
-		this.site.store().down(false);
+		this.site.store().setUnavailable(false);
 		await("the dropped route is gone",
 				() -> call("GET", "/lookup/x", EmulatedSite.KEY, new byte[0]).status() == 404);
 	}
@@ -226,9 +226,9 @@
 	// since the one passes on to the other what it reads.
 	@Test
 	void anEntryThatTheStoreTurnsAwayFollowsItThroughAnother() throws Exception {
-		this.site.engine(1);
-		EmulatedRunner leaving = this.site.plain();
-		EmulatedRunner staying = this.site.plain();
+		this.site.addEngine(1);
+		EmulatedRunner leaving = this.site.addPlainRunner();
+		EmulatedRunner staying = this.site.addPlainRunner();
 		entry(1);
 		awaitServing();
 		this.site.registerEntry(2);
@@ -236,12 +236,12 @@
 		await("served there", () -> call(2, "GET", "/lookup/x", EmulatedSite.KEY, new byte[0]).status() == 200);
 		this.site.store().remove("servers", leaving.id());
 		TimeUnit.MILLISECONDS.sleep(3000);
-		int before = leaving.seen().size();
+		int before = leaving.executedRequests().size();
 		for (int i = 0; i < 10; i++) {
 			assertThat(call(2, "GET", "/lookup/x", EmulatedSite.KEY, new byte[0]).status(), Matchers.equalTo(200));
 		}
-		assertThat(leaving.seen().size(), Matchers.equalTo(before));
-		assertThat(staying.seen(), Matchers.not(Matchers.empty()));
+		assertThat(leaving.executedRequests().size(), Matchers.equalTo(before));
+		assertThat(staying.executedRequests(), Matchers.not(Matchers.empty()));
 		this.site.configure(false);
 		await("the dropped route is gone",
 				() -> call(2, "GET", "/lookup/x", EmulatedSite.KEY, new byte[0]).status() == 404);
@@ -249,27 +249,27 @@
 
 	@Test
 	void aDrainedRunnerGetsNothingNew() throws Exception {
-		this.site.engine(1);
-		EmulatedRunner leaving = this.site.plain();
-		EmulatedRunner staying = this.site.plain();
+		this.site.addEngine(1);
+		EmulatedRunner leaving = this.site.addPlainRunner();
+		EmulatedRunner staying = this.site.addPlainRunner();
 		entry(1);
 		awaitServing();
 		this.site.store().remove("servers", leaving.id());
 		TimeUnit.MILLISECONDS.sleep(300);
-		int before = leaving.seen().size();
+		int before = leaving.executedRequests().size();
 		for (int i = 0; i < 10; i++) {
 			assertThat(call("GET", "/lookup/x", EmulatedSite.KEY, new byte[0]).status(), Matchers.equalTo(200));
 		}
-		assertThat(leaving.seen().size(), Matchers.equalTo(before));
-		assertThat(staying.seen().size(), Matchers.greaterThanOrEqualTo(10));
+		assertThat(leaving.executedRequests().size(), Matchers.equalTo(before));
+		assertThat(staying.executedRequests().size(), Matchers.greaterThanOrEqualTo(10));
 	}
 
 	// Two entries name each other to callers. One is told to leave: it is named no more
 	// at once, still answers who comes, and ends in time.
 	@Test
 	void aLeavingEntryIsNamedNoMoreAndStillAnswers() throws Exception {
-		this.site.engine(1);
-		this.site.plain();
+		this.site.addEngine(1);
+		this.site.addPlainRunner();
 		DirectProcess first = entry(1);
 		entry(2);
 		awaitServing();
@@ -285,8 +285,8 @@
 	// it names the leaving one to callers until the link breaks.
 	@Test
 	void whoGreetsALeavingEntryIsToldThatItLeaves() throws Exception {
-		this.site.engine(1);
-		this.site.plain();
+		this.site.addEngine(1);
+		this.site.addPlainRunner();
 		DirectProcess leaving = entry(1);
 		awaitServing();
 		SiteSettings settings = this.running.provider().settings(this.running.entrySettings(1));
@@ -310,7 +310,7 @@
 	// gets no stamp back in time sends nothing there.
 	@Test
 	void anAgentSendsAStampBack() throws Exception {
-		this.site.engine(1);
+		this.site.addEngine(1);
 		agent(1);
 		SiteSettings settings = this.running.provider().settings(this.running.agentSettings(1));
 		CompletableFuture<Link> open = new CompletableFuture<>();
--- a/app/src/test/java/org/wisteriapost/app/TrainingFleet.java
+++ b/app/src/test/java/org/wisteriapost/app/TrainingFleet.java
@@ -7,7 +7,7 @@
 
 import org.wisteriapost.entry.direct.DirectProcess;
 import org.wisteriapost.platform.emulator.EmulatedSite;
-import org.wisteriapost.platform.emulator.TrainingSite;
+import org.wisteriapost.platform.emulator.TrainingWorkload;
 import org.wisteriapost.protocol.site.SiteProvider;
 
 /**
@@ -20,7 +20,7 @@
 	// With the recorded one more than EntryLinks links flat.
 	private static final int ENTRIES = 18;
 
-	private static final String[] PLACES = { EmulatedSite.PLACE, "hall-b" };
+	private static final String[] PLACES = { EmulatedSite.FAILURE_DOMAIN, "hall-b" };
 
 	private TrainingFleet() {
 	}
@@ -35,10 +35,10 @@
 		PrintStream quiet = new PrintStream(OutputStream.nullOutputStream());
 		try (EmulatedSite site = EmulatedSite.start()) {
 			for (int i = 2; i < 2 + ENTRIES; i++) {
-				Path settings = site.entrySettings(others, i, PLACES[i % PLACES.length]);
+				Path settings = site.writeEntrySettings(others, i, PLACES[i % PLACES.length]);
 				DirectProcess.start(provider.settings(settings), provider, quiet);
 			}
-			TrainingSite.run(site, Path.of(args[0]), Long.parseLong(args[1]));
+			TrainingWorkload.run(site, Path.of(args[0]), Long.parseLong(args[1]));
 		}
 		System.exit(0);
 	}
--- a/entry/src/main/java/org/wisteriapost/entry/caller/Organisations.java
+++ b/entry/src/main/java/org/wisteriapost/entry/caller/OrganisationTokens.java
@@ -21,9 +21,9 @@
  * Maps bearer tokens to organisations. Only hashes of tokens are kept, so that none can
  * appear in a log or a heap dump.
  */
-public final class Organisations {
+public final class OrganisationTokens {
 
-	private static final Logger LOG = System.getLogger(Organisations.class.getName());
+	private static final Logger LOG = System.getLogger(OrganisationTokens.class.getName());
 
 	private static final String SCHEME = "Bearer ";
 
@@ -43,7 +43,7 @@
 
 	private volatile Tokens tokens = new Tokens(Map.of(), RejectionPermit.NONE);
 
-	private Organisations(Settings settings, LongSupplier clock, LongSupplier wallMillis) {
+	private OrganisationTokens(Settings settings, LongSupplier clock, LongSupplier wallMillis) {
 		this.settings = settings;
 		this.clock = clock;
 		this.wallMillis = wallMillis;
@@ -56,7 +56,7 @@
 	/**
 	 * Returns the organisations that are declared in the settings.
 	 */
-	public static Organisations of(Settings settings) {
+	public static OrganisationTokens of(Settings settings) {
 		return of(settings, System::nanoTime, System::currentTimeMillis);
 	}
 
@@ -65,8 +65,8 @@
 	 * @param clock the monotonic clock, in nanoseconds
 	 * @param wallMillis the wall clock, in milliseconds since 1970
 	 */
-	static Organisations of(Settings settings, LongSupplier clock, LongSupplier wallMillis) {
-		Organisations organisations = new Organisations(settings, clock, wallMillis);
+	static OrganisationTokens of(Settings settings, LongSupplier clock, LongSupplier wallMillis) {
+		OrganisationTokens organisations = new OrganisationTokens(settings, clock, wallMillis);
 		organisations.reload();
 		return organisations;
 	}
--- a/entry/src/main/java/org/wisteriapost/entry/direct/DirectHttpServer.java
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/DirectHttpServer.java
@@ -21,7 +21,7 @@
 import io.undertow.util.Headers;
 import io.undertow.util.SameThreadExecutor;
 import org.wisteriapost.entry.caller.CallerAnswer;
-import org.wisteriapost.entry.caller.HangUpWatch;
+import org.wisteriapost.entry.caller.DisconnectWatch;
 import org.wisteriapost.entry.caller.Refusal;
 import org.wisteriapost.kernel.Code;
 import org.wisteriapost.policy.routing.CallLimits;
@@ -152,7 +152,8 @@
 			exchange.getResponseHeaders().put(Headers.CONNECTION, "close");
 		}
 		CallerFields fields = this.dialect.read((name) -> exchange.getRequestHeaders().getFirst(name));
-		CallerAnswer answer = CallerAnswer.withFractions(exchange, fields.attempt().orElse("none"), MAX_UNSENT_BYTES);
+		CallerAnswer answer = CallerAnswer.withFractionalRetryAfter(exchange, fields.attempt().orElse("none"),
+				MAX_UNSENT_BYTES);
 		Optional<CallLimits> limits = this.entry.limits();
 		if (limits.isPresent() && headBytes(exchange) > limits.get().maxHeaderBytes()) {
 			rejectOverLimit(exchange, answer, limits, HEAD_LARGE, HEAD_TOO_LARGE);
@@ -178,10 +179,10 @@
 		exchange.dispatch(SameThreadExecutor.INSTANCE, () -> {
 			IncomingRequest request = readRequest(exchange, fields, body, answer, now);
 			if (!this.entry.offer(new DirectEvent.RequestArrived(request))) {
-				answer.refuse(Refusal.later(LOOP_FULL.name(), LOOP_FULL.summary(), SHORT_RETRY_MILLIS));
+				answer.refuse(Refusal.temporary(LOOP_FULL.name(), LOOP_FULL.summary(), SHORT_RETRY_MILLIS));
 				return;
 			}
-			HangUpWatch.start(exchange, () -> this.entry.put(new DirectEvent.CallerDisconnected(request.id())));
+			DisconnectWatch.start(exchange, () -> this.entry.put(new DirectEvent.CallerDisconnected(request.id())));
 		});
 	}
 
@@ -249,14 +250,14 @@
 			refuse(exchange, answer, status, code);
 			return;
 		}
-		Code doubtful = Intake.TABLE_DOUBTFUL;
+		Code doubtful = RequestAdmission.TABLE_DOUBTFUL;
 		exchange.dispatch(SameThreadExecutor.INSTANCE,
-				() -> answer.refuse(Refusal.later(doubtful.name(), doubtful.summary(), SHORT_RETRY_MILLIS)));
+				() -> answer.refuse(Refusal.temporary(doubtful.name(), doubtful.summary(), SHORT_RETRY_MILLIS)));
 	}
 
 	private static void refuse(HttpServerExchange exchange, CallerAnswer answer, int status, Code code) {
 		exchange.dispatch(SameThreadExecutor.INSTANCE,
-				() -> answer.refuse(Refusal.bad(status, code.name(), code.summary())));
+				() -> answer.refuse(Refusal.invalidRequest(status, code.name(), code.summary())));
 	}
 
 }
--- a/entry/src/main/java/org/wisteriapost/entry/direct/DirectProcess.java
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/DirectProcess.java
@@ -50,7 +50,7 @@
 
 	private final EventLoop<DirectEvent> loop;
 
-	private final Mesh mesh;
+	private final PeerLinkManager mesh;
 
 	private final DirectHttpServer httpServer;
 
@@ -61,7 +61,7 @@
 	private final DecisionLog log;
 
 	private DirectProcess(HttpCaller caller, Links links, ScheduledExecutorService timer, EventLoop<DirectEvent> loop,
-			Mesh mesh, DirectHttpServer httpServer, AdminServer admin, DirectView view, DecisionLog log) {
+			PeerLinkManager mesh, DirectHttpServer httpServer, AdminServer admin, DirectView view, DecisionLog log) {
 		this.caller = caller;
 		this.links = links;
 		this.timer = timer;
@@ -93,9 +93,9 @@
 				EntryClocks.SYSTEM, view);
 		EventLoop<DirectEvent> loop = EventLoop.start("entry", EVENT_RING_SIZE, state::apply);
 		view.loop(loop);
-		Mesh mesh = Mesh.start(links, new InetSocketAddress(settings.host(), settings.linkPort()), settings.name(),
-				settings.place(), timer, view::put, log);
-		Following following = new Following();
+		PeerLinkManager mesh = PeerLinkManager.start(links, new InetSocketAddress(settings.host(), settings.linkPort()),
+				settings.name(), settings.place(), timer, view::put, log);
+		StoreWatches following = new StoreWatches();
 		state.connect(mesh, store, following);
 		DirectHttpServer httpServer = DirectHttpServer.start(settings, dialect, caller.worker(), view);
 		AdminServer admin = AdminServer.start(new InetSocketAddress(settings.host(), settings.adminPort()), registry,
@@ -130,7 +130,7 @@
 
 			@Override
 			public void onAll(List<ObjectStore.Item> items, long at) {
-				events.accept(new DirectEvent.AllObjects(kind, items, at));
+				events.accept(new DirectEvent.ObjectsListed(kind, items, at));
 			}
 
 			@Override
@@ -150,7 +150,7 @@
 
 			@Override
 			public void onReachable(boolean reachable) {
-				events.accept(new DirectEvent.StoreReachable(kind, reachable));
+				events.accept(new DirectEvent.StoreReachability(kind, reachable));
 			}
 
 		};
--- a/entry/src/main/java/org/wisteriapost/entry/direct/StoreReplica.java
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/StoreReplica.java
@@ -152,7 +152,7 @@
 	List<KnownKind> revisions() {
 		List<KnownKind> revisions = new ArrayList<>();
 		this.objects.forEach((kind, all) -> {
-			KnownKind.Builder one = KnownKind.newBuilder().setKind(SiteNews.toWire(kind));
+			KnownKind.Builder one = KnownKind.newBuilder().setKind(StoreReplication.toWire(kind));
 			all.values()
 				.forEach((item) -> one
 					.addObjects(KnownObject.newBuilder().setName(item.name()).setRevision(item.revision())));
--- a/entry/src/main/java/org/wisteriapost/entry/direct/SiteNews.java
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/StoreReplication.java
@@ -17,9 +17,9 @@
 
 import org.wisteriapost.kernel.log.DecisionLog;
 import org.wisteriapost.policy.fleet.LinkedEntry;
-import org.wisteriapost.policy.fleet.StoreDuty;
-import org.wisteriapost.policy.fleet.UpstreamChoice;
-import org.wisteriapost.policy.routing.KnownMoment;
+import org.wisteriapost.policy.fleet.StoreRole;
+import org.wisteriapost.policy.fleet.UpstreamSelector;
+import org.wisteriapost.policy.routing.LastConfirmedTime;
 import org.wisteriapost.protocol.site.Kind;
 import org.wisteriapost.protocol.site.ObjectStore;
 import org.wisteriapost.protocol.wire.Frame;
@@ -34,7 +34,7 @@
  * the store, because it does not answer them or because this entry is their leader, and
  * receives updates while this entry does not read it. Confined to the state thread.
  */
-final class SiteNews {
+final class StoreReplication {
 
 	// Half a second: subscribers take longer silence for a failure.
 	private static final int TICKS_PER_HEARTBEAT = 5;
@@ -55,11 +55,11 @@
 
 	private final DecisionLog log;
 
-	private final UpstreamChoice upstream;
+	private final UpstreamSelector upstream;
 
-	private final StoreDuty storeRole;
+	private final StoreRole storeRole;
 
-	private final KnownMoment lastConfirmed = new KnownMoment();
+	private final LastConfirmedTime lastConfirmed = new LastConfirmedTime();
 
 	// Peers that send updates which are not accepted here, since the notice that ended
 	// the subscription was lost with a link. Without another notice they would send for
@@ -80,8 +80,8 @@
 	 * @param upstream selects the entry to ask while the store does not answer
 	 * @param sender sends a frame to an entry by name
 	 */
-	SiteNews(ObjectStore store, StoreDuty storeRole, UpstreamChoice upstream, BiConsumer<String, Frame> sender,
-			LongSupplier clock, DecisionLog log) {
+	StoreReplication(ObjectStore store, StoreRole storeRole, UpstreamSelector upstream,
+			BiConsumer<String, Frame> sender, LongSupplier clock, DecisionLog log) {
 		this.replica = new StoreReplica(store);
 		this.subscriptions = new UpdateSubscriptions(this.replica, clock, log);
 		this.publisher = new UpdatePublisher(sender, clock);
@@ -96,11 +96,11 @@
 
 	/**
 	 * Applies a listing of a kind.
-	 * @param at the store's revision at the listing
+	 * @param revision the store's revision at the listing
 	 */
-	void read(Kind kind, List<ObjectStore.Item> all, long at) {
+	void applyFromStore(Kind kind, List<ObjectStore.Item> all, long revision) {
 		Map<String, Long> before = this.replica.revisions(kind);
-		if (this.replica.applyFromStore(kind, all, at)) {
+		if (this.replica.applyFromStore(kind, all, revision)) {
 			this.subscriptions.objectsDropped(kind);
 		}
 		this.publisher.subscribers()
@@ -116,7 +116,7 @@
 	/**
 	 * Applies a change and returns whether it is newer than what is known.
 	 */
-	boolean read(Kind kind, ObjectStore.Change change) {
+	boolean applyFromStore(Kind kind, ObjectStore.Change change) {
 		if (!this.replica.applyFromStore(kind, change)) {
 			return false;
 		}
@@ -132,7 +132,7 @@
 	 * Records the time as of which the store's routes are known, by this process's
 	 * monotonic clock.
 	 */
-	void confirmed(long confirmedNanos) {
+	void routesConfirmed(long confirmedNanos) {
 		this.publisher.routesConfirmed(confirmedNanos);
 		this.lastConfirmed.confirmed(confirmedNanos);
 	}
@@ -148,14 +148,14 @@
 	 * Returns the latest time as of which the store's routes are known here, from this
 	 * entry's reads or from peers.
 	 */
-	OptionalLong asOfNanos() {
+	OptionalLong routesConfirmedNanos() {
 		return this.lastConfirmed.nanos();
 	}
 
 	/**
 	 * Returns the latest time as of which the routes of a peer are confirmed.
 	 */
-	OptionalLong asOfNanos(String peer) {
+	OptionalLong routesConfirmedNanos(String peer) {
 		return this.subscriptions.routesConfirmedNanos(peer);
 	}
 
@@ -164,7 +164,7 @@
 	 */
 	void suspended(long nowNanos) {
 		this.publisher.suspended(nowNanos);
-		this.lastConfirmed.doubt(nowNanos);
+		this.lastConfirmed.discardBefore(nowNanos);
 	}
 
 	/**
@@ -175,8 +175,8 @@
 	 */
 	void stopReading() {
 		this.storeAnswers = false;
-		this.upstream.store(true).ifPresent(this::unsubscribeUnlessAccepted);
-		dismiss();
+		this.upstream.storeReachabilityChanged(true).ifPresent(this::unsubscribeUnlessAccepted);
+		dismissSubscribers();
 	}
 
 	/**
@@ -192,21 +192,21 @@
 	 * result of a call from before would make it request everything from other entries,
 	 * or report that it reads, until it reads again.
 	 */
-	void reachable(boolean reachable) {
-		if (this.storeRole.rests()) {
+	void storeReachable(boolean reachable) {
+		if (this.storeRole.isFollower()) {
 			return;
 		}
 		this.storeAnswers = reachable;
-		this.upstream.store(reachable).ifPresent(this::unsubscribeUnlessAccepted);
+		this.upstream.storeReachabilityChanged(reachable).ifPresent(this::unsubscribeUnlessAccepted);
 		if (!reachable) {
-			dismiss();
+			dismissSubscribers();
 		}
 	}
 
 	/**
 	 * Notifies all subscribers that this entry may be stale, and removes them.
 	 */
-	void dismiss() {
+	void dismissSubscribers() {
 		publish(() -> News.newBuilder().setCurrent(false).build());
 		this.publisher.clear();
 	}
@@ -231,9 +231,10 @@
 		}
 		List.copyOf(this.unsolicited).forEach(this::unsubscribeUnlessAccepted);
 		this.unsolicited.clear();
-		execute(this.upstream.ask(linked, nowNanos));
+		execute(this.upstream.tick(linked, nowNanos));
 		// After the upstream was selected, so that only accepted peers are asked again.
-		this.subscriptions.retain((peer) -> this.storeRole.believes(peer) || this.upstream.believes(peer));
+		this.subscriptions
+			.retain((peer) -> this.storeRole.acceptsUpdatesFrom(peer) || this.upstream.acceptsUpdatesFrom(peer));
 		this.subscriptions.peers().forEach(this::retry);
 		if (this.ticks % TICKS_PER_HEARTBEAT == 0) {
 			this.subscriptions.peers()
@@ -245,7 +246,7 @@
 	/**
 	 * Handles a new link to another entry.
 	 */
-	void linked(String peer) {
+	void linkEstablished(String peer) {
 		this.subscriptions.linkEstablished(peer);
 	}
 
@@ -268,20 +269,20 @@
 	 * removed, since the peer sends no more; a later subscription starts anew.
 	 */
 	void unsubscribeUnlessAccepted(String peer) {
-		if (!this.storeRole.believes(peer) && !this.upstream.believes(peer)) {
+		if (!this.storeRole.acceptsUpdatesFrom(peer) && !this.upstream.acceptsUpdatesFrom(peer)) {
 			this.subscriptions.remove(peer);
 			this.sender.accept(peer, unsubscribeFrame());
 		}
 	}
 
-	private void execute(List<UpstreamChoice.Step> steps) {
-		for (UpstreamChoice.Step step : steps) {
+	private void execute(List<UpstreamSelector.Step> steps) {
+		for (UpstreamSelector.Step step : steps) {
 			switch (step) {
-				case UpstreamChoice.Step.Ask ask -> {
+				case UpstreamSelector.Step.Ask ask -> {
 					this.log.decision("store-through-entry", "entry", ask.entry());
 					this.sender.accept(ask.entry(), subscribe(ask.entry()));
 				}
-				case UpstreamChoice.Step.Dismiss dismiss -> unsubscribeUnlessAccepted(dismiss.entry());
+				case UpstreamSelector.Step.Dismiss dismiss -> unsubscribeUnlessAccepted(dismiss.entry());
 			}
 		}
 	}
@@ -289,7 +290,7 @@
 	/**
 	 * Handles a peer's request to subscribe, to keep its subscription alive or to end it.
 	 */
-	void asked(String peer, NewsRequest request) {
+	void requestReceived(String peer, NewsRequest request) {
 		if (!request.getWanted()) {
 			this.publisher.remove(peer);
 			return;
@@ -314,7 +315,7 @@
 	// leader would otherwise wait for this entry to read the store.
 	private News notCurrentUpdate() {
 		News.Builder news = News.newBuilder().setCurrent(false);
-		this.storeRole.heardAgoMillis(this.clock.getAsLong()).ifPresent(news::setHeardAgoMillis);
+		this.storeRole.millisSinceLeaderHeard(this.clock.getAsLong()).ifPresent(news::setHeardAgoMillis);
 		return news.build();
 	}
 
@@ -340,8 +341,8 @@
 	}
 
 	private List<DirectEvent> applyUpdate(String peer, Kind kind, News update) {
-		if (this.upstream.believes(peer)) {
-			this.upstream.heard(true, this.tickNanos);
+		if (this.upstream.acceptsUpdatesFrom(peer)) {
+			this.upstream.answerReceived(true, this.tickNanos);
 		}
 		if (!this.replica.hasReferenced(kind, update.getObjectsList())) {
 			this.subscriptions.contentMissing(peer, kind, update);
@@ -370,25 +371,25 @@
 		update.getObjectsList().forEach((object) -> listed.add(object.getName()));
 		this.replica.removeUnlisted(kind, listed, update.getAt());
 		this.replica.advanceRevision(kind, update.getAt());
-		return new DirectEvent.AllObjects(kind, this.replica.items(kind), this.replica.knownRevision(kind));
+		return new DirectEvent.ObjectsListed(kind, this.replica.items(kind), this.replica.knownRevision(kind));
 	}
 
 	private boolean accepts(String peer, News update) {
-		if (this.storeRole.believes(peer)) {
+		if (this.storeRole.acceptsUpdatesFrom(peer)) {
 			return update.getCurrent();
 		}
-		if (!this.upstream.believes(peer)) {
+		if (!this.upstream.acceptsUpdatesFrom(peer)) {
 			if (update.getCurrent()) {
 				this.unsolicited.add(peer);
 			}
 			return false;
 		}
 		if (!update.getCurrent()) {
-			this.upstream.heard(false, this.tickNanos);
-			execute(this.upstream.ask(this.linkedEntries, this.tickNanos));
+			this.upstream.answerReceived(false, this.tickNanos);
+			execute(this.upstream.tick(this.linkedEntries, this.tickNanos));
 			return false;
 		}
-		this.upstream.sign(this.tickNanos);
+		this.upstream.heartbeatReceived(this.tickNanos);
 		return true;
 	}
 
--- a/entry/src/main/java/org/wisteriapost/entry/direct/Following.java
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/StoreWatches.java
@@ -12,7 +12,7 @@
  * The watches of the site's store that this entry has itself, one for each kind.
  * Thread-safe.
  */
-final class Following {
+final class StoreWatches {
 
 	private final Map<Kind, Follower> watches = new ConcurrentHashMap<>();
 
--- a/entry/src/test/java/org/wisteriapost/entry/OnceOnlyCallTests.java
+++ b/entry/src/test/java/org/wisteriapost/entry/AtMostOnceCallTests.java
@@ -20,7 +20,7 @@
 import static org.hamcrest.Matchers.is;
 import static org.hamcrest.Matchers.nullValue;
 
-class OnceOnlyCallTests {
+class AtMostOnceCallTests {
 
 	@AutoClose
 	private final EntryFixture fixture = EntryFixture.start();
--- a/entry/src/test/java/org/wisteriapost/entry/HeadSpreadTests.java
+++ b/entry/src/test/java/org/wisteriapost/entry/HeadDistributionTests.java
@@ -13,7 +13,7 @@
 import static org.hamcrest.MatcherAssert.assertThat;
 import static org.hamcrest.Matchers.is;
 
-class HeadSpreadTests {
+class HeadDistributionTests {
 
 	private static final Bundle SECOND = EntryFixture.bundle("2", "bb");
 
--- a/entry/src/test/java/org/wisteriapost/entry/BadInputTests.java
+++ b/entry/src/test/java/org/wisteriapost/entry/InvalidRequestTests.java
@@ -19,7 +19,7 @@
 import static org.hamcrest.Matchers.containsString;
 import static org.hamcrest.Matchers.is;
 
-class BadInputTests {
+class InvalidRequestTests {
 
 	private static final String CHAT = "/v1/chat/completions";
 
--- a/entry/src/test/java/org/wisteriapost/entry/DoubtfulBundleTests.java
+++ b/entry/src/test/java/org/wisteriapost/entry/StaleBundleTests.java
@@ -17,7 +17,7 @@
  * A request for a model that only the newest bundle has must not be rejected for good by
  * an entry that knows of the newer bundle but cannot read it yet.
  */
-class DoubtfulBundleTests {
+class StaleBundleTests {
 
 	private static final String CHAT = "{\"model\":\"newer\",\"messages\":[{\"role\":\"user\",\"content\":\"x\"}]}";
 
--- a/entry/src/test/java/org/wisteriapost/entry/caller/CallerAnswerTests.java
+++ b/entry/src/test/java/org/wisteriapost/entry/caller/CallerAnswerTests.java
@@ -74,7 +74,7 @@
 			.setHandler((exchange) -> exchange.dispatch(SameThreadExecutor.INSTANCE, () -> {
 				CallerAnswer answer = new CallerAnswer(exchange, "request", 1 << 20);
 				answer.start(200, List.of(), "");
-				answer.data("chunk".getBytes(StandardCharsets.UTF_8));
+				answer.write("chunk".getBytes(StandardCharsets.UTF_8));
 				written.complete(exchange.isResponseStarted());
 				answer.end();
 			}))
@@ -125,7 +125,7 @@
 			answer.start(200, List.of(), "");
 			for (int i = 0; i < CHUNKS; i++) {
 				spin(this.seed.incrementAndGet() % MAX_SPINS);
-				answer.data(String.valueOf(i).getBytes(StandardCharsets.UTF_8));
+				answer.write(String.valueOf(i).getBytes(StandardCharsets.UTF_8));
 			}
 			answer.end();
 		});
--- a/entry/src/test/java/org/wisteriapost/entry/caller/HttpFrontTests.java
+++ b/entry/src/test/java/org/wisteriapost/entry/caller/HttpFrontTests.java
@@ -44,7 +44,7 @@
 
 	private final ScriptedIntake intake = new ScriptedIntake();
 
-	private Organisations organisations;
+	private OrganisationTokens organisations;
 
 	private HttpFront front;
 
@@ -59,7 +59,7 @@
 				[organisation kelpie]
 				token = token-of-kelpie
 				""".formatted(file()));
-		this.organisations = Organisations.of(settings);
+		this.organisations = OrganisationTokens.of(settings);
 		this.front = HttpFront.start(new InetSocketAddress("127.0.0.1", 0), HttpLimits.of(settings), this.organisations,
 				this.intake, Optional.empty());
 	}
@@ -86,12 +86,12 @@
 		assertThat(reply.header("Retry-After").isPresent(), Matchers.equalTo(status == 503));
 	}
 
-	private static ServiceView view(long generation, boolean mayReject) {
+	private static EntryView view(long generation, boolean mayReject) {
 		long now = System.nanoTime();
 		RejectionPermit rejections = mayReject
 				? new RejectionPermit(OptionalLong.of(now + LONG.toNanos()), now, System.currentTimeMillis())
 				: RejectionPermit.NONE;
-		return new ServiceView(generation, Map.of(), List.of(), false, true, rejections);
+		return new EntryView(generation, Map.of(), List.of(), false, true, rejections);
 	}
 
 	// The token may be in the file that could not be read.
@@ -126,7 +126,7 @@
 	/** Returns each view once, then the last one repeatedly. */
 	private static final class ScriptedIntake implements CallIntake {
 
-		private final Queue<ServiceView> views = new ConcurrentLinkedQueue<>();
+		private final Queue<EntryView> views = new ConcurrentLinkedQueue<>();
 
 		@Override
 		public boolean submit(CallerCall call) {
@@ -142,9 +142,9 @@
 		}
 
 		@Override
-		public ServiceView view() {
+		public EntryView view() {
 			return Optional.ofNullable((this.views.size() > 1) ? this.views.poll() : this.views.peek())
-				.orElse(ServiceView.EMPTY);
+				.orElse(EntryView.EMPTY);
 		}
 
 	}
--- a/entry/src/test/java/org/wisteriapost/entry/direct/DirectHttpServerTests.java
+++ b/entry/src/test/java/org/wisteriapost/entry/direct/DirectHttpServerTests.java
@@ -113,7 +113,8 @@
 			case STREAMED -> postChunked(1000);
 		};
 		assertThat(answer.status(), Matchers.equalTo(status));
-		assertThat(answer.body(), Matchers.containsString(recent ? "too-large" : Intake.TABLE_DOUBTFUL.name()));
+		assertThat(answer.body(),
+				Matchers.containsString(recent ? "too-large" : RequestAdmission.TABLE_DOUBTFUL.name()));
 		assertThat(answer.headers().containsKey("retry-after"), Matchers.equalTo(!recent));
 	}
 
@@ -124,7 +125,7 @@
 		this.entry.limits.add(LARGE);
 		this.entry.mayReject = true;
 		Answer answer = postChunked(1000);
-		assertThat(answer.body(), Matchers.containsString(Intake.TABLE_DOUBTFUL.name()));
+		assertThat(answer.body(), Matchers.containsString(RequestAdmission.TABLE_DOUBTFUL.name()));
 		assertThat(answer.status(), Matchers.equalTo(503));
 	}
 
--- a/entry/src/test/java/org/wisteriapost/entry/direct/DeclaredStore.java
+++ b/entry/src/test/java/org/wisteriapost/entry/direct/FakeObjectStore.java
@@ -19,7 +19,7 @@
  * A store whose objects are set by the test. Watches stay pending until the test
  * completes them; listings are answered at once.
  */
-final class DeclaredStore implements ObjectStore {
+final class FakeObjectStore implements ObjectStore {
 
 	private final Map<String, Item> itemsByContent = new HashMap<>();
 
@@ -35,7 +35,7 @@
 	 * Creates a store.
 	 * @param at its revision
 	 */
-	DeclaredStore(long at) {
+	FakeObjectStore(long at) {
 		this.at = at;
 	}
 
@@ -49,7 +49,7 @@
 		return item;
 	}
 
-	void listed(Kind kind, List<Item> items) {
+	void setListing(Kind kind, List<Item> items) {
 		this.listings.put(kind, items);
 	}
 
--- a/entry/src/test/java/org/wisteriapost/entry/direct/RejectionStalenessTests.java
+++ b/entry/src/test/java/org/wisteriapost/entry/direct/RejectionStalenessTests.java
@@ -25,15 +25,15 @@
 
 	private static final String KNOWN = "/known/";
 
-	private static final Optional<String> TOKEN = Optional.of(StateBench.TOKEN);
+	private static final Optional<String> TOKEN = Optional.of(EntryStateFixture.TOKEN);
 
 	private static final Duration TEN_SECONDS = Duration.ofSeconds(10);
 
-	private final StateBench bench = new StateBench();
+	private final EntryStateFixture bench = new EntryStateFixture();
 
 	@BeforeEach
 	void read() {
-		this.bench.bothRead(List.of(this.bench.routes(5, StateBench.table(1, KNOWN))),
+		this.bench.listOnBoth(List.of(this.bench.routes(5, EntryStateFixture.table(1, KNOWN))),
 				List.of(this.bench.runner(5, "10.0.0.1:80")));
 	}
 
@@ -47,7 +47,7 @@
 	}
 
 	private static long millis(long count) {
-		return count * StateBench.MILLI;
+		return count * EntryStateFixture.MILLI;
 	}
 
 	@ParameterizedTest
@@ -98,7 +98,7 @@
 	@CsvSource({ "2700,0,true", "2701,0,false", "0,10000,false" })
 	void sizeCheckUsesCurrentStaleness(long passedMillis, long suspendedMillis, boolean rejects) {
 		confirmed(Kind.ROUTES, this.bench.now());
-		this.bench.pass(passedMillis);
+		this.bench.advanceClocks(passedMillis);
 		this.bench.suspend(Duration.ofMillis(suspendedMillis));
 		assertThat(this.bench.view().mayReject(), Matchers.equalTo(rejects));
 	}
@@ -108,14 +108,14 @@
 	@ParameterizedTest
 	@EnumSource
 	void followerIsConfirmedByLeaderOnly(Fault fault) {
-		this.bench.untilAsked();
-		this.bench.hear();
+		this.bench.runUntilSubscribed();
+		this.bench.deliverUpdates();
 		confirmed(Kind.ROUTES, this.bench.now());
 		assertThat(fault.answer(this.bench), Matchers.equalTo(Fault.DOUBTFUL));
-		this.bench.reader().confirmed(this.bench.now() - millis(2700));
+		this.bench.leader().routesConfirmed(this.bench.now() - millis(2700));
 		this.bench.run(Duration.ofSeconds(1));
 		assertThat(fault.answer(this.bench), Matchers.equalTo(Fault.DOUBTFUL));
-		this.bench.reader().confirmed(this.bench.now());
+		this.bench.leader().routesConfirmed(this.bench.now());
 		this.bench.run(Duration.ofMillis(1100));
 		assertThat(fault.answer(this.bench), Matchers.equalTo(fault.rejection));
 	}
@@ -131,10 +131,10 @@
 		this.bench.suspend(TEN_SECONDS);
 		this.bench.tick();
 		confirmed(Kind.ROUTES, this.bench.now() + millis(callOffsetMillis));
-		this.bench.sent().clear();
+		this.bench.sentFrames().clear();
 		NewsRequest request = NewsRequest.newBuilder().setWanted(true).setStamp(7).build();
-		this.bench.apply(new DirectEvent.PeerWantsNews(StateBench.READER, request));
-		Frame answer = this.bench.sent().getLast();
+		this.bench.apply(new DirectEvent.PeerSubscriptionChanged(EntryStateFixture.LEADER, request));
+		Frame answer = this.bench.sentFrames().getLast();
 		assertThat(answer.getNews().getCurrent(), Matchers.equalTo(true));
 		assertThat(answer.getNews().hasAgeMillis(), Matchers.equalTo(sent));
 	}
@@ -144,7 +144,7 @@
 
 		ROUTE("rejected 404"), TOKEN("rejected 401"), NO_TOKEN("rejected 401"), SIZE("rejected");
 
-		static final String DOUBTFUL = "refused " + Intake.TABLE_DOUBTFUL.name();
+		static final String DOUBTFUL = "refused " + RequestAdmission.TABLE_DOUBTFUL.name();
 
 		final String rejection;
 
@@ -153,7 +153,7 @@
 		}
 
 		// The front checks the size before it passes a request on.
-		String answer(StateBench bench) {
+		String answer(EntryStateFixture bench) {
 			return switch (this) {
 				case ROUTE -> bench.request("/other/", RejectionStalenessTests.TOKEN);
 				case TOKEN -> bench.request(KNOWN, Optional.of("other"));
--- a/operator/src/main/java/org/wisteriapost/operator/bundle/BundleStore.java
+++ b/operator/src/main/java/org/wisteriapost/operator/bundle/BundleStore.java
@@ -175,7 +175,7 @@
 				Head read = head();
 				Optional<Head> recorded = read(recordKey(written.generation()))
 					.map((stored) -> BundleCodec.head(stored.value()));
-				switch (HeadMove.fate(written, read, recorded)) {
+				switch (HeadMove.outcome(written, read, recorded)) {
 					case WON -> {
 						return written;
 					}
--- a/protocol/src/main/java/org/wisteriapost/protocol/site/Declared.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/site/Declared.java
@@ -1,8 +1,8 @@
 package org.wisteriapost.protocol.site;
 
 import org.wisteriapost.policy.fleet.EntryInfo;
-import org.wisteriapost.policy.fleet.NamedWeights;
 import org.wisteriapost.policy.fleet.RunnerInfo;
+import org.wisteriapost.policy.fleet.TargetWeights;
 import org.wisteriapost.policy.routing.RouteTable;
 
 /**
@@ -31,7 +31,7 @@
 	 *
 	 * @param named model and version
 	 */
-	record Weights(NamedWeights named) implements Declared {
+	record Weights(TargetWeights named) implements Declared {
 	}
 
 	/**
--- a/protocol/src/main/java/org/wisteriapost/protocol/site/EngineControl.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/site/EngineControl.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.CompletableFuture;
 
 import org.wisteriapost.kernel.Code;
-import org.wisteriapost.policy.fleet.RunnerStart;
+import org.wisteriapost.policy.fleet.RunnerIncarnation;
 
 /**
  * Orders to the engine beside an agent.
@@ -36,7 +36,7 @@
 	 * @param start tells this start of the engine from others
 	 */
 	record Report(Map<String, Integer> versions, boolean busy, long sequence, int waiting, int active,
-			RunnerStart start) {
+			RunnerIncarnation start) {
 	}
 
 	/**
--- a/protocol/src/main/java/org/wisteriapost/protocol/site/EngineFrames.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/site/EngineFrames.java
@@ -4,8 +4,8 @@
 import java.util.OptionalLong;
 import java.util.concurrent.TimeUnit;
 
-import org.wisteriapost.policy.dispatch.EngineWord;
-import org.wisteriapost.policy.fleet.RunnerStart;
+import org.wisteriapost.policy.dispatch.EngineStatus;
+import org.wisteriapost.policy.fleet.RunnerIncarnation;
 import org.wisteriapost.protocol.wire.EngineState;
 
 /**
@@ -21,14 +21,14 @@
 	/**
 	 * Returns what is said of the engine at an address.
 	 */
-	public static EngineState of(String address, EngineWord word, long nowNanos) {
+	public static EngineState of(String address, EngineStatus word, long nowNanos) {
 		EngineState.Builder state = EngineState.newBuilder()
 			.setAddress(address)
-			.setHoldsWeights(word.version().isPresent())
-			.setVersion(word.version().orElse(0))
+			.setHoldsWeights(word.weightsVersion().isPresent())
+			.setVersion(word.weightsVersion().orElse(0))
 			.setSwitching(word.switching());
-		word.start().startedMillis().ifPresent(state::setStartedMillis);
-		word.closesNanos()
+		word.incarnation().startedMillis().ifPresent(state::setStartedMillis);
+		word.switchStartNanos()
 			.ifPresent((closes) -> state
 				.setClosesInMillis((int) Math.max(1, TimeUnit.NANOSECONDS.toMillis(closes - nowNanos))));
 		return state.build();
@@ -37,20 +37,21 @@
 	/**
 	 * Returns what was said of an engine.
 	 */
-	public static EngineWord read(EngineState says, long nowNanos) {
+	public static EngineStatus read(EngineState says, long nowNanos) {
 		OptionalInt version = says.getHoldsWeights() ? OptionalInt.of(says.getVersion()) : OptionalInt.empty();
 		OptionalLong closes = (says.getClosesInMillis() > 0)
 				? OptionalLong.of(nowNanos + TimeUnit.MILLISECONDS.toNanos(says.getClosesInMillis()))
 				: OptionalLong.empty();
-		return new EngineWord(version, says.getSwitching(), closes, start(says.getStartedMillis()));
+		return new EngineStatus(version, says.getSwitching(), closes, start(says.getStartedMillis()));
 	}
 
 	/**
 	 * Returns the start of a runner as frames name it.
 	 * @param startedMillis 0 for unknown
 	 */
-	public static RunnerStart start(long startedMillis) {
-		return (startedMillis == START_UNKNOWN) ? RunnerStart.UNKNOWN : RunnerStart.at(startedMillis);
+	public static RunnerIncarnation start(long startedMillis) {
+		return (startedMillis == START_UNKNOWN) ? RunnerIncarnation.UNKNOWN
+				: RunnerIncarnation.startedAt(startedMillis);
 	}
 
 }
--- a/standin/src/main/java/org/wisteriapost/standin/bench/ClaimLoad.java
+++ b/standin/src/main/java/org/wisteriapost/standin/bench/ClaimLoad.java
@@ -16,10 +16,10 @@
 import org.wisteriapost.entry.claim.ClaimStore;
 import org.wisteriapost.policy.claim.ClaimEffect;
 import org.wisteriapost.policy.claim.ClaimKey;
-import org.wisteriapost.policy.claim.ClaimRecord.KeptAnswer;
 import org.wisteriapost.policy.claim.ClaimRecord.State;
+import org.wisteriapost.policy.claim.ClaimRecord.StoredAnswer;
+import org.wisteriapost.policy.claim.ClaimResult;
 import org.wisteriapost.policy.claim.ClaimTable;
-import org.wisteriapost.policy.claim.ClaimVerdict;
 import org.wisteriapost.protocol.outside.Platform;
 
 /**
@@ -29,7 +29,7 @@
 
 	private static final long TICK_MILLIS = 20;
 
-	private static final KeptAnswer ANSWER = new KeptAnswer(200, List.of("Content-Type", "application/json"),
+	private static final StoredAnswer ANSWER = new StoredAnswer(200, List.of("Content-Type", "application/json"),
 			new byte[100]);
 
 	private final ScheduledExecutorService loop = Executors.newSingleThreadScheduledExecutor();
@@ -77,9 +77,9 @@
 		long now = System.nanoTime();
 		carryOut(switch (reply) {
 			case ClaimReply.Found found ->
-				this.table.read(found.object(), found.value(), found.version(), found.conflict(), now);
-			case ClaimReply.Written written -> this.table.written(written.object(), written.version(), now);
-			case ClaimReply.Failed failed -> this.table.failed(failed.object(), failed.unconfirmed(), now);
+				this.table.onRead(found.object(), found.value(), found.version(), found.conflict(), now);
+			case ClaimReply.Written written -> this.table.onWritten(written.object(), written.version(), now);
+			case ClaimReply.Failed failed -> this.table.onFailure(failed.object(), failed.unconfirmed(), now);
 		});
 	}
 
@@ -88,14 +88,14 @@
 			switch (effect) {
 				case ClaimEffect.Read read -> this.store.read(read);
 				case ClaimEffect.Write write -> this.store.write(write);
-				case ClaimEffect.Tell tell -> told(tell.verdict());
+				case ClaimEffect.Complete tell -> told(tell.result());
 			}
 		}
 	}
 
-	private void told(ClaimVerdict verdict) {
+	private void told(ClaimResult verdict) {
 		Asked one = this.asked.remove(verdict.id());
-		if (verdict instanceof ClaimVerdict.Claimed) {
+		if (verdict instanceof ClaimResult.Claimed) {
 			this.latency.recordValue(System.nanoTime() - one.atNanos);
 			carryOut(this.table.settle(one.key, one.nonce, State.ANSWERED, ANSWER, System.nanoTime()));
 			return;
--- a/standin/src/main/java/org/wisteriapost/standin/bench/DecisionBench.java
+++ b/standin/src/main/java/org/wisteriapost/standin/bench/DecisionBench.java
@@ -9,8 +9,8 @@
 import org.wisteriapost.policy.request.Priority;
 import org.wisteriapost.policy.request.Request;
 import org.wisteriapost.policy.request.RequestEvent;
-import org.wisteriapost.policy.request.RequestMachine;
-import org.wisteriapost.policy.request.RunnerView;
+import org.wisteriapost.policy.request.RequestStateMachine;
+import org.wisteriapost.policy.request.RunnerStatus;
 
 /**
  * Time of the decisions for one request, from its arrival to its end, by the number of
@@ -46,11 +46,11 @@
 
 	/** Half of all slots are kept in use. */
 	private static long measure(int runners) {
-		RequestMachine machine = RequestMachine.create();
-		machine.apply(new RequestEvent.HeadSeen(1, Map.of(SERVICE, Set.of("d"))), 0);
+		RequestStateMachine machine = RequestStateMachine.create();
+		machine.apply(new RequestEvent.HeadRead(1, Map.of(SERVICE, Set.of("d"))), 0);
 		for (int each = 0; each < runners; each++) {
-			RunnerView view = new RunnerView("runner-" + each, "p", SERVICE, true, "d", 1, 0, 0, 8, Set.of());
-			machine.apply(new RequestEvent.RunnerSeen(view), 0);
+			RunnerStatus view = new RunnerStatus("runner-" + each, "p", SERVICE, true, "d", 1, 0, 0, 8, Set.of());
+			machine.apply(new RequestEvent.RunnerReported(view), 0);
 		}
 		long behind = runners * 4L;
 		long step = UNIT_NANOS / behind;
@@ -58,7 +58,7 @@
 		for (long id = 1; id <= REQUESTS; id++) {
 			long now = id * step;
 			machine.apply(new RequestEvent.Arrived(request(id, now)), now);
-			machine.apply(new RequestEvent.Ended(id - behind), now);
+			machine.apply(new RequestEvent.AnswerCompleted(id - behind), now);
 		}
 		return (System.nanoTime() - begun) / REQUESTS;
 	}
--- a/standin/src/main/java/org/wisteriapost/standin/bench/weights/SimVm.java
+++ b/standin/src/main/java/org/wisteriapost/standin/bench/weights/SimVm.java
@@ -6,8 +6,8 @@
 
 import org.wisteriapost.policy.transfer.Peer;
 import org.wisteriapost.policy.transfer.TransferEffect;
-import org.wisteriapost.policy.transfer.TransferMachine;
-import org.wisteriapost.policy.transfer.Uploads;
+import org.wisteriapost.policy.transfer.TransferStateMachine;
+import org.wisteriapost.policy.transfer.UploadQueue;
 
 /**
  * One VM of a simulation: a machine, its two link directions, and what has befallen it.
@@ -20,9 +20,9 @@
 
 	final Peer peer;
 
-	final TransferMachine machine;
+	final TransferStateMachine machine;
 
-	final Uploads<Upload> uploads = Uploads.create(UPLOADS_WAITING, UPLOADS_PER_PEER);
+	final UploadQueue<Upload> uploads = UploadQueue.create(UPLOADS_WAITING, UPLOADS_PER_PEER);
 
 	final Set<SimVm> subscribers = new LinkedHashSet<>();
 
@@ -52,7 +52,7 @@
 
 	long received;
 
-	SimVm(Peer peer, TransferMachine machine) {
+	SimVm(Peer peer, TransferStateMachine machine) {
 		this.peer = peer;
 		this.machine = machine;
 	}
--- a/standin/src/main/java/org/wisteriapost/standin/bench/weights/Simulation.java
+++ b/standin/src/main/java/org/wisteriapost/standin/bench/weights/Simulation.java
@@ -12,12 +12,12 @@
 import org.apache.commons.rng.simple.RandomSource;
 import org.wisteriapost.kernel.Invariants;
 import org.wisteriapost.policy.bundle.WeightFile;
+import org.wisteriapost.policy.transfer.ChunkIndex;
 import org.wisteriapost.policy.transfer.Peer;
-import org.wisteriapost.policy.transfer.Pieces;
 import org.wisteriapost.policy.transfer.TransferEffect;
 import org.wisteriapost.policy.transfer.TransferEvent;
 import org.wisteriapost.policy.transfer.TransferLimits;
-import org.wisteriapost.policy.transfer.TransferMachine;
+import org.wisteriapost.policy.transfer.TransferStateMachine;
 
 /**
  * One roll over N machines in virtual time, replayed from its seed.
@@ -65,7 +65,7 @@
 
 	private final List<SimVm> order = new ArrayList<>();
 
-	private final Pieces pieces;
+	private final ChunkIndex pieces;
 
 	private long now;
 
@@ -86,7 +86,7 @@
 		this.random = RandomSource.XO_RO_SHI_RO_128_PP.create(plan.seed());
 		int chunk = plan.chunkBytes();
 		List<String> chunks = IntStream.range(0, plan.chunks()).mapToObj((index) -> "chunk-" + index).toList();
-		this.pieces = Pieces
+		this.pieces = ChunkIndex
 			.of(List.of(new WeightFile("model", "1", "model", "etag", (long) chunk * plan.chunks(), chunk, chunks)));
 	}
 
@@ -104,7 +104,7 @@
 	private void populate() {
 		for (int i = 0; i < this.plan.vms(); i++) {
 			Peer peer = new Peer("vm-" + i, "place-" + i % this.plan.places());
-			TransferMachine machine = TransferMachine.create(this.pieces, peer, this.plan.limits(),
+			TransferStateMachine machine = TransferStateMachine.create(this.pieces, peer, this.plan.limits(),
 					RandomSource.XO_RO_SHI_RO_128_PP.create(this.random.nextLong()), this.invariants);
 			SimVm vm = new SimVm(peer, machine);
 			this.vms.put(peer.vm(), vm);
@@ -137,8 +137,8 @@
 	private void begin(SimVm vm) {
 		List<Peer> others = this.order.stream().filter((other) -> other != vm).map((other) -> other.peer).toList();
 		apply(vm, new TransferEvent.RateSet(this.plan.linkBytesPerSecond()));
-		apply(vm, new TransferEvent.PeersSeen(others));
-		apply(vm, new TransferEvent.Held(new BitSet()));
+		apply(vm, new TransferEvent.PeersChanged(others));
+		apply(vm, new TransferEvent.StoreScanned(new BitSet()));
 		tick(vm);
 	}
 
@@ -219,14 +219,14 @@
 				vm.controlBytes += FRAME_BYTES;
 				schedule(LATENCY, () -> request(vm, this.vms.get(request.vm()), request));
 			}
-			case TransferEffect.Drop drop -> {
+			case TransferEffect.DiscardParts drop -> {
 			}
-			case TransferEffect.ReadOrigin read -> readOrigin(vm, read.piece());
-			case TransferEffect.Store store -> schedule(STORE, () -> stored(vm, store.piece()));
+			case TransferEffect.ReadOrigin read -> readOrigin(vm, read.chunk());
+			case TransferEffect.Store store -> schedule(STORE, () -> stored(vm, store.chunk()));
 			case TransferEffect.Copy copy -> schedule(STORE, () -> stored(vm, copy.to()));
-			case TransferEffect.Announce announce -> announce(vm, announce.pieces());
+			case TransferEffect.Announce announce -> announce(vm, announce.chunks());
 			case TransferEffect.Complete complete -> finish(vm);
-			case TransferEffect.Changed changed -> fail(vm);
+			case TransferEffect.VersionChanged changed -> fail(vm);
 			case TransferEffect.Fail fail -> fail(vm);
 			case TransferEffect.Notice notice -> {
 			}
@@ -247,10 +247,10 @@
 		to.subscribers.add(from);
 		to.controlBytes += 2 * FRAME_BYTES + this.pieces.count() / 8;
 		if (to.idle) {
-			schedule(LATENCY, () -> apply(from, new TransferEvent.PeerIdle(to.peer.vm())));
+			schedule(LATENCY, () -> apply(from, new TransferEvent.PeerNotFetching(to.peer.vm())));
 			return;
 		}
-		BitSet held = to.machine.held();
+		BitSet held = to.machine.heldChunks();
 		schedule(LATENCY, () -> apply(from, new TransferEvent.PeerHolds(to.peer.vm(), held)));
 	}
 
@@ -262,7 +262,7 @@
 	}
 
 	private void request(SimVm from, SimVm to, TransferEffect.Request request) {
-		int piece = request.piece();
+		int piece = request.chunk();
 		if (to.gone()) {
 			return;
 		}
@@ -281,7 +281,7 @@
 		}
 		vm.uploads.next().ifPresent((upload) -> {
 			if (this.now - upload.at() > LONGEST_WAIT) {
-				int piece = upload.request().piece();
+				int piece = upload.request().chunk();
 				schedule(LATENCY, () -> apply(upload.to(), new TransferEvent.Refused(piece, vm.peer.vm(), true)));
 				pump(vm);
 				return;
@@ -298,18 +298,18 @@
 	private void deliver(SimVm from, SimVm.Upload upload) {
 		SimVm to = upload.to();
 		boolean last = upload.request().length() == 0;
-		this.crossed += (last && !from.peer.place().equals(to.peer.place())) ? 1 : 0;
+		this.crossed += (last && !from.peer.failureDomain().equals(to.peer.failureDomain())) ? 1 : 0;
 		if (from.gone() || to.gone() || !to.links.contains(from.peer.vm())) {
 			return;
 		}
 		to.receiveFreeAt = Math.max(this.now, to.receiveFreeAt + partNanos(upload) * to.slower);
 		schedule(to.receiveFreeAt - this.now + LATENCY, () -> {
 			if (last) {
-				arrive(to, upload.request().piece(), from.peer.vm(), from.corrupt);
+				arrive(to, upload.request().chunk(), from.peer.vm(), from.corrupt);
 				return;
 			}
 			int end = upload.request().offset() + upload.request().length();
-			apply(to, new TransferEvent.PartCame(upload.request().piece(), from.peer.vm(), end));
+			apply(to, new TransferEvent.PartReceived(upload.request().chunk(), from.peer.vm(), end));
 		});
 	}
 
@@ -320,11 +320,11 @@
 
 	private void readOrigin(SimVm vm, int piece) {
 		if (this.originChanged) {
-			schedule(2 * LATENCY, () -> apply(vm, new TransferEvent.OriginFailed(piece, true)));
+			schedule(2 * LATENCY, () -> apply(vm, new TransferEvent.OriginReadFailed(piece, true)));
 			return;
 		}
 		if (away()) {
-			schedule(CONNECT_TIMEOUT, () -> apply(vm, new TransferEvent.OriginFailed(piece, false)));
+			schedule(CONNECT_TIMEOUT, () -> apply(vm, new TransferEvent.OriginReadFailed(piece, false)));
 			return;
 		}
 		this.originPieces++;
@@ -339,7 +339,7 @@
 
 	private void deliverFromOrigin(SimVm vm, int piece) {
 		vm.receiveFreeAt = Math.max(this.now + originNanos(), vm.receiveFreeAt + pieceNanos() * vm.slower);
-		schedule(vm.receiveFreeAt - this.now + LATENCY, () -> arrive(vm, piece, TransferMachine.ORIGIN, false));
+		schedule(vm.receiveFreeAt - this.now + LATENCY, () -> arrive(vm, piece, TransferStateMachine.ORIGIN, false));
 	}
 
 	private void stored(SimVm vm, int piece) {
--- a/standin/src/main/java/org/wisteriapost/standin/sim/LoadSim.java
+++ b/standin/src/main/java/org/wisteriapost/standin/sim/LoadSim.java
@@ -107,7 +107,7 @@
 
 	private void start() {
 		for (int entry = 0; entry < this.entries.size(); entry++) {
-			apply(entry, new RequestEvent.HeadSeen(1, Map.of(SERVICE, Set.of(DIGEST))));
+			apply(entry, new RequestEvent.HeadRead(1, Map.of(SERVICE, Set.of(DIGEST))));
 			int own = entry;
 			after(TICK_NANOS * entry / this.entries.size(), () -> tick(own));
 		}
@@ -138,7 +138,7 @@
 	}
 
 	private void report(RunnerSim runner) {
-		RequestEvent seen = new RequestEvent.RunnerSeen(runner.view());
+		RequestEvent seen = new RequestEvent.RunnerReported(runner.view());
 		long lag = (this.nowNanos == 0) ? 0 : (long) (REPORT_LAG_NANOS * this.random.nextDouble());
 		for (int entry = 0; entry < this.entries.size(); entry++) {
 			int own = entry;
@@ -159,7 +159,7 @@
 			runner.running.clear();
 			runner.waiting.clear();
 			for (int entry = 0; entry < this.entries.size(); entry++) {
-				apply(entry, new RequestEvent.RunnerLost(runner.name));
+				apply(entry, new RequestEvent.RunnerDisconnected(runner.name));
 			}
 			calls.sort(Comparator.comparingLong(RunnerSim.Call::number));
 			calls.forEach((call) -> failed(call, runner, false, "link-lost", 0));
@@ -200,7 +200,7 @@
 					after(CLAIM_NANOS, () -> apply(entry, new RequestEvent.Claimed(claim.id())));
 				case RequestEffect.Dispatch dispatch -> dispatch(caller, this.runners.get(dispatch.runner()));
 				case RequestEffect.Refuse refuse -> refuse(caller, refuse.code());
-				case RequestEffect.GiveUp gaveUp -> giveUp(caller, gaveUp.code());
+				case RequestEffect.AnswerUnknown gaveUp -> giveUp(caller, gaveUp.code());
 				case RequestEffect.Cancel cancel -> {
 					RunnerSim runner = this.runners.get(cancel.runner());
 					after(LINK_NANOS, () -> cancel(runner, cancel.id()));
@@ -271,7 +271,7 @@
 		long id = call.caller().request.id();
 		if (!whole) {
 			if (runner.running.get(id) == call) {
-				apply(call.caller().entry, new RequestEvent.Started(id));
+				apply(call.caller().entry, new RequestEvent.AnswerStarted(id));
 			}
 			return;
 		}
@@ -284,12 +284,12 @@
 			caller.group.answer(cost, micros, good);
 			this.result.all().answer(cost, micros, good);
 		}
-		apply(call.caller().entry, new RequestEvent.Ended(id));
+		apply(call.caller().entry, new RequestEvent.AnswerCompleted(id));
 	}
 
 	private void failed(RunnerSim.Call call, RunnerSim runner, boolean notRun, String code, long retryMillis) {
 		after(LINK_NANOS, () -> apply(call.caller().entry,
-				new RequestEvent.Failed(call.caller().request.id(), runner.name, notRun, code, retryMillis)));
+				new RequestEvent.DispatchFailed(call.caller().request.id(), runner.name, notRun, code, retryMillis)));
 	}
 
 	private void cancel(RunnerSim runner, long id) {
--- a/standin/src/main/java/org/wisteriapost/standin/sim/MachinePolicy.java
+++ b/standin/src/main/java/org/wisteriapost/standin/sim/MachinePolicy.java
@@ -5,17 +5,17 @@
 
 import org.wisteriapost.policy.request.RequestEffect;
 import org.wisteriapost.policy.request.RequestEvent;
-import org.wisteriapost.policy.request.RequestMachine;
 import org.wisteriapost.policy.request.RequestPolicySettings;
+import org.wisteriapost.policy.request.RequestStateMachine;
 
 /**
  * The program's own decisions.
  */
 public final class MachinePolicy implements EntryPolicy {
 
-	private final RequestMachine machine;
+	private final RequestStateMachine machine;
 
-	private MachinePolicy(RequestMachine machine) {
+	private MachinePolicy(RequestStateMachine machine) {
 		this.machine = machine;
 	}
 
@@ -23,7 +23,7 @@
 	 * Returns the program's own decisions with default limits.
 	 */
 	public static EntryPolicy create(LoadProfile profile, long seed) {
-		return new MachinePolicy(RequestMachine.create(RequestPolicySettings.defaults(), seed));
+		return new MachinePolicy(RequestStateMachine.create(RequestPolicySettings.defaults(), seed));
 	}
 
 	@Override
--- a/standin/src/main/java/org/wisteriapost/standin/sim/NaivePolicy.java
+++ b/standin/src/main/java/org/wisteriapost/standin/sim/NaivePolicy.java
@@ -30,18 +30,19 @@
 	@Override
 	public List<RequestEffect> apply(RequestEvent event, long nowNanos) {
 		return switch (event) {
-			case RequestEvent.RunnerSeen seen -> {
-				if (!this.runners.contains(seen.view().runner())) {
-					this.runners.add(seen.view().runner());
+			case RequestEvent.RunnerReported seen -> {
+				if (!this.runners.contains(seen.status().runner())) {
+					this.runners.add(seen.status().runner());
 				}
 				yield List.of();
 			}
-			case RequestEvent.RunnerLost lost -> {
+			case RequestEvent.RunnerDisconnected lost -> {
 				this.runners.remove(lost.runner());
 				yield List.of();
 			}
 			case RequestEvent.Arrived arrived -> List.of(dispatch(arrived.request().id()));
-			case RequestEvent.Failed failed -> List.of(new RequestEffect.GiveUp(failed.id(), failed.code()));
+			case RequestEvent.DispatchFailed failed ->
+				List.of(new RequestEffect.AnswerUnknown(failed.id(), failed.code()));
 			default -> List.of();
 		};
 	}
--- a/standin/src/main/java/org/wisteriapost/standin/sim/RunnerSim.java
+++ b/standin/src/main/java/org/wisteriapost/standin/sim/RunnerSim.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.Set;
 
-import org.wisteriapost.policy.request.RunnerView;
+import org.wisteriapost.policy.request.RunnerStatus;
 
 /**
  * One simulated runner: continuous batching as slots of equal speed, and calls beyond
@@ -68,8 +68,8 @@
 		return (this.state == LoadProfile.Fault.Kind.SLOW) ? 10 : 1;
 	}
 
-	RunnerView view() {
-		return new RunnerView(this.name, this.place, LoadSim.SERVICE, true, LoadSim.DIGEST, 1, this.running.size(),
+	RunnerStatus view() {
+		return new RunnerStatus(this.name, this.place, LoadSim.SERVICE, true, LoadSim.DIGEST, 1, this.running.size(),
 				this.waiting.size(), this.slots, Set.of());
 	}
 
--- a/standin/src/main/java/org/wisteriapost/standin/soak/SoakCallers.java
+++ b/standin/src/main/java/org/wisteriapost/standin/soak/SoakCallers.java
@@ -4,8 +4,8 @@
 import java.util.List;
 import java.util.Optional;
 
-import org.wisteriapost.entry.caller.CallKey;
 import org.wisteriapost.entry.caller.CallerCall;
+import org.wisteriapost.entry.caller.IdempotencyKey;
 import org.wisteriapost.entry.caller.Outcome;
 import org.wisteriapost.policy.request.Priority;
 import org.wisteriapost.policy.request.Request;
@@ -78,7 +78,7 @@
 		byte[] body = question.key.getBytes(StandardCharsets.UTF_8);
 		CallerCall call = new CallerCall(request, requestId, question.key.isEmpty() ? "GET" : "POST", "/x", List.of(),
 				body, !question.plain && this.time.chance(0.5), question.key.isEmpty() ? Optional.empty()
-						: Optional.of(new CallKey(question.key, question.issuedMillis)),
+						: Optional.of(new IdempotencyKey(question.key, question.issuedMillis)),
 				answer);
 		to.call(call, answer);
 		expectAnswer(to, answer, requestId);
--- a/standin/src/main/java/org/wisteriapost/standin/soak/SoakEntry.java
+++ b/standin/src/main/java/org/wisteriapost/standin/soak/SoakEntry.java
@@ -10,22 +10,22 @@
 import io.micrometer.core.instrument.simple.SimpleMeterRegistry;
 import org.apache.commons.rng.simple.RandomSource;
 import org.wisteriapost.entry.caller.CallerCall;
-import org.wisteriapost.entry.caller.ServiceView;
+import org.wisteriapost.entry.caller.EntryView;
 import org.wisteriapost.entry.claim.ClaimStore;
 import org.wisteriapost.entry.link.PeerLink;
 import org.wisteriapost.entry.platform.BundleContent;
 import org.wisteriapost.entry.process.EntryEvent;
+import org.wisteriapost.entry.process.EntryIdentity;
 import org.wisteriapost.entry.process.EntryMetrics;
 import org.wisteriapost.entry.process.EntryOutput;
 import org.wisteriapost.entry.process.EntryState;
 import org.wisteriapost.entry.process.EntryWiring;
-import org.wisteriapost.entry.process.Identity;
 import org.wisteriapost.policy.bundle.BundleCodec;
 import org.wisteriapost.policy.bundle.Head;
 import org.wisteriapost.policy.claim.ClaimTable;
 import org.wisteriapost.policy.membership.Member;
-import org.wisteriapost.policy.request.RequestMachine;
 import org.wisteriapost.policy.request.RequestPolicySettings;
+import org.wisteriapost.policy.request.RequestStateMachine;
 import org.wisteriapost.protocol.outside.Platform;
 import org.wisteriapost.protocol.wire.Role;
 
@@ -54,7 +54,7 @@
 
 	private final Set<SoakAnswer> open = new LinkedHashSet<>();
 
-	private ServiceView view = ServiceView.EMPTY;
+	private EntryView view = EntryView.EMPTY;
 
 	SoakEntry(SoakWorld world, String name, String place) {
 		super(name, place);
@@ -62,19 +62,19 @@
 		this.time = world.time();
 		long seed = this.time.random().nextLong();
 		ClaimStore store = ClaimStore.of(world.platform(),
-				(reply) -> this.time.after(0, () -> hear(new EntryEvent.ClaimAnswered(reply))));
+				(reply) -> this.time.after(0, () -> hear(new EntryEvent.ClaimReplied(reply))));
 		EntryWiring wiring = new EntryWiring(
-				RequestMachine.create(RequestPolicySettings.defaults(), seed, world.invariants()),
+				RequestStateMachine.create(RequestPolicySettings.defaults(), seed, world.invariants()),
 				ClaimTable.create(CLAIM_WRITES, RandomSource.SPLIT_MIX_64.create(seed), this.time.now()), store,
 				EntryMetrics.of(new SimpleMeterRegistry()), world.invariants(), this.time::now, this.time::wallMillis,
 				MAX_HELD_BYTES);
-		this.state = EntryState.create(new Identity(name, place, 1), this, wiring);
+		this.state = EntryState.create(new EntryIdentity(name, place, 1), this, wiring);
 		this.loop = LockstepLoop.start(name, this.state::apply, world.invariants());
 		tick();
 		look();
 	}
 
-	ServiceView view() {
+	EntryView view() {
 		return this.view;
 	}
 
@@ -87,7 +87,7 @@
 	}
 
 	void hangUp(long id) {
-		hear(new EntryEvent.CallerLeft(id));
+		hear(new EntryEvent.CallerDisconnected(id));
 	}
 
 	boolean waitsFor(SoakAnswer answer) {
@@ -101,7 +101,7 @@
 	@Override
 	void leave() {
 		super.leave();
-		hear(new EntryEvent.DrainAsked());
+		hear(new EntryEvent.DrainRequested());
 	}
 
 	@Override
@@ -129,7 +129,7 @@
 	}
 
 	@Override
-	public void keepLinks(List<Member> members) {
+	public void reconcileLinks(List<Member> members) {
 		Set<String> wanted = members.stream().map(Member::vm).collect(Collectors.toSet());
 		this.time.after(0, () -> {
 			this.byVm.forEach((vm, link) -> {
@@ -143,7 +143,7 @@
 	}
 
 	@Override
-	public void publish(ServiceView next) {
+	public void publish(EntryView next) {
 		this.view = next;
 	}
 
@@ -167,7 +167,7 @@
 	 */
 	void accept(SoakLink link) {
 		linked(link);
-		up(link.two(), PeerLink.from(link.two()));
+		up(link.two(), PeerLink.incoming(link.two()));
 	}
 
 	private void connect(Member member) {
@@ -176,12 +176,12 @@
 		}
 		this.world.vm(member.vm()).ifPresent((vm) -> {
 			SoakLink link = link(member);
-			up(link.one(), PeerLink.to(link.one(), member.vm(), Role.AGENT));
+			up(link.one(), PeerLink.outgoing(link.one(), member.vm(), Role.AGENT));
 			vm.accept(link);
 		});
 		this.world.entry(member.vm()).filter((other) -> other != this).ifPresent((other) -> {
 			SoakLink link = link(member);
-			up(link.one(), PeerLink.to(link.one(), member.vm(), Role.ENTRY));
+			up(link.one(), PeerLink.outgoing(link.one(), member.vm(), Role.ENTRY));
 			other.accept(link);
 		});
 	}
@@ -220,7 +220,7 @@
 			this.time.after(0, () -> hear(new EntryEvent.HeadRead(head, asked)));
 		});
 		List<Member> members = this.world.members();
-		this.time.after(VirtualTime.SECOND, () -> hear(new EntryEvent.VmsRead(members)));
+		this.time.after(VirtualTime.SECOND, () -> hear(new EntryEvent.VmListRead(members)));
 		this.time.after(LOOK_NANOS, this::look);
 	}
 
--- a/standin/src/main/java/org/wisteriapost/standin/soak/SoakOperators.java
+++ b/standin/src/main/java/org/wisteriapost/standin/soak/SoakOperators.java
@@ -10,7 +10,7 @@
 import java.util.Optional;
 
 import org.wisteriapost.policy.agent.AgentEvent;
-import org.wisteriapost.policy.agent.OperatorKeys;
+import org.wisteriapost.policy.agent.ApprovalPolicy;
 import org.wisteriapost.policy.bundle.Approvals;
 import org.wisteriapost.policy.bundle.Bundle;
 import org.wisteriapost.policy.bundle.BundleCodec;
@@ -45,10 +45,10 @@
 		NAMES.forEach((name) -> this.pairs.put(name, pair()));
 	}
 
-	OperatorKeys keys() {
+	ApprovalPolicy keys() {
 		Map<String, String> keys = new HashMap<>();
 		this.pairs.forEach((name, pair) -> keys.put(name, BASE64.encodeToString(pair.getPublic().getEncoded())));
-		return new OperatorKeys(keys, NAMES.size());
+		return new ApprovalPolicy(keys, NAMES.size());
 	}
 
 	/**
@@ -67,13 +67,13 @@
 
 	AgentEvent arrived(String digest, Optional<Platform.Stored> content, Platform.Listing approvals) {
 		if (content.isEmpty()) {
-			return new AgentEvent.BundleMissing(digest);
+			return new AgentEvent.BundleUnavailable(digest);
 		}
 		Map<String, byte[]> signatures = new HashMap<>();
 		approvals.items()
 			.forEach((stored) -> signatures.put(stored.key().substring(stored.key().lastIndexOf('/') + 1),
 					stored.value()));
-		return new AgentEvent.BundleArrived(digest, content.get().value(), signatures);
+		return new AgentEvent.BundleReceived(digest, content.get().value(), signatures);
 	}
 
 	// What is written once under its own digest cannot race; it is put there directly,
@@ -150,11 +150,11 @@
 		Platform platform = this.world.platform();
 		platform.get("head")
 			.thenCombine(platform.get(key(written.generation())),
-					(head, recorded) -> HeadMove.fate(written,
+					(head, recorded) -> HeadMove.outcome(written,
 							head.map((one) -> BundleCodec.head(one.value())).orElse(Head.NONE),
 							recorded.map((one) -> BundleCodec.head(one.value()))))
 			.whenComplete((fate, failure) -> {
-				if (failure != null || fate == HeadMove.Fate.UNDECIDED) {
+				if (failure != null || fate == HeadMove.Outcome.UNDECIDED) {
 					this.world.time().after(VirtualTime.SECOND / 4, () -> resolve(bundle, written, expected));
 					return;
 				}
--- a/standin/src/main/java/org/wisteriapost/standin/soak/SoakRunner.java
+++ b/standin/src/main/java/org/wisteriapost/standin/soak/SoakRunner.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 
 import org.wisteriapost.policy.agent.AgentEffect;
-import org.wisteriapost.policy.agent.EngineView;
+import org.wisteriapost.policy.agent.LocalEngineStatus;
 
 /**
  * What answers on an endpoint VM: a model engine or a plain service. It outlives its
@@ -48,10 +48,10 @@
 		return this.serving;
 	}
 
-	EngineView view() {
+	LocalEngineStatus view() {
 		long generation = this.taken.isEmpty() ? 0 : this.taken.getLast().generation();
 		long epoch = this.taken.isEmpty() ? 0 : this.taken.getLast().epoch();
-		return new EngineView(this.serving, this.loading, this.running.size(), 0, CAPACITY, generation, epoch);
+		return new LocalEngineStatus(this.serving, this.loading, this.running.size(), 0, CAPACITY, generation, epoch);
 	}
 
 	/**
--- a/standin/src/main/java/org/wisteriapost/standin/soak/SoakVm.java
+++ b/standin/src/main/java/org/wisteriapost/standin/soak/SoakVm.java
@@ -13,9 +13,9 @@
 import org.wisteriapost.policy.agent.AgentEvent;
 import org.wisteriapost.policy.agent.AgentIdentity;
 import org.wisteriapost.policy.agent.AgentLimits;
-import org.wisteriapost.policy.agent.AgentMachine;
-import org.wisteriapost.policy.agent.AgentView;
-import org.wisteriapost.policy.agent.EngineView;
+import org.wisteriapost.policy.agent.AgentStateMachine;
+import org.wisteriapost.policy.agent.AgentStatus;
+import org.wisteriapost.policy.agent.LocalEngineStatus;
 import org.wisteriapost.policy.agent.StoredObject;
 import org.wisteriapost.policy.request.Priority;
 import org.wisteriapost.protocol.outside.Platform;
@@ -50,7 +50,7 @@
 
 	private final LockstepLoop<AgentEvent> loop;
 
-	private final AgentMachine machine;
+	private final AgentStateMachine machine;
 
 	private final Map<Long, SoakCall> calls = new LinkedHashMap<>();
 
@@ -66,7 +66,7 @@
 		this.time = world.time();
 		this.runner = runner;
 		this.self = new AgentIdentity(name, place, service, plain, "nonce-" + this.time.random().nextLong());
-		this.machine = AgentMachine.create(this.self, LIMITS, world.operators().keys(), world.invariants(),
+		this.machine = AgentStateMachine.create(this.self, LIMITS, world.operators().keys(), world.invariants(),
 				RandomSource.XO_RO_SHI_RO_128_PP.create(this.time.random().nextLong()));
 		this.loop = LockstepLoop.start(name,
 				(event) -> this.machine.apply(event, this.time.now()).forEach(this::carryOut), world.invariants());
@@ -81,8 +81,8 @@
 		return this.runner;
 	}
 
-	AgentView view() {
-		return this.machine.view();
+	AgentStatus view() {
+		return this.machine.status();
 	}
 
 	@Override
@@ -98,7 +98,7 @@
 		// A frozen process hears its signal when it goes on.
 		step(() -> {
 			this.leavingSince = this.time.now();
-			this.loop.apply(new AgentEvent.LeaveAsked());
+			this.loop.apply(new AgentEvent.LeaveRequested());
 		});
 	}
 
@@ -155,7 +155,7 @@
 				frame.getBundleReply()
 					.getApprovalsList()
 					.forEach((one) -> signatures.put(one.getOperator(), one.getSignature().toByteArray()));
-				hear(new AgentEvent.BundleArrived(frame.getBundleReply().getDigest(),
+				hear(new AgentEvent.BundleReceived(frame.getBundleReply().getDigest(),
 						frame.getBundleReply().getBundle().toByteArray(), signatures));
 			}
 			case CALL -> call(side, frame.getCall());
@@ -170,7 +170,7 @@
 	}
 
 	private void head(Head head) {
-		hear(new AgentEvent.HeadHeard(head.getGeneration(), head.getDigest(), head.getConfirmed(),
+		hear(new AgentEvent.HeadReceived(head.getGeneration(), head.getDigest(), head.getConfirmed(),
 				head.getConfirmedAgeMillis()));
 	}
 
@@ -205,19 +205,19 @@
 	}
 
 	private Report currentReport() {
-		AgentView view = view();
+		AgentStatus view = view();
 		return Report.newBuilder()
 			.setVm(name())
 			.setPlace(place())
 			.setService(this.self.service())
-			.setPlain(this.self.plain())
+			.setPlain(this.self.plainService())
 			.setAdmitting(view.admitting())
 			.setLeaving(view.leaving())
 			.setWeightsDigest(view.weightsDigest())
-			.setBundleGeneration(view.generation())
-			.setRunning(view.running())
+			.setBundleGeneration(view.bundleGeneration())
+			.setRunning(view.runningCalls())
 			.setCapacity(view.capacity())
-			.setQueued(view.queued())
+			.setQueued(view.queuedCalls())
 			.setEpoch(view.epoch())
 			.build();
 	}
@@ -225,14 +225,14 @@
 	// Runs on the loop's thread: what goes out is scheduled, never applied in place.
 	private void carryOut(AgentEffect effect) {
 		switch (effect) {
-			case AgentEffect.Wake wake -> this.time.after(wake.delayNanos(), () -> hear(new AgentEvent.Tick()));
+			case AgentEffect.ScheduleTick wake -> this.time.after(wake.delayNanos(), () -> hear(new AgentEvent.Tick()));
 			case AgentEffect.ReadObject read -> read(read.key());
 			case AgentEffect.WriteObject write -> write(write);
 			case AgentEffect.FetchBundle bundle -> this.time.after(0, () -> fetchBundle(bundle.digest()));
 			case AgentEffect.FetchWeights weights -> fetchWeights(weights);
 			case AgentEffect.ReadEngine read -> this.time.soon(() -> {
-				EngineView seen = this.runner.view();
-				this.time.soon(() -> hear(new AgentEvent.EngineRead(seen)));
+				LocalEngineStatus seen = this.runner.view();
+				this.time.soon(() -> hear(new AgentEvent.EngineStatusRead(seen)));
 			});
 			case AgentEffect.SendOrder order -> this.time.after(0, () -> step(() -> order(order)));
 			case AgentEffect.StartCall start -> this.time.after(0, () -> step(() -> start(start.call())));
@@ -240,11 +240,11 @@
 				this.time.after(0, () -> Optional.ofNullable(this.calls.remove(refuse.call()))
 					.ifPresent((call) -> call.refused(refuse.code(), refuse.retryAfterMillis())));
 			case AgentEffect.CancelCall cancel -> this.time.after(0, () -> this.runner.cancel(cancel.call()));
-			case AgentEffect.ReportNow report -> this.time.after(0, () -> step(this::report));
-			case AgentEffect.SayLeaving leaving -> this.time.after(0, () -> step(this::sayLeaving));
-			case AgentEffect.DropWeights drop -> {
+			case AgentEffect.SendReport report -> this.time.after(0, () -> step(this::report));
+			case AgentEffect.AnnounceLeaving leaving -> this.time.after(0, () -> step(this::sayLeaving));
+			case AgentEffect.DeleteWeights drop -> {
 			}
-			case AgentEffect.SlowTransfer slow -> {
+			case AgentEffect.ThrottleTransfer slow -> {
 			}
 			case AgentEffect.Stop stop -> this.time.after(0, () -> stopped(stop.code()));
 		}
@@ -286,7 +286,7 @@
 	 * Hears that a call's answer has begun.
 	 */
 	void answered(long number) {
-		hear(new AgentEvent.CallAnswered(number));
+		hear(new AgentEvent.ResponseStarted(number));
 	}
 
 	/**
@@ -295,7 +295,7 @@
 	void over(long number, boolean foreign) {
 		this.calls.remove(number);
 		if (foreign) {
-			hear(new AgentEvent.WrongWeightsAnswered());
+			hear(new AgentEvent.WrongWeightsDetected());
 		}
 		hear(new AgentEvent.CallEnded(number));
 	}
@@ -306,13 +306,13 @@
 
 	private void order(AgentEffect.SendOrder order) {
 		if (this.time.now() > order.notAfterNanos()) {
-			hear(new AgentEvent.OrderLapsed());
+			hear(new AgentEvent.OrderLeaseExpired());
 			return;
 		}
 		this.time.soon(() -> {
 			boolean taken = this.runner.order(order);
 			boolean lost = this.time.chance(0.05);
-			AgentEvent answer = taken ? new AgentEvent.OrderTaken() : new AgentEvent.OrderFenced();
+			AgentEvent answer = taken ? new AgentEvent.OrderAccepted() : new AgentEvent.OrderFenced();
 			this.time.soon(() -> hear(lost ? new AgentEvent.OrderUnconfirmed() : answer));
 		});
 	}
@@ -320,7 +320,7 @@
 	private void fetchWeights(AgentEffect.FetchWeights weights) {
 		long needed = this.time.between(VirtualTime.SECOND / 2, 5 * VirtualTime.SECOND);
 		String digest = weights.weightsDigest();
-		AgentEvent result = this.time.chance(0.05) ? new AgentEvent.WeightsFailed(digest, "origin-unavailable")
+		AgentEvent result = this.time.chance(0.05) ? new AgentEvent.WeightsFetchFailed(digest, "origin-unavailable")
 				: new AgentEvent.WeightsFetched(digest);
 		this.time.after(needed, () -> hear(result));
 	}
@@ -329,14 +329,14 @@
 		List<SoakLink.Side> known = this.entries.keySet().stream().toList();
 		if (!known.isEmpty() && this.time.chance(0.7)) {
 			known.getFirst().send(frame().setBundleRequest(BundleRequest.newBuilder().setDigest(digest)).build());
-			this.time.after(VirtualTime.SECOND, () -> hear(new AgentEvent.BundleMissing(digest)));
+			this.time.after(VirtualTime.SECOND, () -> hear(new AgentEvent.BundleUnavailable(digest)));
 			return;
 		}
 		Platform platform = this.world.platform();
 		platform.get("bundles/" + digest)
 			.thenCombine(platform.list("approvals/" + digest + "/"),
 					(content, approvals) -> this.world.operators().arrived(digest, content, approvals))
-			.exceptionally((failure) -> new AgentEvent.BundleMissing(digest))
+			.exceptionally((failure) -> new AgentEvent.BundleUnavailable(digest))
 			.thenAccept(this::hear);
 	}
 
@@ -344,7 +344,7 @@
 		long sent = this.time.now();
 		this.world.platform().get(key).whenComplete((stored, failure) -> {
 			if (failure != null) {
-				hear(new AgentEvent.ObjectUnread(key));
+				hear(new AgentEvent.ObjectReadFailed(key));
 				return;
 			}
 			hear(new AgentEvent.ObjectRead(key, stored.map((one) -> new StoredObject(one.value(), one.version())),
@@ -353,21 +353,21 @@
 	}
 
 	private void write(AgentEffect.WriteObject write) {
-		Platform.Expected expected = expected(write.version());
+		Platform.Expected expected = expected(write.expectedVersion());
 		this.world.platform().put(write.key(), write.value(), expected).whenComplete((result, failure) -> {
 			if (failure instanceof CodedException) {
-				hear(new AgentEvent.ObjectUnconfirmed(write.key()));
+				hear(new AgentEvent.ObjectWriteUnconfirmed(write.key()));
 				return;
 			}
 			hear(switch (result) {
 				case Platform.PutResult.Written written -> new AgentEvent.ObjectWritten(write.key(), written.version());
-				case Platform.PutResult.Conflict conflict -> new AgentEvent.ObjectConflict(write.key());
+				case Platform.PutResult.Conflict conflict -> new AgentEvent.ObjectWriteConflict(write.key());
 			});
 		});
 	}
 
 	private static Platform.Expected expected(long version) {
-		if (version == AgentEffect.WriteObject.ANYTHING) {
+		if (version == AgentEffect.WriteObject.ANY_VERSION) {
 			return new Platform.Expected.Anything();
 		}
 		if (version == AgentEffect.WriteObject.ABSENT) {
--- a/standin/src/main/java/org/wisteriapost/standin/soak/SoakWorld.java
+++ b/standin/src/main/java/org/wisteriapost/standin/soak/SoakWorld.java
@@ -212,7 +212,7 @@
 		SoakVm vm = vms().get(this.time.random().nextInt(this.vms.size()));
 		vm.end();
 		this.vms.put(vm.name(),
-				new SoakVm(this, vm.name(), vm.place(), vm.self().service(), vm.self().plain(), vm.runner()));
+				new SoakVm(this, vm.name(), vm.place(), vm.self().service(), vm.self().plainService(), vm.runner()));
 	}
 
 	/**
@@ -227,7 +227,7 @@
 
 	void agentEnded(SoakVm vm) {
 		if (this.vms.remove(vm.name(), vm)) {
-			startVm(vm.place(), vm.self().plain());
+			startVm(vm.place(), vm.self().plainService());
 		}
 	}
 
@@ -257,11 +257,11 @@
 	private void checkInForce() {
 		Head head = BundleCodec.head(this.platform.peek("head").orElseThrow().value());
 		for (SoakVm vm : this.vms.values()) {
-			boolean right = vm.view().generation() == head.generation() && vm.view().admitting()
-					&& (vm.self().plain() || vm.runner().serving().equals(weights(head)));
+			boolean right = vm.view().bundleGeneration() == head.generation() && vm.view().admitting()
+					&& (vm.self().plainService() || vm.runner().serving().equals(weights(head)));
 			this.invariants.holds(right, "in-force-everywhere",
-					vm.name() + " " + vm.view().generation() + " of " + head.generation() + " " + vm.view() + " runner "
-							+ vm.runner().view() + " weights " + weights(head));
+					vm.name() + " " + vm.view().bundleGeneration() + " of " + head.generation() + " " + vm.view()
+							+ " runner " + vm.runner().view() + " weights " + weights(head));
 		}
 		for (SoakEntry entry : this.entries.values()) {
 			this.invariants.holds(entry.view().generation() == head.generation(), "in-force-everywhere",
