--- /dev/null
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/LoadReporter.java
@@ -0,0 +1,177 @@
+package org.wisteriapost.entry.direct;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.function.BiConsumer;
+import java.util.function.Supplier;
+
+import org.wisteriapost.policy.dispatch.InFlightLoad;
+import org.wisteriapost.policy.dispatch.RefusedRequest;
+import org.wisteriapost.policy.dispatch.RunnerLoad;
+import org.wisteriapost.policy.fleet.EntryInfo;
+import org.wisteriapost.policy.fleet.RunnerIncarnation;
+import org.wisteriapost.protocol.wire.Frame;
+import org.wisteriapost.protocol.wire.LoadReport;
+
+/**
+ * Reports this entry's in-flight load at each runner to the other entries. Confined to
+ * the state thread.
+ *
+ * With dozens of entries, each of which reports to all others, the messages would grow
+ * with the square of the entries and fill the links between failure domains. So an entry
+ * sends at most about {@value #PEERS_PER_INTERVAL} messages in
+ * {@value #LOCAL_INTERVAL_TICKS} ticks: the more peers there are, the less often each
+ * gets a report. Peers of the same failure domain use the same runners and get reports
+ * twice as often as remote ones. The share of each entry in a runner's load falls with
+ * their number, so a late report matters less.
+ */
+final class LoadReporter {
+
+	static final int LOCAL_INTERVAL_TICKS = 5;
+
+	static final int REMOTE_INTERVAL_TICKS = 10;
+
+	static final int PEERS_PER_INTERVAL = 6;
+
+	// How often unchanged load is repeated. Receivers discard load that was not
+	// repeated for two and a half seconds.
+	private static final long FULL_REPORT_INTERVAL_TICKS = 50;
+
+	// Bounds one report. Only an entry that can dispatch nothing refuses more, and a
+	// retry of a request that was left out is treated as a first attempt.
+	private static final int MAX_REFUSED_REQUESTS = 200;
+
+	private final String failureDomain;
+
+	private final BiConsumer<String, Frame> sender;
+
+	private final PeerGroup localPeers = new PeerGroup(LOCAL_INTERVAL_TICKS);
+
+	private final PeerGroup remotePeers = new PeerGroup(REMOTE_INTERVAL_TICKS);
+
+	/**
+	 * Creates the reporter of one entry.
+	 * @param sender sends a frame to an entry by name
+	 */
+	LoadReporter(String failureDomain, BiConsumer<String, Frame> sender) {
+		this.failureDomain = failureDomain;
+		this.sender = sender;
+	}
+
+	/**
+	 * Sends the reports that are due.
+	 * @param ticks counts the ticks of the entry, 20 ms each; most of them send no report
+	 * @param nowNanos the time that ages in the report refer to
+	 * @param receivers the other entries that this one reports to
+	 * @param ownLoads the in-flight load of this entry at each runner
+	 */
+	void tick(long ticks, long nowNanos, Supplier<List<EntryInfo>> receivers, Supplier<List<RunnerLoad>> ownLoads) {
+		if (!this.localPeers.due(ticks) && !this.remotePeers.due(ticks)) {
+			return;
+		}
+		List<EntryInfo> others = receivers.get();
+		List<RunnerLoad> loads = ownLoads.get();
+		List<String> local = others.stream().filter(this::isLocal).map(EntryInfo::name).toList();
+		List<String> remote = others.stream().filter((info) -> !isLocal(info)).map(EntryInfo::name).toList();
+		this.localPeers.tick(ticks, nowNanos, local, loads);
+		this.remotePeers.tick(ticks, nowNanos, remote, loads);
+	}
+
+	/**
+	 * Adds a refused request to the next report: its caller retries at any entry, a
+	 * second or more later.
+	 */
+	void addRefusedRequest(RefusedRequest request) {
+		this.localPeers.recordRefusal(request);
+		this.remotePeers.recordRefusal(request);
+	}
+
+	/**
+	 * Repeats all load in the next report, since a newly linked entry has received none.
+	 */
+	void repeatAll() {
+		this.localPeers.lastReported.clear();
+		this.remotePeers.lastReported.clear();
+	}
+
+	private boolean isLocal(EntryInfo info) {
+		return info.failureDomain().equals(this.failureDomain);
+	}
+
+	/**
+	 * The key of a reported load.
+	 */
+	private record RunnerKey(String runnerId, RunnerIncarnation incarnation) {
+	}
+
+	/** Peers that get reports equally often. */
+	private final class PeerGroup {
+
+		private final int minIntervalTicks;
+
+		private final Map<RunnerKey, InFlightLoad> lastReported = new HashMap<>();
+
+		private final List<RefusedRequest> refusedRequests = new ArrayList<>();
+
+		private long nextReportTicks;
+
+		private long nextFullReportTicks;
+
+		private PeerGroup(int minIntervalTicks) {
+			this.minIntervalTicks = minIntervalTicks;
+		}
+
+		private boolean due(long ticks) {
+			return ticks >= this.nextReportTicks;
+		}
+
+		private void recordRefusal(RefusedRequest request) {
+			if (this.refusedRequests.size() < MAX_REFUSED_REQUESTS) {
+				this.refusedRequests.add(request);
+			}
+		}
+
+		private void tick(long ticks, long nowNanos, List<String> peers, List<RunnerLoad> loads) {
+			if (!due(ticks)) {
+				return;
+			}
+			int rounds = Math.max(1, (peers.size() + PEERS_PER_INTERVAL - 1) / PEERS_PER_INTERVAL);
+			this.nextReportTicks = ticks + (long) rounds * this.minIntervalTicks;
+			if (peers.isEmpty()) {
+				this.refusedRequests.clear();
+				return;
+			}
+			boolean full = ticks >= this.nextFullReportTicks;
+			this.nextFullReportTicks = full ? ticks + FULL_REPORT_INTERVAL_TICKS : this.nextFullReportTicks;
+			LoadReport report = report(loads, full, nowNanos);
+			if (report.getLoadsCount() > 0 || report.getRefusedCount() > 0) {
+				Frame frame = Frame.newBuilder().setLoadReport(report).build();
+				peers.forEach((name) -> LoadReporter.this.sender.accept(name, frame));
+			}
+		}
+
+		private LoadReport report(List<RunnerLoad> loads, boolean full, long nowNanos) {
+			LoadReport.Builder report = LoadReport.newBuilder();
+			Set<RunnerKey> current = new HashSet<>();
+			for (RunnerLoad one : loads) {
+				RunnerKey key = new RunnerKey(one.runnerId(), one.incarnation());
+				current.add(key);
+				boolean changed = !one.load().equals(this.lastReported.getOrDefault(key, InFlightLoad.NONE));
+				if (changed || (full && one.load().requests() > 0)) {
+					this.lastReported.put(key, one.load());
+					report.addLoads(LoadReportCodec.encode(one));
+				}
+			}
+			this.lastReported.keySet().retainAll(current);
+			this.refusedRequests.forEach((one) -> report.addRefused(LoadReportCodec.encode(one, nowNanos)));
+			this.refusedRequests.clear();
+			return report.build();
+		}
+
+	}
+
+}
--- /dev/null
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/StoreReplication.java
@@ -0,0 +1,448 @@
+package org.wisteriapost.entry.direct;
+
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.EnumMap;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.OptionalLong;
+import java.util.Set;
+import java.util.function.BiConsumer;
+import java.util.function.LongSupplier;
+import java.util.function.Supplier;
+import java.util.stream.Collectors;
+
+import org.wisteriapost.kernel.log.DecisionLog;
+import org.wisteriapost.policy.fleet.LinkedEntry;
+import org.wisteriapost.policy.fleet.StoreRole;
+import org.wisteriapost.policy.fleet.UpstreamSelector;
+import org.wisteriapost.policy.routing.LastConfirmedTime;
+import org.wisteriapost.protocol.site.Kind;
+import org.wisteriapost.protocol.site.ObjectStore;
+import org.wisteriapost.protocol.wire.Frame;
+import org.wisteriapost.protocol.wire.KnownKind;
+import org.wisteriapost.protocol.wire.News;
+import org.wisteriapost.protocol.wire.NewsRequest;
+import org.wisteriapost.protocol.wire.StoreKind;
+import org.wisteriapost.protocol.wire.StoreObject;
+
+/**
+ * Replicates the site's store between entries. Sends updates to entries that do not read
+ * the store, because it does not answer them or because this entry is their leader, and
+ * receives updates while this entry does not read it. Confined to the state thread.
+ */
+final class StoreReplication {
+
+	// Half a second: subscribers take longer silence for a failure.
+	private static final int TICKS_PER_HEARTBEAT = 5;
+
+	// Large kinds come last: on a slow link small ones would wait behind the route
+	// table, and callers would find no runner until it has arrived.
+	private static final List<Kind> ANSWER_ORDER = List.of(Kind.RUNNERS, Kind.ENTRIES, Kind.WEIGHTS, Kind.ROUTES);
+
+	private final StoreReplica replica;
+
+	private final UpdateSubscriptions subscriptions;
+
+	private final UpdatePublisher publisher;
+
+	private final BiConsumer<String, Frame> sender;
+
+	private final LongSupplier clock;
+
+	private final DecisionLog log;
+
+	private final UpstreamSelector upstream;
+
+	private final StoreRole storeRole;
+
+	private final LastConfirmedTime lastConfirmed = new LastConfirmedTime();
+
+	// Peers that send updates which are not accepted here, since the notice that ended
+	// the subscription was lost with a link. Without another notice they would send for
+	// ever and never become followers. It is repeated once a tick until it arrives.
+	private final Set<String> unsolicited = new HashSet<>();
+
+	private List<LinkedEntry> linkedEntries = List.of();
+
+	private long tickNanos;
+
+	private boolean storeAnswers;
+
+	private int ticks;
+
+	/**
+	 * Creates the replication of one entry.
+	 * @param storeRole the role of this entry, which decides whose updates it accepts
+	 * @param upstream selects the entry to ask while the store does not answer
+	 * @param sender sends a frame to an entry by name
+	 */
+	StoreReplication(ObjectStore store, StoreRole storeRole, UpstreamSelector upstream,
+			BiConsumer<String, Frame> sender, LongSupplier clock, DecisionLog log) {
+		this.replica = new StoreReplica(store);
+		this.subscriptions = new UpdateSubscriptions(this.replica, clock, log);
+		this.publisher = new UpdatePublisher(sender, clock);
+		this.storeRole = storeRole;
+		this.upstream = upstream;
+		this.sender = sender;
+		this.clock = clock;
+		this.log = log;
+	}
+
+	// Reads of the store.
+
+	/**
+	 * Applies a listing of a kind.
+	 * @param revision the store's revision at the listing
+	 */
+	void applyFromStore(Kind kind, List<ObjectStore.Item> all, long revision) {
+		Map<String, Long> before = this.replica.revisions(kind);
+		if (this.replica.applyFromStore(kind, all, revision)) {
+			this.subscriptions.objectsDropped(kind);
+		}
+		this.publisher.subscribers()
+			.forEach((peer) -> this.publisher.send(peer, fullUpdate(kind, revisionsHeldBy(peer, before))));
+	}
+
+	// A subscriber has received what was known here before, and requests what it has
+	// missed. Only a legacy subscriber does not.
+	private Map<String, Long> revisionsHeldBy(String peer, Map<String, Long> revisions) {
+		return this.publisher.sendsStamps(peer) ? revisions : Map.of();
+	}
+
+	/**
+	 * Applies a change and returns whether it is newer than what is known.
+	 */
+	boolean applyFromStore(Kind kind, ObjectStore.Change change) {
+		if (!this.replica.applyFromStore(kind, change)) {
+			return false;
+		}
+		publish(() -> News.newBuilder()
+			.setCurrent(true)
+			.setKind(toWire(kind))
+			.addObjects(this.replica.toWire(kind, change))
+			.build());
+		return true;
+	}
+
+	/**
+	 * Records the time as of which the store's routes are known, by this process's
+	 * monotonic clock.
+	 */
+	void routesConfirmed(long confirmedNanos) {
+		this.publisher.routesConfirmed(confirmedNanos);
+		this.lastConfirmed.confirmed(confirmedNanos);
+	}
+
+	/**
+	 * Returns the store's revision up to which the objects of a kind are known.
+	 */
+	long knownRevision(Kind kind) {
+		return this.replica.knownRevision(kind);
+	}
+
+	/**
+	 * Returns the latest time as of which the store's routes are known here, from this
+	 * entry's reads or from peers.
+	 */
+	OptionalLong routesConfirmedNanos() {
+		return this.lastConfirmed.nanos();
+	}
+
+	/**
+	 * Returns the latest time as of which the routes of a peer are confirmed.
+	 */
+	OptionalLong routesConfirmedNanos(String peer) {
+		return this.subscriptions.routesConfirmedNanos(peer);
+	}
+
+	/**
+	 * Handles a suspension of this VM.
+	 */
+	void suspended(long nowNanos) {
+		this.publisher.suspended(nowNanos);
+		this.lastConfirmed.discardBefore(nowNanos);
+	}
+
+	/**
+	 * Ends reading the store. Entries that have subscribed in the meantime are notified:
+	 * heartbeats alone would keep them on stale state. The result of this entry's last
+	 * call to the store is discarded, since after a failure it would subscribe to an
+	 * upstream besides its leader.
+	 */
+	void stopReading() {
+		this.storeAnswers = false;
+		this.upstream.storeReachabilityChanged(true).ifPresent(this::unsubscribeUnlessAccepted);
+		dismissSubscribers();
+	}
+
+	/**
+	 * Returns whether the store answers this entry and no other entry depends on its
+	 * reading.
+	 */
+	boolean mayStopReading() {
+		return this.storeAnswers && this.publisher.hasNoSubscribers();
+	}
+
+	/**
+	 * Records whether the store answers this entry. Ignored while it is a follower: the
+	 * result of a call from before would make it request everything from other entries,
+	 * or report that it reads, until it reads again.
+	 */
+	void storeReachable(boolean reachable) {
+		if (this.storeRole.isFollower()) {
+			return;
+		}
+		this.storeAnswers = reachable;
+		this.upstream.storeReachabilityChanged(reachable).ifPresent(this::unsubscribeUnlessAccepted);
+		if (!reachable) {
+			dismissSubscribers();
+		}
+	}
+
+	/**
+	 * Notifies all subscribers that this entry may be stale, and removes them.
+	 */
+	void dismissSubscribers() {
+		publish(() -> News.newBuilder().setCurrent(false).build());
+		this.publisher.clear();
+	}
+
+	boolean hasSubscribers() {
+		return !this.publisher.hasNoSubscribers();
+	}
+
+	// Messages from and to other entries.
+
+	/**
+	 * Subscribes, retries and sends heartbeats as they are due. Called every 100 ms.
+	 * @param linked the linked entries
+	 */
+	void tick(Collection<LinkedEntry> linked, long nowNanos) {
+		this.linkedEntries = List.copyOf(linked);
+		this.tickNanos = nowNanos;
+		this.publisher.retain(linked.stream().map(LinkedEntry::name).collect(Collectors.toSet()));
+		this.ticks++;
+		if (this.ticks % TICKS_PER_HEARTBEAT == 0) {
+			publish(() -> News.newBuilder().setCurrent(true).build());
+		}
+		List.copyOf(this.unsolicited).forEach(this::unsubscribeUnlessAccepted);
+		this.unsolicited.clear();
+		execute(this.upstream.tick(linked, nowNanos));
+		// After the upstream was selected, so that only accepted peers are asked again.
+		this.subscriptions
+			.retain((peer) -> this.storeRole.acceptsUpdatesFrom(peer) || this.upstream.acceptsUpdatesFrom(peer));
+		this.subscriptions.peers().forEach(this::retry);
+		if (this.ticks % TICKS_PER_HEARTBEAT == 0) {
+			this.subscriptions.peers()
+				.forEach((peer) -> this.subscriptions.keepAlive(peer)
+					.ifPresent((frame) -> this.sender.accept(peer, frame)));
+		}
+	}
+
+	/**
+	 * Handles a new link to another entry.
+	 */
+	void linkEstablished(String peer) {
+		this.subscriptions.linkEstablished(peer);
+	}
+
+	/**
+	 * Returns the frame that subscribes to a peer's updates.
+	 */
+	Frame subscribe(String peer) {
+		return this.subscriptions.subscribe(peer);
+	}
+
+	/**
+	 * Returns whether nothing is missing of what a peer has sent.
+	 */
+	boolean isComplete(String peer) {
+		return this.subscriptions.isComplete(peer);
+	}
+
+	/**
+	 * Ends the subscription to a peer, unless its updates are accepted. Its state is
+	 * removed, since the peer sends no more; a later subscription starts anew.
+	 */
+	void unsubscribeUnlessAccepted(String peer) {
+		if (!this.storeRole.acceptsUpdatesFrom(peer) && !this.upstream.acceptsUpdatesFrom(peer)) {
+			this.subscriptions.remove(peer);
+			this.sender.accept(peer, unsubscribeFrame());
+		}
+	}
+
+	private void execute(List<UpstreamSelector.Step> steps) {
+		for (UpstreamSelector.Step step : steps) {
+			switch (step) {
+				case UpstreamSelector.Step.Ask ask -> {
+					this.log.decision("store-through-entry", "entry", ask.entry());
+					this.sender.accept(ask.entry(), subscribe(ask.entry()));
+				}
+				case UpstreamSelector.Step.Dismiss dismiss -> unsubscribeUnlessAccepted(dismiss.entry());
+			}
+		}
+	}
+
+	/**
+	 * Handles a peer's request to subscribe, to keep its subscription alive or to end it.
+	 */
+	void requestReceived(String peer, NewsRequest request) {
+		if (!request.getWanted()) {
+			this.publisher.remove(peer);
+			return;
+		}
+		this.publisher.recordStamp(peer, request);
+		if (!this.storeAnswers) {
+			this.publisher.send(peer, notCurrentUpdate());
+			return;
+		}
+		if (request.getKeepAlive()) {
+			this.publisher.answerKeepAlive(peer, News.newBuilder().setCurrent(true).build());
+			return;
+		}
+		this.publisher.add(peer);
+		Map<Kind, Map<String, Long>> held = revisionsHeld(request);
+		for (Kind kind : ANSWER_ORDER) {
+			this.publisher.send(peer, fullUpdate(kind, held.getOrDefault(kind, Map.of())));
+		}
+	}
+
+	// Tells how recently the leader was heard here. A peer that alone has lost the
+	// leader would otherwise wait for this entry to read the store.
+	private News notCurrentUpdate() {
+		News.Builder news = News.newBuilder().setCurrent(false);
+		this.storeRole.millisSinceLeaderHeard(this.clock.getAsLong()).ifPresent(news::setHeardAgoMillis);
+		return news.build();
+	}
+
+	/**
+	 * Applies an update of a peer and returns the changes as if they were read from the
+	 * store.
+	 */
+	List<DirectEvent> updateReceived(String peer, News update) {
+		if (!accepts(peer, update)) {
+			this.subscriptions.remove(peer);
+			return List.of();
+		}
+		this.subscriptions.recordFrame(peer, update);
+		List<DirectEvent> changes = fromWire(update.getKind()).map((kind) -> applyUpdate(peer, kind, update))
+			.orElse(List.of());
+		this.subscriptions.routesConfirmedNanos(peer, update).ifPresent(this.lastConfirmed::confirmed);
+		retry(peer);
+		return changes;
+	}
+
+	private void retry(String peer) {
+		this.subscriptions.retry(peer).ifPresent((frame) -> this.sender.accept(peer, frame));
+	}
+
+	private List<DirectEvent> applyUpdate(String peer, Kind kind, News update) {
+		if (this.upstream.acceptsUpdatesFrom(peer)) {
+			this.upstream.answerReceived(true, this.tickNanos);
+		}
+		if (!this.replica.hasReferenced(kind, update.getObjectsList())) {
+			this.subscriptions.contentMissing(peer, kind, update);
+			return List.of();
+		}
+		List<DirectEvent> changes = new ArrayList<>();
+		for (StoreObject object : update.getObjectsList()) {
+			this.replica.applyFromPeer(kind, object)
+				.ifPresent((change) -> changes.add(new DirectEvent.ObjectChanged(kind, change)));
+		}
+		if (update.getAll()) {
+			this.subscriptions.markDelivered(peer, kind);
+			return List.of(applyFullUpdate(kind, update));
+		}
+		// If an earlier change is missing, the update does not prove up to where the
+		// kind is known: a subscriber of this entry would remove objects that were
+		// created in between.
+		if (this.subscriptions.hasAll(peer, kind)) {
+			update.getObjectsList().forEach((object) -> this.replica.advanceRevision(kind, object.getRevision()));
+		}
+		return changes;
+	}
+
+	private DirectEvent applyFullUpdate(Kind kind, News update) {
+		Set<String> listed = new HashSet<>();
+		update.getObjectsList().forEach((object) -> listed.add(object.getName()));
+		this.replica.removeUnlisted(kind, listed, update.getAt());
+		this.replica.advanceRevision(kind, update.getAt());
+		return new DirectEvent.ObjectsListed(kind, this.replica.items(kind), this.replica.knownRevision(kind));
+	}
+
+	private boolean accepts(String peer, News update) {
+		if (this.storeRole.acceptsUpdatesFrom(peer)) {
+			return update.getCurrent();
+		}
+		if (!this.upstream.acceptsUpdatesFrom(peer)) {
+			if (update.getCurrent()) {
+				this.unsolicited.add(peer);
+			}
+			return false;
+		}
+		if (!update.getCurrent()) {
+			this.upstream.answerReceived(false, this.tickNanos);
+			execute(this.upstream.tick(this.linkedEntries, this.tickNanos));
+			return false;
+		}
+		this.upstream.heartbeatReceived(this.tickNanos);
+		return true;
+	}
+
+	private void publish(Supplier<News> update) {
+		if (!this.publisher.hasNoSubscribers()) {
+			this.publisher.publish(update.get());
+		}
+	}
+
+	private News fullUpdate(Kind kind, Map<String, Long> held) {
+		return News.newBuilder()
+			.setCurrent(true)
+			.setAll(true)
+			.setKind(toWire(kind))
+			.setAt(this.replica.knownRevision(kind))
+			.addAllObjects(this.replica.toWire(kind, held))
+			.build();
+	}
+
+	private static Map<Kind, Map<String, Long>> revisionsHeld(NewsRequest request) {
+		Map<Kind, Map<String, Long>> held = new EnumMap<>(Kind.class);
+		for (KnownKind known : request.getKnownList()) {
+			Map<String, Long> revisions = new HashMap<>();
+			known.getObjectsList().forEach((object) -> revisions.put(object.getName(), object.getRevision()));
+			fromWire(known.getKind()).ifPresent((kind) -> held.put(kind, revisions));
+		}
+		return held;
+	}
+
+	/**
+	 * Returns the frame that ends a subscription.
+	 */
+	static Frame unsubscribeFrame() {
+		return Frame.newBuilder().setNewsRequest(NewsRequest.newBuilder().setWanted(false)).build();
+	}
+
+	static StoreKind toWire(Kind kind) {
+		return switch (kind) {
+			case ROUTES -> StoreKind.STORE_ROUTES;
+			case RUNNERS -> StoreKind.STORE_RUNNERS;
+			case WEIGHTS -> StoreKind.STORE_WEIGHTS;
+			case ENTRIES -> StoreKind.STORE_ENTRIES;
+		};
+	}
+
+	static Optional<Kind> fromWire(StoreKind kind) {
+		return switch (kind) {
+			case STORE_ROUTES -> Optional.of(Kind.ROUTES);
+			case STORE_RUNNERS -> Optional.of(Kind.RUNNERS);
+			case STORE_WEIGHTS -> Optional.of(Kind.WEIGHTS);
+			case STORE_ENTRIES -> Optional.of(Kind.ENTRIES);
+			case STORE_KIND_UNSPECIFIED, UNRECOGNIZED -> Optional.empty();
+		};
+	}
+
+}
--- /dev/null
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/StoreRoleController.java
@@ -0,0 +1,115 @@
+package org.wisteriapost.entry.direct;
+
+import java.util.Collection;
+import java.util.List;
+import java.util.concurrent.TimeUnit;
+import java.util.function.BiConsumer;
+
+import org.wisteriapost.kernel.log.DecisionLog;
+import org.wisteriapost.policy.fleet.StoreRole;
+import org.wisteriapost.protocol.site.Kind;
+import org.wisteriapost.protocol.wire.Frame;
+import org.wisteriapost.protocol.wire.News;
+
+/**
+ * Executes the decisions of {@link StoreRole}. Confined to the state thread.
+ */
+final class StoreRoleController {
+
+	private final StoreRole role;
+
+	private final StoreReplication replication;
+
+	private final StoreWatches watches;
+
+	private final BiConsumer<String, Frame> sender;
+
+	private final DecisionLog log;
+
+	private boolean hasSubscribers;
+
+	/**
+	 * Creates the controller of one entry.
+	 * @param sender sends a frame to an entry by name
+	 */
+	StoreRoleController(StoreRole role, StoreReplication replication, StoreWatches watches,
+			BiConsumer<String, Frame> sender, DecisionLog log) {
+		this.role = role;
+		this.replication = replication;
+		this.watches = watches;
+		this.sender = sender;
+		this.log = log;
+	}
+
+	/**
+	 * Returns whether this entry is a follower, which receives the store from a leader.
+	 */
+	boolean isFollower() {
+		return this.role.isFollower();
+	}
+
+	/**
+	 * Handles a read that was discarded because it completed too late. The watch resumes
+	 * behind it later and would not read it again.
+	 */
+	void readDiscarded(Kind kind) {
+		this.watches.requireListing(kind);
+	}
+
+	/**
+	 * Executes the steps that are due.
+	 * @param group the entries that share a leader with this one
+	 * @param complete whether this entry has read all kinds
+	 */
+	void tick(Collection<String> group, boolean complete, long nowNanos) {
+		execute(this.role.tick(group, complete && this.replication.mayStopReading(), nowNanos));
+		if (this.replication.hasSubscribers() != this.hasSubscribers) {
+			this.hasSubscribers = this.replication.hasSubscribers();
+			this.watches.setHasSubscribers(this.hasSubscribers);
+		}
+	}
+
+	/**
+	 * Applies an update of a peer and returns the changes as if they were read from the
+	 * store.
+	 */
+	List<DirectEvent> updateReceived(String peer, News update, long nowNanos) {
+		List<DirectEvent> changes = this.replication.updateReceived(peer, update);
+		this.replication.routesConfirmedNanos(peer).ifPresent((asOf) -> this.role.routesConfirmed(peer, asOf));
+		if (this.role.acceptsUpdatesFrom(peer)) {
+			applyLeaderStatus(peer, update, nowNanos);
+		}
+		return changes;
+	}
+
+	// Heartbeats after a lost frame prove nothing. A follower takes a leader whose
+	// updates stay incomplete for silent and reads the store itself: otherwise it would
+	// keep a stale table.
+	private void applyLeaderStatus(String peer, News update, long nowNanos) {
+		boolean current = update.getCurrent();
+		boolean updatesComplete = this.replication.isComplete(peer);
+		if (!current && update.hasHeardAgoMillis()) {
+			long agoNanos = TimeUnit.MILLISECONDS.toNanos(update.getHeardAgoMillis());
+			execute(this.role.followerStatusReceived(peer, agoNanos, nowNanos));
+		}
+		else if (updatesComplete || !current || !this.role.hasLeader()) {
+			execute(this.role.statusReceived(peer, current, updatesComplete, nowNanos));
+		}
+	}
+
+	private void execute(List<StoreRole.Step> steps) {
+		for (StoreRole.Step step : steps) {
+			this.log.decision("store-duty", "step", step);
+			switch (step) {
+				case StoreRole.Step.Ask ask -> this.sender.accept(ask.entry(), this.replication.subscribe(ask.entry()));
+				case StoreRole.Step.Dismiss dismiss -> this.replication.unsubscribeUnlessAccepted(dismiss.entry());
+				case StoreRole.Step.Rest rest -> {
+					this.replication.stopReading();
+					this.watches.pause();
+				}
+				case StoreRole.Step.Read read -> this.watches.resume(this.replication::knownRevision);
+			}
+		}
+	}
+
+}
--- a/entry/src/main/java/org/wisteriapost/entry/process/BurnRecorder.java
+++ b/entry/src/main/java/org/wisteriapost/entry/process/BurnRecorder.java
@@ -15,8 +15,8 @@
 import org.wisteriapost.policy.request.Request;
 
 /**
- * Turns final answers into service-level figures. Written to by the event loop, read by
- * the timer that takes them to the platform.
+ * Counts final answers against the service-level objectives. Updated by the event loop
+ * and read by the timer that writes snapshots to the platform.
  */
 final class BurnRecorder {
 
@@ -24,14 +24,14 @@
 
 	private final Map<Long, Long> firstByteMillis = new HashMap<>();
 
-	private final LatencyClassifier judge;
+	private final LatencyClassifier classifier;
 
-	private BurnRecorder(LatencyClassifier judge) {
-		this.judge = judge;
+	private BurnRecorder(LatencyClassifier classifier) {
+		this.classifier = classifier;
 	}
 
 	/**
-	 * Returns a recorder that tells late answers by these objectives.
+	 * Returns a recorder that classifies answers by these objectives.
 	 */
 	static BurnRecorder of(List<Objective> objectives) {
 		return new BurnRecorder(LatencyClassifier.of(objectives));
@@ -42,12 +42,12 @@
 	}
 
 	/**
-	 * Counts a final answer. One whose caller hung up is not the service's failure and is
-	 * left out.
+	 * Counts a final answer. A request whose caller disconnected is not a failure of the
+	 * service and is not counted.
 	 */
 	synchronized void answered(Request request, Outcome outcome, String code, long nowMillis) {
 		Long firstByte = this.firstByteMillis.remove(request.id());
-		if (code.equals(Calls.CALLER_GONE.name())) {
+		if (code.equals(ActiveRequests.CALLER_GONE.name())) {
 			return;
 		}
 		this.ledger.count(new RequestSeries(request.service(), request.organisation()),
@@ -60,12 +60,10 @@
 
 	private RequestResult result(Request request, Outcome outcome, Long firstByte) {
 		return switch (outcome) {
-			case RAN ->
-				this.judge.classify(request.service(), request.organisation(), (firstByte != null) ? firstByte : 0);
+			case RAN -> this.classifier.classify(request.service(), request.organisation(),
+					(firstByte != null) ? firstByte : 0);
 			case NOT_RUN -> RequestResult.REFUSED;
-			// An answer whose first byte went out and that was then given up was cut
-			// before
-			// the caller's eyes.
+			// The caller saw an answer that started and then broke off.
 			case UNKNOWN -> (firstByte != null) ? RequestResult.FAILED : RequestResult.UNKNOWN;
 		};
 	}
--- a/entry/src/test/java/org/wisteriapost/entry/caller/PipelinedRefusalTests.java
+++ b/entry/src/test/java/org/wisteriapost/entry/caller/PipelinedRefusalTests.java
@@ -18,16 +18,17 @@
 
 	private static final int REQUESTS = 20_000;
 
-	// One caller sends its requests without waiting for answers, and each is refused on
-	// the I/O thread. None of them ends the thread that all callers share.
+	// Each pipelined request is refused on the I/O thread. If the refusals nested, the
+	// stack would overflow and end the thread that all callers share.
 	@Test
-	void requestsThatAreRefusedAtOnceDoNotNest() throws Exception {
+	void pipelinedRefusalsDoNotOverflowTheStack() throws Exception {
 		Undertow server = Undertow.builder()
 			.addHttpListener(0, "127.0.0.1")
 			.setIoThreads(1)
 			.setWorkerOption(Options.STACK_SIZE, 256L << 10)
 			.setHandler((exchange) -> exchange.dispatch(SameThreadExecutor.INSTANCE,
-					() -> new CallerAnswer(exchange, "request", 1 << 20).refuse(Refusal.bad(400, "bad", "bad"))))
+					() -> new CallerAnswer(exchange, "request", 1 << 20)
+						.refuse(Refusal.invalidRequest(400, "bad", "bad"))))
 			.build();
 		server.start();
 		int port = ((InetSocketAddress) server.getListenerInfo().getFirst().getAddress()).getPort();
--- a/entry/src/test/java/org/wisteriapost/entry/direct/StateBench.java
+++ b/entry/src/test/java/org/wisteriapost/entry/direct/EntryStateFixture.java
@@ -49,14 +49,14 @@
 import org.wisteriapost.protocol.wire.Frame;
 
 /**
- * One entry's state, and a neighbour that may read the store for it. No sockets, no
- * threads, and a clock that the test moves.
+ * Runs one entry's state machine and a peer that may lead it, without sockets or threads
+ * and with a clock that the test advances.
  */
-final class StateBench implements AutoCloseable {
+final class EntryStateFixture implements AutoCloseable {
 
 	static final long MILLI = 1_000_000;
 
-	static final Duration IN_FORCE = Duration.ofSeconds(3);
+	static final Duration ACTIVATION_DELAY = Duration.ofSeconds(3);
 
 	static final String HOST = "desk.example";
 
@@ -64,61 +64,61 @@
 
 	private static final long TICK = 20 * MILLI;
 
-	private static final int NEIGHBOUR_TICKS = 5;
+	private static final int LEADER_TICKS = 5;
 
 	private static final List<String> NAMES = RendezvousHashing.rank(List.of("a", "b"), "store");
 
-	/** The neighbour, which by rendezvous reads for both. */
-	static final String READER = NAMES.getFirst();
+	/** The peer, which rendezvous hashing makes the leader of both. */
+	static final String LEADER = NAMES.getFirst();
 
 	private static final String SELF = NAMES.getLast();
 
 	private final DecisionLog log = DecisionLog.start("test", new PrintStream(OutputStream.nullOutputStream()));
 
-	private final DeclaredStore store = new DeclaredStore(5);
+	private final FakeObjectStore store = new FakeObjectStore(5);
 
-	private final Following following = new Following();
+	private final StoreWatches following = new StoreWatches();
 
 	private final Queue<DirectEvent> events = new ArrayDeque<>();
 
 	private final List<String> answers = new ArrayList<>();
 
-	private final List<Frame> sent = new ArrayList<>();
+	private final List<Frame> sentFrames = new ArrayList<>();
 
 	private final DirectView view;
 
 	private final DirectState state;
 
-	private final SiteNews reader;
+	private final StoreReplication leader;
 
-	private final Queue<Frame> fromReader = new ArrayDeque<>();
+	private final Queue<Frame> fromLeader = new ArrayDeque<>();
 
 	private boolean linked;
 
 	private long now = 100_000 * MILLI;
 
-	private long dayMillis = 1_000_000;
+	private long wallMillis = 1_000_000;
 
 	private long ids;
 
 	private long ticks;
 
-	StateBench() {
-		DirectClock clock = new DirectClock(() -> this.now, () -> this.dayMillis);
+	EntryStateFixture() {
+		EntryClocks clocks = new EntryClocks(() -> this.now, () -> this.wallMillis);
 		UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(42);
 		DispatchLimits limits = new DispatchLimits("p1", 0.2, 100, Duration.ofSeconds(10), Duration.ofSeconds(8));
-		this.view = new DirectView(clock);
+		this.view = new DirectView(clocks);
 		this.state = new DirectState(settings(), entry(SELF), Dispatcher.create(limits, random), new Answers(),
-				this.log, DirectMetrics.in(new SimpleMeterRegistry()), random, clock, this.view);
+				this.log, DirectMetrics.create(new SimpleMeterRegistry()), random, clocks, this.view);
 		this.state.connect(new Sender(), this.store, this.following);
-		this.reader = new SiteNews(this.store, StoreRole.of(READER), UpstreamSelector.of(READER),
-				(peer, frame) -> this.fromReader.add(frame), () -> this.now, this.log);
+		this.leader = new StoreReplication(this.store, StoreRole.of(LEADER), UpstreamSelector.of(LEADER),
+				(peer, frame) -> this.fromLeader.add(frame), () -> this.now, this.log);
 	}
 
 	private static SiteSettings settings() {
 		return new SiteSettings(SELF, "127.0.0.1", "p1", "r1", Optional.empty(), Optional.empty(), Optional.empty(), 1,
 				1, URI.create("http://store.example"), Optional.empty(), "", 1_000_000,
-				new SiteSettings.Bounds(Duration.ofSeconds(8), IN_FORCE, Duration.ofSeconds(8), 0.2, 100,
+				new SiteSettings.Bounds(Duration.ofSeconds(8), ACTIVATION_DELAY, Duration.ofSeconds(8), 0.2, 100,
 						Duration.ofSeconds(10), Duration.ofSeconds(3)));
 	}
 
@@ -147,11 +147,11 @@
 	}
 
 	/**
-	 * Returns enough entries that one of them may read the store for all.
+	 * Returns enough entries for one of them to lead the others.
 	 */
 	List<ObjectStore.Item> entries() {
 		List<ObjectStore.Item> entries = new ArrayList<>();
-		entries.add(this.store.item(READER, 2, new Declared.Entry(entry(READER))));
+		entries.add(this.store.item(LEADER, 2, new Declared.Entry(entry(LEADER))));
 		for (int i = 1; i < StoreRole.MAX_ENTRIES_WITHOUT_LEADER; i++) {
 			entries.add(this.store.item("n" + i, 2, new Declared.Entry(entry("n" + i))));
 		}
@@ -159,25 +159,25 @@
 	}
 
 	/**
-	 * Has both read the same of the store.
+	 * Delivers the same listing of the store to the entry and to its leader.
 	 */
-	void bothRead(List<ObjectStore.Item> routes, List<ObjectStore.Item> runners) {
-		selfReads(routes, runners);
-		readerReads(routes, runners);
+	void listOnBoth(List<ObjectStore.Item> routes, List<ObjectStore.Item> runners) {
+		listOnSelf(routes, runners);
+		listOnLeader(routes, runners);
 	}
 
-	void selfReads(List<ObjectStore.Item> routes, List<ObjectStore.Item> runners) {
-		this.events.add(new DirectEvent.StoreReachable(Kind.RUNNERS, true));
+	void listOnSelf(List<ObjectStore.Item> routes, List<ObjectStore.Item> runners) {
+		this.events.add(new DirectEvent.StoreReachability(Kind.RUNNERS, true));
 		for (Kind kind : Kind.values()) {
-			this.events.add(new DirectEvent.AllObjects(kind, of(kind, routes, runners), 5));
+			this.events.add(new DirectEvent.ObjectsListed(kind, of(kind, routes, runners), 5));
 		}
-		pump();
+		applyStoreEvents();
 	}
 
-	void readerReads(List<ObjectStore.Item> routes, List<ObjectStore.Item> runners) {
-		this.reader.reachable(true);
+	void listOnLeader(List<ObjectStore.Item> routes, List<ObjectStore.Item> runners) {
+		this.leader.storeReachable(true);
 		for (Kind kind : Kind.values()) {
-			this.reader.read(kind, of(kind, routes, runners), 5);
+			this.leader.applyFromStore(kind, of(kind, routes, runners), 5);
 		}
 	}
 
@@ -191,78 +191,77 @@
 	}
 
 	/**
-	 * Follows the store, which has these objects.
+	 * Makes the entry follow a store that holds the given objects.
 	 */
-	void follow(List<ObjectStore.Item> routes, List<ObjectStore.Item> runners) {
+	void followStore(List<ObjectStore.Item> routes, List<ObjectStore.Item> runners) {
 		for (Kind kind : Kind.values()) {
-			this.store.listed(kind, of(kind, routes, runners));
+			this.store.setListing(kind, of(kind, routes, runners));
 			this.following.add(kind, Follower.start(this.store, kind, new InlineTimer(),
 					DirectProcess.listener(kind, this.events::add)));
 		}
-		pump();
+		applyStoreEvents();
 	}
 
 	void link(boolean up) {
 		this.linked = up;
-		apply(new DirectEvent.PeerLink(READER, up));
+		apply(new DirectEvent.PeerLinkChanged(LEADER, up));
 		if (up) {
-			apply(new DirectEvent.PeerMet(READER));
+			apply(new DirectEvent.PeerIdentified(LEADER));
 		}
 	}
 
 	/**
-	 * Runs until the entry has asked its neighbour to read for it and the answer is on
-	 * its way.
+	 * Runs until the entry has subscribed to its leader and the reply is in transit.
 	 */
-	void untilAsked() {
+	void runUntilSubscribed() {
 		link(true);
-		while (this.fromReader.isEmpty()) {
+		while (this.fromLeader.isEmpty()) {
 			tick();
 		}
 	}
 
 	/**
-	 * Hears what the neighbour has sent.
+	 * Delivers the frames that the leader has sent.
 	 */
-	void hear() {
-		while (!this.fromReader.isEmpty()) {
-			apply(new DirectEvent.PeerNews(READER, this.fromReader.remove().getNews()));
+	void deliverUpdates() {
+		while (!this.fromLeader.isEmpty()) {
+			apply(new DirectEvent.PeerStateUpdated(LEADER, this.fromLeader.remove().getNews()));
 		}
 	}
 
 	/**
-	 * Runs for some time, in which the neighbour is heard.
+	 * Runs for some time, during which the leader's frames are delivered.
 	 */
 	void run(Duration time) {
 		for (long i = 0; i < time.toNanos() / TICK; i++) {
 			tick();
-			hear();
+			deliverUpdates();
 		}
 	}
 
 	void tick() {
 		this.now += TICK;
-		this.dayMillis += TimeUnit.NANOSECONDS.toMillis(TICK);
+		this.wallMillis += TimeUnit.NANOSECONDS.toMillis(TICK);
 		this.ticks++;
-		if (this.ticks % NEIGHBOUR_TICKS == 0) {
-			this.reader.tick(List.of(LinkedEntry.unknown(SELF)), this.now);
+		if (this.ticks % LEADER_TICKS == 0) {
+			this.leader.tick(List.of(LinkedEntry.unknown(SELF)), this.now);
 		}
 		apply(new DirectEvent.Tick());
 	}
 
 	/**
-	 * Lets time pass without anything being done.
+	 * Advances the clocks without applying any event.
 	 */
-	void pass(long millis) {
+	void advanceClocks(long millis) {
 		this.now += millis * MILLI;
-		this.dayMillis += millis;
+		this.wallMillis += millis;
 	}
 
 	/**
-	 * Suspends the VM, whose monotonic clock stands still.
+	 * Suspends the VM: only its wall clock advances.
 	 */
 	void suspend(Duration time) {
-		this.dayMillis += time.toMillis();
+		this.wallMillis += time.toMillis();
 	}
 
 	long now() {
@@ -270,9 +269,9 @@
 	}
 
 	/**
-	 * Applies what the store's followers have said so far.
+	 * Applies the pending events from the store.
 	 */
-	void pump() {
+	void applyStoreEvents() {
 		while (!this.events.isEmpty()) {
 			apply(this.events.remove());
 		}
@@ -283,23 +282,23 @@
 	}
 
 	/**
-	 * Returns what becomes of a request.
+	 * Sends a request and returns its result.
 	 */
 	String request(String path, Optional<String> token) {
 		this.answers.clear();
 		CallerFields fields = new CallerFields(Optional.of("attempt"), OptionalLong.empty(), 0, 0, OptionalInt.empty(),
 				Optional.empty(), Optional.empty());
-		apply(new DirectEvent.Arrived(new Arrival(++this.ids, "GET", HOST, path, path, Map.of(), token, fields,
-				new byte[0], null, this.now)));
+		apply(new DirectEvent.RequestArrived(new IncomingRequest(++this.ids, "GET", HOST, path, path, Map.of(), token,
+				fields, new byte[0], null, this.now)));
 		return this.answers.isEmpty() ? "waits" : this.answers.getLast();
 	}
 
-	DeclaredStore store() {
+	FakeObjectStore store() {
 		return this.store;
 	}
 
-	SiteNews reader() {
-		return this.reader;
+	StoreReplication leader() {
+		return this.leader;
 	}
 
 	DirectView view() {
@@ -307,10 +306,10 @@
 	}
 
 	/**
-	 * Returns the frames that were sent to the neighbour.
+	 * Returns the frames that were sent to the leader.
 	 */
-	List<Frame> sent() {
-		return this.sent;
+	List<Frame> sentFrames() {
+		return this.sentFrames;
 	}
 
 	@Override
@@ -318,12 +317,12 @@
 		this.log.close();
 	}
 
-	/** Notes answers by their code. */
+	/** Records answers with their code. */
 	private final class Answers implements CallOutput {
 
 		@Override
 		public void send(DirectCall call, DispatchEffect.Send send) {
-			StateBench.this.answers.add("sent to " + send.runner().address());
+			EntryStateFixture.this.answers.add("sent to " + send.runner().address());
 		}
 
 		@Override
@@ -332,58 +331,58 @@
 
 		@Override
 		public void refuse(DirectCall call, Code code, long retryAfterMillis) {
-			StateBench.this.answers.add("refused " + code.name());
+			EntryStateFixture.this.answers.add("refused " + code.name());
 		}
 
 		@Override
-		public void reject(Arrival arrival, int status, Code code) {
-			StateBench.this.answers.add("rejected " + status);
+		public void reject(IncomingRequest arrival, int status, Code code) {
+			EntryStateFixture.this.answers.add("rejected " + status);
 		}
 
 		@Override
-		public void refuse(Arrival arrival, Code code, long retryAfterMillis) {
-			StateBench.this.answers.add("refused " + code.name());
+		public void refuse(IncomingRequest arrival, Code code, long retryAfterMillis) {
+			EntryStateFixture.this.answers.add("refused " + code.name());
 		}
 
 		@Override
 		public void fail(DirectCall call, Code code, boolean timeout) {
-			StateBench.this.answers.add("failed " + code.name());
+			EntryStateFixture.this.answers.add("failed " + code.name());
 		}
 
 		@Override
-		public void passOn(DirectCall call) {
-			StateBench.this.answers.add("passed on");
+		public void forwardRunnerFailure(DirectCall call) {
+			EntryStateFixture.this.answers.add("passed on");
 		}
 
 	}
 
-	/** Takes requests to the neighbour, which answers at once. */
-	private final class Sender implements PeerSender {
+	/** Delivers frames to the leader, which handles them at once. */
+	private final class Sender implements PeerTransport {
 
 		@Override
-		public void desired(Map<String, InetSocketAddress> peers) {
+		public void setDesiredPeers(Map<String, InetSocketAddress> peers) {
 		}
 
 		@Override
-		public Sending send(String name, Frame frame) {
-			if (!StateBench.this.linked || !name.equals(READER)) {
-				return Sending.NO_LINK;
+		public SendResult send(String name, Frame frame) {
+			if (!EntryStateFixture.this.linked || !name.equals(LEADER)) {
+				return SendResult.NO_LINK;
 			}
-			StateBench.this.sent.add(frame);
+			EntryStateFixture.this.sentFrames.add(frame);
 			if (frame.hasNewsRequest()) {
-				StateBench.this.reader.asked(SELF, frame.getNewsRequest());
+				EntryStateFixture.this.leader.requestReceived(SELF, frame.getNewsRequest());
 			}
-			return Sending.SENT;
+			return SendResult.SENT;
 		}
 
 		@Override
-		public Set<String> entries() {
-			return StateBench.this.linked ? Set.of(READER) : Set.of();
+		public Set<String> linkedEntries() {
+			return EntryStateFixture.this.linked ? Set.of(LEADER) : Set.of();
 		}
 
 	}
 
-	/** Runs at once what is due, and never what is due later. */
+	/** Runs immediate tasks in the calling thread and drops delayed ones. */
 	private static final class InlineTimer extends ScheduledThreadPoolExecutor {
 
 		private InlineTimer() {
