--- a/protocol/src/main/java/org/wisteriapost/protocol/site/CallDialect.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/site/CallDialect.java
@@ -5,35 +5,37 @@
 import java.util.function.Function;
 
 /**
- * How a site writes callers' requests and runners' answers, and its directory of entries.
+ * The site-specific HTTP headers of callers' requests and runners' responses, and the
+ * paths and encoding of the directory of entries.
  */
 public interface CallDialect {
 
 	/**
-	 * Returns what a caller's headers say.
+	 * Parses the headers of a caller's request.
 	 * @param header the first value of a header by name, or null
 	 */
 	CallerFields read(Function<String, String> header);
 
 	/**
-	 * Returns whether a header is the system's own to set, so that a caller's is dropped.
+	 * Returns whether only the system may set a header; one that a caller sent is
+	 * dropped.
 	 * @param name lower-case
 	 */
 	boolean reserved(String name);
 
 	/**
-	 * Returns the headers that the system adds for a runner.
+	 * Returns the headers that the system adds to a request to a runner.
 	 */
 	List<Map.Entry<String, String>> outbound(OutboundCall call);
 
 	/**
-	 * Returns what the head of a runner's answer says.
+	 * Parses the status and headers of a runner's response.
 	 * @param headers by lower-case name
 	 */
 	RunnerReply reply(int status, Map<String, String> headers);
 
 	/**
-	 * Returns the header that answers carry the attempt's name in.
+	 * Returns the name of the response header that carries the attempt id.
 	 */
 	String attemptHeader();
 
@@ -43,19 +45,20 @@
 	String directoryPath();
 
 	/**
-	 * Returns the query parameter in which a caller tells the directory where it is.
+	 * Returns the query parameter that carries the caller's failure domain in a directory
+	 * request.
 	 */
 	String placeParameter();
 
 	/**
-	 * Returns the path that says whether an entry is ready.
+	 * Returns the path of an entry's readiness check.
 	 */
 	String readinessPath();
 
 	/**
-	 * Returns the body of a directory answer.
+	 * Returns the body of a directory response.
 	 * @param addresses {@code IP:PORT}
-	 * @param keepSeconds how long it may be kept
+	 * @param keepSeconds how long callers may cache it
 	 */
 	byte[] directory(List<String> addresses, int keepSeconds);
 
--- a/protocol/src/main/java/org/wisteriapost/protocol/site/CallerFields.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/site/CallerFields.java
@@ -5,15 +5,16 @@
 import java.util.OptionalLong;
 
 /**
- * What a caller's request says of itself beside method, path and body.
+ * The fields of a caller's request that its headers carry.
  *
- * @param attempt names this attempt; answers carry it
- * @param remainingMillis how long the caller will wait
- * @param promptTokens tokens to read; 0 when unknown
- * @param maxAnswerTokens the most tokens to write; 0 when unknown
- * @param likelyAnswerTokens the caller's estimate of the tokens to write
- * @param prompt names the parts of the prompt; equal for all attempts of one request
- * @param lastEvent the last event that the caller has, when it resumes a stream
+ * @param attempt id of this attempt, returned with the response
+ * @param remainingMillis time left until the caller's deadline
+ * @param promptTokens tokens of the prompt; 0 when unknown
+ * @param maxAnswerTokens maximum number of tokens to generate; 0 when unknown
+ * @param likelyAnswerTokens the caller's estimate of the tokens to generate
+ * @param prompt identifies the parts of the prompt; equal for all attempts of one request
+ * @param lastEvent id of the last event that the caller received, when it resumes a
+ * stream
  */
 public record CallerFields(Optional<String> attempt, OptionalLong remainingMillis, int promptTokens,
 		int maxAnswerTokens, OptionalInt likelyAnswerTokens, Optional<String> prompt, Optional<String> lastEvent) {
--- a/protocol/src/main/java/org/wisteriapost/protocol/site/Declared.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/site/Declared.java
@@ -6,14 +6,14 @@
 import org.wisteriapost.policy.routing.RouteTable;
 
 /**
- * One object of the site's store, decoded.
+ * A decoded object of the site's store.
  */
 public sealed interface Declared {
 
 	/**
-	 * The newest declaration of traffic.
+	 * The current declaration of routes.
 	 *
-	 * @param table decoded whole
+	 * @param table the complete route table
 	 */
 	record Routes(RouteTable table) implements Declared {
 	}
@@ -21,15 +21,15 @@
 	/**
 	 * A runner that has registered itself.
 	 *
-	 * @param info as it says
+	 * @param info as registered
 	 */
 	record Runner(RunnerInfo info) implements Declared {
 	}
 
 	/**
-	 * Weights that runners are to serve.
+	 * The target weights version of a model.
 	 *
-	 * @param named model and version
+	 * @param named the model and its target version
 	 */
 	record Weights(NamedWeights named) implements Declared {
 	}
@@ -37,7 +37,7 @@
 	/**
 	 * An entry that has registered itself.
 	 *
-	 * @param info as it says
+	 * @param info as registered
 	 */
 	record Entry(EntryInfo info) implements Declared {
 	}
--- a/protocol/src/main/java/org/wisteriapost/protocol/site/EngineControl.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/site/EngineControl.java
@@ -7,7 +7,7 @@
 import org.wisteriapost.policy.fleet.RunnerStart;
 
 /**
- * Orders to the engine beside an agent.
+ * Controls the engine on an agent's VM.
  */
 public interface EngineControl {
 
@@ -15,42 +15,45 @@
 	Code UNREACHABLE = Code.unavailable("engine-unreachable", "The engine beside this agent did not answer.");
 
 	/**
-	 * Returns how the engine is; read on its own VM it is as of now.
+	 * Returns the engine's current state. The engine runs on the same VM, so the report
+	 * is not stale.
 	 */
 	CompletableFuture<Report> report();
 
 	/**
-	 * Orders the engine to take the staged weights after what is running.
-	 * @param sequence the number of orders that the engine must have accepted so far
+	 * Orders the engine to switch to the staged weights after the requests in progress.
+	 * @param sequence the number of orders that the engine must have accepted before this
+	 * one
 	 */
 	CompletableFuture<Reply> take(String model, int version, long sequence);
 
 	/**
-	 * How an engine is.
+	 * The state of an engine.
 	 *
-	 * @param versions the version that it serves, by model; none while it holds no layer
+	 * @param versions the version that it serves, by model; absent while no layer is
+	 * loaded
 	 * @param busy whether an order is in progress
-	 * @param sequence orders accepted since it started
-	 * @param waiting requests that wait
-	 * @param active requests in work
-	 * @param start tells this start of the engine from others
+	 * @param sequence number of orders accepted since the engine started
+	 * @param waiting number of queued requests
+	 * @param active number of requests in progress
+	 * @param start the incarnation of the engine
 	 */
 	record Report(Map<String, Integer> versions, boolean busy, long sequence, int waiting, int active,
 			RunnerStart start) {
 	}
 
 	/**
-	 * What became of an order.
+	 * The result of an order.
 	 */
 	enum Reply {
 
-		/** It has begun. */
+		/** The engine has started to carry it out. */
 		BEGUN,
-		/** What it asks for is already so. */
+		/** The engine already serves the requested version. */
 		IN_FORCE,
-		/** It does not fit the engine's state; the state must be read again. */
+		/** It conflicts with the engine's state, which must be read again. */
 		CONFLICT,
-		/** The engine does not take it. */
+		/** The engine rejected it. */
 		REJECTED
 
 	}
--- a/protocol/src/main/java/org/wisteriapost/protocol/site/EngineFrames.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/site/EngineFrames.java
@@ -9,48 +9,48 @@
 import org.wisteriapost.protocol.wire.EngineState;
 
 /**
- * Writes and reads what agents say of their engines.
+ * Encodes and decodes the engine status that agents report.
  */
 public final class EngineFrames {
 
-	private static final long START_UNKNOWN = 0;
+	private static final long UNKNOWN_START_MILLIS = 0;
 
 	private EngineFrames() {
 	}
 
 	/**
-	 * Returns what is said of the engine at an address.
+	 * Encodes the status of the engine at an address.
 	 */
-	public static EngineState of(String address, EngineWord word, long nowNanos) {
+	public static EngineState of(String address, EngineWord status, long nowNanos) {
 		EngineState.Builder state = EngineState.newBuilder()
 			.setAddress(address)
-			.setHoldsWeights(word.version().isPresent())
-			.setVersion(word.version().orElse(0))
-			.setSwitching(word.switching());
-		word.start().startedMillis().ifPresent(state::setStartedMillis);
-		word.closesNanos()
-			.ifPresent((closes) -> state
-				.setClosesInMillis((int) Math.max(1, TimeUnit.NANOSECONDS.toMillis(closes - nowNanos))));
+			.setHoldsWeights(status.version().isPresent())
+			.setVersion(status.version().orElse(0))
+			.setSwitching(status.switching());
+		status.start().startedMillis().ifPresent(state::setStartedMillis);
+		status.closesNanos()
+			.ifPresent((switchNanos) -> state
+				.setClosesInMillis((int) Math.max(1, TimeUnit.NANOSECONDS.toMillis(switchNanos - nowNanos))));
 		return state.build();
 	}
 
 	/**
-	 * Returns what was said of an engine.
+	 * Decodes the status of an engine.
 	 */
-	public static EngineWord read(EngineState says, long nowNanos) {
-		OptionalInt version = says.getHoldsWeights() ? OptionalInt.of(says.getVersion()) : OptionalInt.empty();
-		OptionalLong closes = (says.getClosesInMillis() > 0)
-				? OptionalLong.of(nowNanos + TimeUnit.MILLISECONDS.toNanos(says.getClosesInMillis()))
+	public static EngineWord read(EngineState state, long nowNanos) {
+		OptionalInt version = state.getHoldsWeights() ? OptionalInt.of(state.getVersion()) : OptionalInt.empty();
+		OptionalLong switchNanos = (state.getClosesInMillis() > 0)
+				? OptionalLong.of(nowNanos + TimeUnit.MILLISECONDS.toNanos(state.getClosesInMillis()))
 				: OptionalLong.empty();
-		return new EngineWord(version, says.getSwitching(), closes, start(says.getStartedMillis()));
+		return new EngineWord(version, state.getSwitching(), switchNanos, start(state.getStartedMillis()));
 	}
 
 	/**
-	 * Returns the start of a runner as frames name it.
+	 * Decodes the incarnation of a runner.
 	 * @param startedMillis 0 for unknown
 	 */
 	public static RunnerStart start(long startedMillis) {
-		return (startedMillis == START_UNKNOWN) ? RunnerStart.UNKNOWN : RunnerStart.at(startedMillis);
+		return (startedMillis == UNKNOWN_START_MILLIS) ? RunnerStart.UNKNOWN : RunnerStart.at(startedMillis);
 	}
 
 }
--- a/protocol/src/main/java/org/wisteriapost/protocol/site/FollowListener.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/site/FollowListener.java
@@ -3,35 +3,36 @@
 import java.util.List;
 
 /**
- * Hears what a {@link Follower} reads, in order.
+ * Receives the objects that a {@link Follower} reads, in order.
  */
 public interface FollowListener {
 
 	/**
-	 * Hears all objects of the kind; whatever is not among them is gone.
-	 * @param at the store's revision when the listing began
+	 * Called with all objects of the kind; objects that are not included were deleted.
+	 * @param at the store's revision at the start of the listing
 	 */
 	void onAll(List<ObjectStore.Item> items, long at);
 
 	/**
-	 * Hears one change.
+	 * Called for each change.
 	 */
 	void onChange(ObjectStore.Change change);
 
 	/**
-	 * Hears that all that the store had at a moment has been told.
-	 * @param asOfNanos the moment, by this process's {@link System#nanoTime}
+	 * Called when the listener has received everything that the store held at a point in
+	 * time.
+	 * @param asOfNanos the confirmed time, by this process's {@link System#nanoTime}
 	 */
 	void onConfirmed(long asOfNanos);
 
 	/**
-	 * Hears that a watch was lost and the store has not answered since: what is known may
-	 * be old. Called only while others rely on it.
+	 * Called when a watch has failed and the store has not answered since, so the objects
+	 * may be stale. Called only while this process is the leader of others.
 	 */
 	void onDoubt();
 
 	/**
-	 * Hears whether the store answers; called when that changes.
+	 * Called when the store becomes reachable or unreachable.
 	 */
 	void onReachable(boolean reachable);
 
--- a/protocol/src/main/java/org/wisteriapost/protocol/site/Follower.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/site/Follower.java
@@ -22,39 +22,40 @@
 import org.wisteriapost.kernel.CodedException;
 
 /**
- * Follows one kind of a store's objects: reads all of them, then waits for changes.
+ * Reads all objects of a kind from the store, then watches for changes.
  *
- * A listing takes several calls and can be overtaken by changes, so what is older than
- * what was heard of an object already is left out: without that a runner that is leaving
- * would be taken for ready again for the length of a page.
+ * A listing takes several calls and can overlap with changes, so a change that is older
+ * than the known revision of an object is ignored. Otherwise a runner that is leaving
+ * would be considered ready again until its later change is read.
  *
- * After a watch that failed, or a pause, the changes made in the gap are asked for at
- * once. Only when the store no longer has them, or they were too much to come whole, all
- * is read again.
+ * After a failed watch or a pause, the changes since the last known revision are
+ * requested at once. All objects are listed again only when the store no longer has those
+ * changes, or when they were too large to arrive completely.
  */
 public final class Follower {
 
 	private static final Logger LOG = System.getLogger(Follower.class.getName());
 
-	private static final long NOTHING = -1;
+	private static final long NO_REVISION = -1;
 
-	private static final long FIRST_PAUSE_MILLIS = 60;
+	private static final long INITIAL_BACKOFF_MILLIS = 60;
 
-	private static final long LONGEST_PAUSE_MILLIS = 500;
+	private static final long MAX_BACKOFF_MILLIS = 500;
 
-	// The store answers in a few milliseconds when it need not wait for a change.
-	private static final long ANSWER_MILLIS = 400;
+	// The store answers within a few milliseconds unless it waits for a change.
+	private static final long RESPONSE_TIMEOUT_MILLIS = 400;
 
-	// Until a silent watch is given up after its wait, and the call after it.
-	private static final long SILENCE_NANOS = Duration.ofSeconds(1).toNanos();
+	// Time from the end of a watch's wait until a silent store is detected: the
+	// timeout of the watch and of the call after it.
+	private static final long SILENT_WATCH_DETECTION_NANOS = Duration.ofSeconds(1).toNanos();
 
-	// Longer than a store that is gone is waited for, so an answer that failed later was
-	// cut while it came.
-	private static final long BEGUN_NANOS = Duration.ofSeconds(3).toNanos();
+	// Longer than the timeout for the start of a response, so a call that fails later was
+	// cut off while its response was arriving.
+	private static final long TRUNCATED_RESPONSE_NANOS = Duration.ofSeconds(3).toNanos();
 
-	// An empty answer is under way for less, also between regions, unless the link is
-	// full.
-	private static final long UNDER_WAY_NANOS = Duration.ofMillis(250).toNanos();
+	// Upper bound of the network delay of an empty response, also between regions, unless
+	// the link is saturated.
+	private static final long MAX_RESPONSE_DELAY_NANOS = Duration.ofMillis(250).toNanos();
 
 	private final ObjectStore store;
 
@@ -68,29 +69,29 @@
 
 	private final Map<String, Long> revisions = new HashMap<>();
 
-	// Up to which revision all has been told, negative for nothing.
-	private long told = NOTHING;
+	// Up to which revision the listener has received all changes.
+	private long publishedRevision = NO_REVISION;
 
 	private Optional<Boolean> reachable = Optional.empty();
 
-	private long pauseMillis = FIRST_PAUSE_MILLIS;
+	private long backoffMillis = INITIAL_BACKOFF_MILLIS;
 
 	private CompletableFuture<?> call = CompletableFuture.completedFuture(null);
 
-	// Calls that were made before the latest pause or return belong to an earlier round,
-	// and what they bring may be older than what is known by now.
-	private int round;
+	// Incremented by each pause. Responses to calls of an earlier session are ignored,
+	// since newer changes may have been received from a peer meanwhile.
+	private int session;
 
 	private boolean paused;
 
-	private boolean reliedOn;
+	private boolean leader;
 
 	private boolean unanswered;
 
-	private int lapses;
+	private int watchFailures;
 
-	// As of when all that was told was known last.
-	private long asOfNanos;
+	// Last time at which the published objects were confirmed to be current.
+	private long confirmedNanos;
 
 	private Follower(ObjectStore store, Kind kind, ScheduledExecutorService timer, FollowListener listener,
 			LongSupplier clock) {
@@ -99,12 +100,12 @@
 		this.timer = timer;
 		this.listener = listener;
 		this.clock = clock;
-		this.asOfNanos = clock.getAsLong();
+		this.confirmedNanos = clock.getAsLong();
 	}
 
 	/**
-	 * Starts to follow a kind.
-	 * @param timer its thread runs the listener, one call after the other
+	 * Starts to read a kind.
+	 * @param timer its single thread calls the listener
 	 */
 	public static Follower start(ObjectStore store, Kind kind, ScheduledExecutorService timer,
 			FollowListener listener) {
@@ -114,212 +115,214 @@
 	static Follower start(ObjectStore store, Kind kind, ScheduledExecutorService timer, FollowListener listener,
 			LongSupplier clock) {
 		Follower follower = new Follower(store, kind, timer, listener, clock);
-		timer.execute(follower::goOn);
+		timer.execute(follower::continueReading);
 		return follower;
 	}
 
 	/**
-	 * Hears whether other processes rely on what this one follows.
+	 * Sets whether this process is the leader of others, which read through it.
 	 */
-	public void reliedOn(boolean relied) {
-		this.timer.execute(() -> this.reliedOn = relied);
+	public void reliedOn(boolean leader) {
+		this.timer.execute(() -> this.leader = leader);
 	}
 
 	/**
-	 * Makes no further call, gives the last one up and leaves out what it brings.
+	 * Cancels the call in progress and makes no further calls until {@link #resume}.
 	 */
 	public void pause() {
 		this.timer.execute(() -> {
 			this.paused = true;
-			this.round++;
-			// What nobody wants any more would still take its share of a full link.
+			this.session++;
+			// Its response is no longer needed and would use bandwidth of a full link.
 			this.call.cancel(false);
 		});
 	}
 
 	/**
-	 * Hears, while it pauses, that what was told last was not taken: all is read again
-	 * after the pause.
+	 * Makes {@link #resume} list all objects again. Called during a pause when the
+	 * listener discarded the last updates.
 	 */
 	public void forget() {
-		this.timer.execute(() -> this.told = NOTHING);
+		this.timer.execute(() -> this.publishedRevision = NO_REVISION);
 	}
 
 	/**
-	 * Goes on after a pause, from where it was or from what a neighbour has passed on
-	 * meanwhile: an object that changed often would else come in all its forms.
-	 * @param known up to which revision all is known
+	 * Continues after a pause, from the last revision read or received from a peer,
+	 * whichever is later: the store sends every change of an object since that revision.
+	 * @param known up to which revision all changes were received from a peer
 	 */
 	public void resume(long known) {
 		this.timer.execute(() -> {
 			if (this.paused) {
 				this.paused = false;
-				this.told = (this.told == NOTHING) ? NOTHING : Math.max(this.told, known);
+				this.publishedRevision = (this.publishedRevision == NO_REVISION) ? NO_REVISION
+						: Math.max(this.publishedRevision, known);
 				this.reachable = Optional.empty();
-				this.pauseMillis = FIRST_PAUSE_MILLIS;
-				goOn();
+				this.backoffMillis = INITIAL_BACKOFF_MILLIS;
+				continueReading();
 			}
 		});
 	}
 
-	// Harm prevented: were all listed after each failure, the store's link would carry
-	// copies of everything when it is full already, and many calls fail then. A gap
-	// costs what has changed in it.
-	private void goOn() {
+	// Many calls fail when the store's link is saturated. Listing all objects after each
+	// failure would add to that load; catching up transfers only the changes.
+	private void continueReading() {
 		if (this.paused) {
 			return;
 		}
-		if (this.told == NOTHING) {
-			page(new Listing(new ArrayList<>(), NOTHING, this.clock.getAsLong()), Optional.empty());
+		if (this.publishedRevision == NO_REVISION) {
+			listPage(new Listing(new ArrayList<>(), NO_REVISION, this.clock.getAsLong()), Optional.empty());
 		}
 		else {
-			catchUp(this.told);
+			catchUp(this.publishedRevision);
 		}
 	}
 
 	private void catchUp(long from) {
-		int asked = this.round;
-		long askedNanos = this.clock.getAsLong();
-		ask(from, Duration.ZERO).whenCompleteAsync((changes, failure) -> {
-			if (asked != this.round) {
+		int requestSession = this.session;
+		long requestNanos = this.clock.getAsLong();
+		requestChanges(from, Duration.ZERO).whenCompleteAsync((changes, failure) -> {
+			if (requestSession != this.session) {
 				return;
 			}
 			if (failure != null) {
-				forgetIfCut(askedNanos);
-				lost("catching-up-failed", failure);
+				relistIfTruncated(requestNanos);
+				onCallFailed("catching-up-failed", failure);
 				return;
 			}
-			seen(true);
-			if (beganAnew(changes, from)) {
+			setReachable(true);
+			if (relistIfRolledBack(changes, from)) {
 				return;
 			}
-			latest(changes.list()).forEach(this::change);
-			confirmed(askedNanos);
-			told(changes, changes.at());
+			latestChanges(changes.list()).forEach(this::publishChange);
+			publishConfirmed(requestNanos);
+			watchAfter(changes, changes.at());
 		}, this.timer);
 	}
 
-	// As in a listing, only what there is now: of a runner that came and went in the gap
-	// nothing is said but that it is gone.
-	private static Collection<ObjectStore.Change> latest(List<ObjectStore.Change> changes) {
+	// Like a listing, publishes only the current state: a runner that was registered and
+	// removed in the gap is reported only as deleted, so that it gets no requests.
+	private static Collection<ObjectStore.Change> latestChanges(List<ObjectStore.Change> changes) {
 		SequencedMap<String, ObjectStore.Change> latest = new LinkedHashMap<>();
 		changes.forEach((change) -> latest.putLast(change.item().name(), change));
 		return latest.values();
 	}
 
-	private void page(Listing listing, Optional<String> after) {
-		int asked = this.round;
+	private void listPage(Listing listing, Optional<String> after) {
+		int requestSession = this.session;
 		CompletableFuture<ObjectStore.Page> answer = this.store.list(this.kind, after);
 		this.call = answer;
 		answer.whenCompleteAsync((page, failure) -> {
-			if (asked != this.round) {
+			if (requestSession != this.session) {
 				return;
 			}
 			if (failure != null) {
-				lost("listing-failed", failure);
+				onCallFailed("listing-failed", failure);
 				return;
 			}
-			seen(true);
+			setReachable(true);
 			listing.items.addAll(page.items());
 			long from = (listing.from < 0) ? page.at() : listing.from;
 			if (page.more() && !page.items().isEmpty()) {
-				page(new Listing(listing.items, from, listing.askedNanos), Optional.of(page.items().getLast().name()));
+				listPage(new Listing(listing.items, from, listing.requestNanos),
+						Optional.of(page.items().getLast().name()));
 				return;
 			}
-			all(listing.items, from);
-			confirmed(listing.askedNanos);
-			this.told = from;
+			publishSnapshot(listing.items, from);
+			publishConfirmed(listing.requestNanos);
+			this.publishedRevision = from;
 			watch(from);
 		}, this.timer);
 	}
 
 	private void watch(long from) {
-		int asked = this.round;
-		Duration wait = this.reliedOn ? this.kind.reliedWait() : this.kind.watchWait();
-		long askedNanos = this.clock.getAsLong();
-		ask(from, wait).whenCompleteAsync((changes, failure) -> {
-			if (asked != this.round) {
+		int requestSession = this.session;
+		Duration wait = this.leader ? this.kind.leaderWatchWait() : this.kind.watchWait();
+		long requestNanos = this.clock.getAsLong();
+		requestChanges(from, wait).whenCompleteAsync((changes, failure) -> {
+			if (requestSession != this.session) {
 				return;
 			}
 			if (failure != null) {
-				forgetIfCut(askedNanos + wait.toNanos());
-				lapsed(failure);
+				relistIfTruncated(requestNanos + wait.toNanos());
+				onWatchFailed(failure);
 				return;
 			}
-			seen(true);
-			if (beganAnew(changes, from)) {
+			setReachable(true);
+			if (relistIfRolledBack(changes, from)) {
 				return;
 			}
-			long asOfNanos = asOf(changes, askedNanos, wait);
-			changes.list().forEach(this::change);
-			confirmed(asOfNanos);
-			told(changes, changes.at());
+			long asOfNanos = confirmedTime(changes, requestNanos, wait);
+			changes.list().forEach(this::publishChange);
+			publishConfirmed(asOfNanos);
+			watchAfter(changes, changes.at());
 		}, this.timer);
 	}
 
-	// A store that began anew would say nothing until it is as far again.
-	private boolean beganAnew(ObjectStore.Changes changes, long from) {
-		boolean behind = changes.at() < from;
-		if (behind) {
-			this.told = NOTHING;
-			goOn();
+	// A store restored at a lower revision would report no changes until it has
+	// passed the requested one.
+	private boolean relistIfRolledBack(ObjectStore.Changes changes, long from) {
+		boolean rolledBack = changes.at() < from;
+		if (rolledBack) {
+			this.publishedRevision = NO_REVISION;
+			continueReading();
 		}
-		return behind;
+		return rolledBack;
 	}
 
-	// A store that held a watch for its whole wait had no change until the end of it. One
-	// that ended it sooner may have had a change right after the call, and its answer may
-	// take longer than the rest of the wait: a table would be taken for newer than it is,
-	// and reject what was declared since. Over a link that carries the answer of a held
-	// watch at once, one that ended sooner comes before the end; what comes long after it
-	// proves nothing.
-	private long asOf(ObjectStore.Changes changes, long askedNanos, Duration wait) {
-		long lateNanos = this.clock.getAsLong() - askedNanos - wait.toNanos();
-		boolean held = changes.list().isEmpty() && lateNanos >= 0 && lateNanos <= UNDER_WAY_NANOS;
-		return held ? askedNanos + wait.toNanos() : askedNanos;
+	// A watch that the store held for its full wait confirms that there was no change
+	// until its end. A watch that ended sooner confirms only the time of the request:
+	// there may have been a change right after it. Counting a delayed response of
+	// such a watch as held would make a route table look newer than it is, and it
+	// would reject requests for what was declared since. So only a response that
+	// arrives shortly after the end of the wait counts as held.
+	private long confirmedTime(ObjectStore.Changes changes, long requestNanos, Duration wait) {
+		long lateNanos = this.clock.getAsLong() - requestNanos - wait.toNanos();
+		boolean held = changes.list().isEmpty() && lateNanos >= 0 && lateNanos <= MAX_RESPONSE_DELAY_NANOS;
+		return held ? requestNanos + wait.toNanos() : requestNanos;
 	}
 
-	private void confirmed(long nanos) {
-		this.asOfNanos = nanos;
+	private void publishConfirmed(long nanos) {
+		this.confirmedNanos = nanos;
 		this.listener.onConfirmed(nanos);
 	}
 
-	private CompletableFuture<ObjectStore.Changes> ask(long from, Duration wait) {
+	private CompletableFuture<ObjectStore.Changes> requestChanges(long from, Duration wait) {
 		CompletableFuture<ObjectStore.Changes> answer = this.store.watch(this.kind, from, wait);
 		this.call = answer;
 		return answer;
 	}
 
-	private void told(ObjectStore.Changes changes, long at) {
-		this.told = at;
+	private void watchAfter(ObjectStore.Changes changes, long at) {
+		this.publishedRevision = at;
 		if (changes.list().isEmpty()) {
 			watch(at);
 			return;
 		}
-		int asked = this.round;
+		int requestSession = this.session;
 		this.timer.schedule(() -> {
-			if (asked == this.round) {
+			if (requestSession == this.session) {
 				watch(at);
 			}
-		}, this.kind.gather().toMillis(), TimeUnit.MILLISECONDS);
+		}, this.kind.batchDelay().toMillis(), TimeUnit.MILLISECONDS);
 	}
 
-	private void all(List<ObjectStore.Item> items, long at) {
+	private void publishSnapshot(List<ObjectStore.Item> items, long at) {
 		Set<String> names = new HashSet<>();
-		List<ObjectStore.Item> fresh = new ArrayList<>();
+		List<ObjectStore.Item> published = new ArrayList<>();
 		for (ObjectStore.Item item : items) {
 			names.add(item.name());
 			long known = this.revisions.getOrDefault(item.name(), -1L);
 			if (item.revision() >= known) {
 				this.revisions.put(item.name(), item.revision());
 			}
-			fresh.add(item);
+			published.add(item);
 		}
 		this.revisions.keySet().retainAll(names);
-		this.listener.onAll(fresh, at);
+		this.listener.onAll(published, at);
 	}
 
-	private void change(ObjectStore.Change change) {
+	private void publishChange(ObjectStore.Change change) {
 		ObjectStore.Item item = change.item();
 		long known = this.revisions.getOrDefault(item.name(), -1L);
 		if (item.revision() < known) {
@@ -334,76 +337,78 @@
 		this.listener.onChange(change);
 	}
 
-	// The store may have cut the watch and be well, so the next call goes out at once.
-	private void lapsed(Throwable failure) {
+	// The store may have closed the watch and still be available, so retry at once.
+	private void onWatchFailed(Throwable failure) {
 		LOG.log(Level.INFO, "watch-ended: " + this.kind + ", " + cause(failure).getMessage());
 		this.unanswered = true;
-		forgetIfGone(failure);
-		goOn();
-		if (this.reliedOn) {
-			this.lapses++;
-			int lapse = this.lapses;
-			this.timer.schedule(() -> doubt(lapse), untilLateMillis(), TimeUnit.MILLISECONDS);
+		relistIfHistoryGone(failure);
+		continueReading();
+		if (this.leader) {
+			this.watchFailures++;
+			int watchFailure = this.watchFailures;
+			this.timer.schedule(() -> reportPossiblyStale(watchFailure), staleWarningDelayMillis(),
+					TimeUnit.MILLISECONDS);
 		}
 	}
 
-	// Failure: over a full link an answer takes longer than usual, and a watch that was
-	// cut says nothing of the store. Said then, the doubt would make all that rely on
-	// this process read themselves over the same link. What they are bound by counts from
-	// what was known last, so it is soon enough to say it when a watch that is silent
-	// from there on would have been given up, and the call after it.
-	private long untilLateMillis() {
-		long lateNanos = this.asOfNanos + this.kind.reliedWait().toNanos() + SILENCE_NANOS;
-		return Math.max(ANSWER_MILLIS, TimeUnit.NANOSECONDS.toMillis(lateNanos - this.clock.getAsLong()));
+	// Over a saturated link responses are slow, and a closed watch does not mean that
+	// the store is unreachable. Reporting staleness at once would make all followers
+	// read the store themselves over the same link. Their staleness bound counts from
+	// the last confirmed time, so the report may wait until a watch that stalled at
+	// that time would have timed out, and the call after it.
+	private long staleWarningDelayMillis() {
+		long lateNanos = this.confirmedNanos + this.kind.leaderWatchWait().toNanos() + SILENT_WATCH_DETECTION_NANOS;
+		return Math.max(RESPONSE_TIMEOUT_MILLIS, TimeUnit.NANOSECONDS.toMillis(lateNanos - this.clock.getAsLong()));
 	}
 
-	// Failure: of an object that changed often the store sends all forms. Cut for their
-	// size and asked for again they are as many or more, so none would ever come over a
-	// full link. A listing has each object once.
-	private void forgetIfCut(long dueNanos) {
-		if (this.clock.getAsLong() - dueNanos > BEGUN_NANOS) {
-			this.told = NOTHING;
+	// The store sends every change of an object. When a response was cut off for its
+	// size, requesting the changes again would return at least as many, so none would
+	// ever arrive over a saturated link. A listing has each object only once.
+	private void relistIfTruncated(long expectedNanos) {
+		if (this.clock.getAsLong() - expectedNanos > TRUNCATED_RESPONSE_NANOS) {
+			this.publishedRevision = NO_REVISION;
 		}
 	}
 
-	private boolean forgetIfGone(Throwable failure) {
-		boolean gone = cause(failure) instanceof CodedException coded && coded.code() == ObjectStore.HISTORY_GONE;
-		if (gone) {
-			this.told = NOTHING;
+	private boolean relistIfHistoryGone(Throwable failure) {
+		boolean historyGone = cause(failure) instanceof CodedException coded
+				&& coded.code() == ObjectStore.HISTORY_GONE;
+		if (historyGone) {
+			this.publishedRevision = NO_REVISION;
 		}
-		return gone;
+		return historyGone;
 	}
 
-	private void doubt(int lapse) {
-		if (lapse == this.lapses && this.unanswered && this.reliedOn && !this.paused) {
+	private void reportPossiblyStale(int watchFailure) {
+		if (watchFailure == this.watchFailures && this.unanswered && this.leader && !this.paused) {
 			this.listener.onDoubt();
 		}
 	}
 
-	private void lost(String what, Throwable failure) {
-		LOG.log(Level.INFO, what + ": " + this.kind + ", " + cause(failure).getMessage());
-		if (forgetIfGone(failure)) {
-			goOn();
+	private void onCallFailed(String event, Throwable failure) {
+		LOG.log(Level.INFO, event + ": " + this.kind + ", " + cause(failure).getMessage());
+		if (relistIfHistoryGone(failure)) {
+			continueReading();
 			return;
 		}
-		seen(false);
-		int failed = this.round;
+		setReachable(false);
+		int failedSession = this.session;
 		this.timer.schedule(() -> {
-			if (failed == this.round) {
-				goOn();
+			if (failedSession == this.session) {
+				continueReading();
 			}
-		}, this.pauseMillis, TimeUnit.MILLISECONDS);
-		this.pauseMillis = Math.min(LONGEST_PAUSE_MILLIS, this.pauseMillis * 2);
+		}, this.backoffMillis, TimeUnit.MILLISECONDS);
+		this.backoffMillis = Math.min(MAX_BACKOFF_MILLIS, this.backoffMillis * 2);
 	}
 
 	private static Throwable cause(Throwable failure) {
 		return (failure instanceof CompletionException && failure.getCause() != null) ? failure.getCause() : failure;
 	}
 
-	private void seen(boolean now) {
+	private void setReachable(boolean now) {
 		if (now) {
 			this.unanswered = false;
-			this.pauseMillis = FIRST_PAUSE_MILLIS;
+			this.backoffMillis = INITIAL_BACKOFF_MILLIS;
 		}
 		if (this.reachable.isEmpty() || this.reachable.get() != now) {
 			this.reachable = Optional.of(now);
@@ -412,7 +417,7 @@
 		}
 	}
 
-	private record Listing(List<ObjectStore.Item> items, long from, long askedNanos) {
+	private record Listing(List<ObjectStore.Item> items, long from, long requestNanos) {
 	}
 
 }
--- a/protocol/src/main/java/org/wisteriapost/protocol/site/Kind.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/site/Kind.java
@@ -5,71 +5,72 @@
 /**
  * The kinds of objects that wisteriapost reads or writes in a site's store.
  *
- * Each call of the store is paid for and counts against its rates, a watch that waits
- * too. Harm prevented by the two times of a kind: a watch whose connection has gone
- * silent is deaf, and every change of a burst costs every process a call.
+ * Each call to the store, including a waiting watch, is charged and counts against its
+ * rate limits. The watch wait of a kind bounds how long a silently broken connection goes
+ * unnoticed. Its batch delay keeps a burst of changes from costing every process a call
+ * for each change.
  */
 public enum Kind {
 
-	/** The declaration of traffic; one object. */
-	ROUTES(Watch.CONFIRMED, Duration.ofMillis(80)),
-	/** Runners, written by themselves. */
-	RUNNERS(Watch.SOON, Duration.ofMillis(150)),
-	/** Named weights, written by operators. */
-	WEIGHTS(Watch.SOON, Duration.ZERO),
+	/** The declaration of routes; a single object. */
+	ROUTES(WatchWaits.ROUTE_TABLE, Duration.ofMillis(80)),
+	/** Runners, each registered by itself. */
+	RUNNERS(WatchWaits.DEFAULT, Duration.ofMillis(150)),
+	/** Target weights versions, written by operators. */
+	WEIGHTS(WatchWaits.DEFAULT, Duration.ZERO),
 	/**
-	 * Entries, written by themselves. Who leaves or dies is known from the links; only
-	 * who is new is read here.
+	 * Entries, each registered by itself. Departures and failures are detected through
+	 * the links between entries, so only new entries depend on this watch.
 	 */
 	ENTRIES(Duration.ofSeconds(15), Duration.ofMillis(400));
 
-	private final Duration wait;
+	private final Duration watchWait;
 
-	private final Duration gather;
+	private final Duration batchDelay;
 
 	Kind(Duration wait, Duration gather) {
-		this.wait = wait;
-		this.gather = gather;
+		this.watchWait = wait;
+		this.batchDelay = gather;
 	}
 
 	/**
-	 * Returns how long a watch waits for a change. A connection can go silent without an
-	 * end; the wait bounds how long that stays unnoticed.
+	 * Returns how long a watch waits for a change. A connection can stall without being
+	 * closed; the wait bounds how long that goes unnoticed.
 	 */
 	Duration watchWait() {
-		return this.wait;
+		return this.watchWait;
 	}
 
 	/**
-	 * Returns how long a watch waits in a process on which others rely for what the store
-	 * says. They are in touch with the store and bound by its promises, two seconds at
-	 * the least: a connection that has gone silent has to be noticed well within that.
+	 * Returns how long a watch waits in a leader. Its followers can reach the store and
+	 * are bound by the site's activation delays, at least two seconds, so the leader must
+	 * detect a stalled connection well within that time.
 	 */
-	Duration reliedWait() {
-		return (this.wait.compareTo(Watch.SOON) <= 0) ? Watch.RELIED : this.wait;
+	Duration leaderWatchWait() {
+		return (this.watchWait.compareTo(WatchWaits.DEFAULT) <= 0) ? WatchWaits.LEADER : this.watchWait;
 	}
 
 	/**
-	 * Returns how long the changes that follow a change are gathered before they are
-	 * asked for: runners register and change weights many at a time.
+	 * Returns how long to wait after a change before the next watch, so that changes made
+	 * in a burst are read in one call: many runners register or change weights at a time.
 	 */
-	Duration gather() {
-		return this.gather;
+	Duration batchDelay() {
+		return this.batchDelay;
 	}
 
-	/** Times of watches. */
-	private static final class Watch {
+	/** Durations of watches. */
+	private static final class WatchWaits {
 
-		// A bit less than the usual bound for declarations to be in force.
-		private static final Duration SOON = Duration.ofMillis(2200);
+		// Slightly below the usual activation delay of declarations.
+		private static final Duration DEFAULT = Duration.ofMillis(2200);
 
-		// Harm prevented: a table that is not known to be new may not reject a request. A
-		// watch without a change confirms it at its end, well within that usual bound.
-		private static final Duration CONFIRMED = Duration.ofSeconds(1);
+		// An entry may not reject a request by a route table that may be stale. A watch
+		// that ends without a change confirms the table, well within the usual delay.
+		private static final Duration ROUTE_TABLE = Duration.ofSeconds(1);
 
-		// With 0.6 s until a silent watch is given up and 0.4 s for the call after it,
-		// silence is known after 1.8 s.
-		private static final Duration RELIED = Duration.ofMillis(800);
+		// With 0.6 s until a silent watch times out and 0.4 s for the call after it, a
+		// stalled connection is detected after 1.8 s.
+		private static final Duration LEADER = Duration.ofMillis(800);
 
 	}
 
--- a/protocol/src/main/java/org/wisteriapost/protocol/site/ObjectStore.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/site/ObjectStore.java
@@ -10,15 +10,15 @@
 import org.wisteriapost.policy.fleet.EntryInfo;
 
 /**
- * A site's store: objects by kind and name, one revision that grows with every change,
- * watches from a revision on.
+ * A site's store: objects by kind and name, a single revision that increases with every
+ * change, and watches that start at a revision.
  *
- * A failed future carries a {@link org.wisteriapost.kernel.CodedException}. One of a
- * listing or a watch that is cancelled gives the call up.
+ * A failed future carries a {@link org.wisteriapost.kernel.CodedException}. Cancelling
+ * the future of a listing or a watch cancels the call.
  */
 public interface ObjectStore {
 
-	/** The store did not answer, or turned the call away. */
+	/** The store did not answer or rejected the call. */
 	Code UNAVAILABLE = Code.unavailable("store-unavailable", "The site's store did not take the call.");
 
 	/** The revision is older than the history that the store keeps. */
@@ -26,46 +26,48 @@
 			"The store no longer has the changes since a revision; all objects are read again.");
 
 	/**
-	 * Returns one page of the objects of a kind, as of now.
-	 * @param after the last name of the page before; empty for the first
+	 * Returns one page of the current objects of a kind.
+	 * @param after the last name of the previous page; empty for the first page
 	 */
 	CompletableFuture<Page> list(Kind kind, Optional<String> after);
 
 	/**
-	 * Waits for changes after a revision; none when the wait ended without any.
+	 * Waits for changes after a revision; returns an empty list when there were none
+	 * within the wait.
 	 */
 	CompletableFuture<Changes> watch(Kind kind, long revision, Duration wait);
 
 	/**
-	 * Writes this process's own entry, whatever is there.
+	 * Writes this process's own entry unconditionally.
 	 */
 	CompletableFuture<Void> register(EntryInfo entry);
 
 	/**
-	 * Removes an entry, but only as it was read: a later start under the same name stays.
+	 * Removes an entry if its revision is unchanged, so that a later incarnation with the
+	 * same name is kept.
 	 */
 	CompletableFuture<Void> unregister(String name, long revision);
 
 	/**
-	 * Returns an object that another process has read in this store; empty when it has no
-	 * name that could be read.
-	 * @param content as {@link Item#content} returned it there
+	 * Decodes an object that another process read from this store; empty when its name
+	 * cannot be decoded.
+	 * @param content the result of {@link Item#content} in that process
 	 */
 	Optional<Item> decode(Kind kind, byte[] content);
 
 	/**
-	 * One object.
+	 * An object.
 	 *
-	 * @param name within its kind
-	 * @param revision of its last change
-	 * @param value decoded; empty when it cannot be read
-	 * @param source writes it as the store did; done only for processes that the store
-	 * does not answer
+	 * @param name unique within its kind
+	 * @param revision the revision of its last change
+	 * @param value the decoded object; empty when it cannot be decoded
+	 * @param source encodes it as in the store; used only for processes that cannot reach
+	 * the store
 	 */
 	record Item(String name, long revision, Optional<Declared> value, Supplier<byte[]> source) {
 
 		/**
-		 * Returns the object as the store wrote it.
+		 * Returns the object as encoded in the store.
 		 */
 		public byte[] content() {
 			return this.source.get();
@@ -74,9 +76,9 @@
 	}
 
 	/**
-	 * A part of a kind's objects.
+	 * A page of the objects of a kind.
 	 *
-	 * @param items by name
+	 * @param items ordered by name
 	 * @param more whether there are further pages
 	 * @param at the store's revision
 	 */
@@ -84,10 +86,10 @@
 	}
 
 	/**
-	 * One change.
+	 * A change of an object.
 	 *
-	 * @param item as it is after the change
-	 * @param deleted whether it is gone
+	 * @param item the object after the change
+	 * @param deleted whether the object was deleted
 	 */
 	record Change(Item item, boolean deleted) {
 	}
@@ -96,7 +98,7 @@
 	 * Changes in order.
 	 *
 	 * @param list the changes
-	 * @param at where to go on
+	 * @param at the revision from which to continue
 	 */
 	record Changes(List<Change> list, long at) {
 	}
--- a/protocol/src/main/java/org/wisteriapost/protocol/site/OutboundCall.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/site/OutboundCall.java
@@ -4,14 +4,15 @@
 import java.util.OptionalInt;
 
 /**
- * What an entry tells a runner beside the caller's own request.
+ * The fields that an entry adds to a caller's request to a runner.
  *
- * @param remainingMillis what is left of the caller's time
- * @param instance the start of the runner that the request is for; any other refuses it
- * @param organisation who sends it, when known
- * @param rank 0 to 9, 0 is admitted first
- * @param weightsVersion the only version it may run on, when that matters
- * @param lastEvent the event after which a stream goes on
+ * @param remainingMillis time left until the caller's deadline
+ * @param instance the incarnation of the runner that the request is for; any other
+ * rejects it
+ * @param organisation the caller's organisation, when known
+ * @param rank priority from 0 to 9; 0 is admitted first
+ * @param weightsVersion the only version that may serve it, when restricted
+ * @param lastEvent id of the event after which a stream is resumed
  */
 public record OutboundCall(long remainingMillis, String instance, Optional<String> organisation, int rank,
 		OptionalInt weightsVersion, Optional<String> lastEvent) {
--- a/protocol/src/main/java/org/wisteriapost/protocol/site/RunnerReply.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/site/RunnerReply.java
@@ -4,12 +4,12 @@
 import java.util.OptionalInt;
 
 /**
- * What the head of a runner's answer says.
+ * The fields that the headers of a runner's response carry.
  *
- * @param attempt the attempt that it answers
- * @param notRun the runner promises that the request has not run
- * @param otherInstance another start of a runner has the address
- * @param weightsVersion of the weights that answer
+ * @param attempt id of the attempt that it answers
+ * @param notRun whether the runner guarantees that the request has not run
+ * @param otherInstance whether another incarnation of a runner has the address
+ * @param weightsVersion the version that served the request
  */
 public record RunnerReply(Optional<String> attempt, boolean notRun, boolean otherInstance, OptionalInt weightsVersion) {
 }
--- a/protocol/src/main/java/org/wisteriapost/protocol/site/SiteProvider.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/site/SiteProvider.java
@@ -10,14 +10,14 @@
 import org.wisteriapost.protocol.outside.WeightStore;
 
 /**
- * Makes the adapters of one site; registers with the service loader.
+ * Creates the adapters of a site. Implementations are found by {@link ServiceLoader}.
  */
 public interface SiteProvider {
 
 	/** No adapter is on the class path. */
 	Code MISSING = Code.error("site-missing", "No site adapter is part of this program.");
 
-	/** The environment does not name the settings. */
+	/** The environment variable of the settings file is not set. */
 	Code SETTINGS_UNNAMED = Code.error("site-settings-unnamed",
 			"The environment does not name the site's settings file.");
 
@@ -27,12 +27,12 @@
 	String settingsVariable();
 
 	/**
-	 * Returns the settings of a file, checked whole; throws with all findings.
+	 * Reads and validates a settings file; throws with all findings.
 	 */
 	SiteSettings settings(Path file);
 
 	/**
-	 * Returns the settings that the environment names, as they are now.
+	 * Reads the settings file that the environment variable names.
 	 */
 	default SiteSettings settings() {
 		String file = System.getenv(settingsVariable());
@@ -42,16 +42,16 @@
 		return settings(Path.of(file));
 	}
 
-	/** Returns the store. */
+	/** Returns the site's object store. */
 	ObjectStore store(HttpCaller caller, SiteSettings settings);
 
-	/** Returns how requests and answers are written. */
+	/** Returns the site's HTTP headers and paths. */
 	CallDialect dialect();
 
-	/** Returns the engine beside this process. */
+	/** Returns the engine on this process's VM. */
 	EngineControl engine(HttpCaller caller, String address);
 
-	/** Returns the engine's memory for staged weights of one model. */
+	/** Returns the store on the engine's VM for staged weights of a model. */
 	WeightStore staging(HttpCaller caller, String address, String model);
 
 	/** Returns the origin of weights. */
--- a/protocol/src/main/java/org/wisteriapost/protocol/site/SiteSettings.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/site/SiteSettings.java
@@ -6,38 +6,39 @@
 import java.util.Optional;
 
 /**
- * What a process is told of itself and its site.
+ * The settings of a process and its site.
  *
  * @param name the VM's name
- * @param host the VM's IP number
+ * @param host the VM's IP address
  * @param place its failure domain
  * @param region its region
- * @param front where callers connect; for an entry
- * @param readiness where the site asks whether the entry is ready; for an entry
- * @param directory where callers ask for addresses; for an entry
- * @param linkPort where other wisteriapost processes connect, the same on every VM
- * @param adminPort where counters are served
- * @param store the site's object store
- * @param runner the runner beside this process, {@code IP:PORT}; for an agent
+ * @param front the address for callers; for an entry
+ * @param readiness the address of the readiness check; for an entry
+ * @param directory the address of the directory of entries; for an entry
+ * @param linkPort port for links from other wisteriapost processes, the same on every VM
+ * @param adminPort port of the metrics
+ * @param store URI of the site's object store
+ * @param runner the runner on the same VM, {@code IP:PORT}; for an agent
  * @param service the service of that runner; for an agent
- * @param linkBytesPerSecond what the VM's own link carries
- * @param bounds the site's promises that the process has to keep
+ * @param linkBytesPerSecond bandwidth of the VM's network link
+ * @param bounds the site's guarantees that the process has to meet
  */
 public record SiteSettings(String name, String host, String place, String region, Optional<InetSocketAddress> front,
 		Optional<InetSocketAddress> readiness, Optional<InetSocketAddress> directory, int linkPort, int adminPort,
 		URI store, Optional<String> runner, String service, long linkBytesPerSecond, Bounds bounds) {
 
 	/**
-	 * The site's promises.
+	 * The site's guarantees.
 	 *
-	 * @param grace from the signal to leave until the process is killed
-	 * @param declaredInForce from a declaration of routes, tokens or limits until it
-	 * binds
-	 * @param weightsInForce from naming weights until no request starts on older ones
-	 * @param retryShare requests sent again, as a share of all, over all entries
-	 * @param retryExtra more of them in one window, over all entries
-	 * @param retryWindow the window in which they are counted
-	 * @param directoryKeep the longest time that callers keep an address answer
+	 * @param grace from the termination signal until the process is killed
+	 * @param declaredInForce activation delay of a declaration of routes, tokens or
+	 * limits
+	 * @param weightsInForce activation delay of a target weights version: until no
+	 * request starts on older ones
+	 * @param retryShare limit on retries as a share of all requests, over all entries
+	 * @param retryExtra retries allowed in addition in one window, over all entries
+	 * @param retryWindow the window in which retries are counted
+	 * @param directoryKeep maximum time that callers cache a directory response
 	 */
 	public record Bounds(Duration grace, Duration declaredInForce, Duration weightsInForce, double retryShare,
 			int retryExtra, Duration retryWindow, Duration directoryKeep) {
--- a/protocol/src/main/java/org/wisteriapost/protocol/site/package-info.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/site/package-info.java
@@ -1,6 +1,6 @@
 /**
- * What a site gives wisteriapost, in the product's own words: its object store, how
- * callers and runners write their requests and answers, its engines and its settings. A
- * site's adapter implements these interfaces and decides nothing.
+ * The interfaces through which wisteriapost uses a site: its object store, the request
+ * and response headers of callers and runners, its engines and its settings. A site's
+ * adapter implements these interfaces and contains no policy.
  */
 package org.wisteriapost.protocol.site;
--- a/protocol/src/test/java/org/wisteriapost/protocol/site/ScriptedStore.java
+++ b/protocol/src/test/java/org/wisteriapost/protocol/site/ScriptedStore.java
@@ -12,10 +12,10 @@
 import org.wisteriapost.kernel.CodedException;
 import org.wisteriapost.policy.fleet.EntryInfo;
 
-/** Answers from a script, and says when it is over. */
+/** Returns scripted responses and completes a future when none is left. */
 final class ScriptedStore implements ObjectStore {
 
-	private final CompletableFuture<Void> scriptOver;
+	private final CompletableFuture<Void> scriptFinished;
 
 	final Queue<Page> pages = new ArrayDeque<>();
 
@@ -23,33 +23,33 @@
 
 	final Queue<Code> failures = new ArrayDeque<>();
 
-	final Queue<Changes> gaps = new ArrayDeque<>();
+	final Queue<Changes> catchUpChanges = new ArrayDeque<>();
 
-	final List<Long> askedNanos = new CopyOnWriteArrayList<>();
+	final List<Long> requestNanos = new CopyOnWriteArrayList<>();
 
 	final List<Duration> waits = new CopyOnWriteArrayList<>();
 
-	final List<String> asked = new CopyOnWriteArrayList<>();
+	final List<String> requests = new CopyOnWriteArrayList<>();
 
-	volatile CompletableFuture<Changes> waiting = new CompletableFuture<>();
+	volatile CompletableFuture<Changes> pendingWatch = new CompletableFuture<>();
 
 	int listFailures;
 
-	boolean silent;
+	boolean unresponsive;
 
 	/**
-	 * Returns a store.
-	 * @param scriptOver completed when the script is over
+	 * Creates a store.
+	 * @param scriptFinished completed when no scripted response is left
 	 */
-	ScriptedStore(CompletableFuture<Void> scriptOver) {
-		this.scriptOver = scriptOver;
+	ScriptedStore(CompletableFuture<Void> scriptFinished) {
+		this.scriptFinished = scriptFinished;
 	}
 
 	@Override
 	public synchronized CompletableFuture<Page> list(Kind kind, Optional<String> after) {
-		this.askedNanos.add(System.nanoTime());
-		this.asked.add("list");
-		if (this.silent) {
+		this.requestNanos.add(System.nanoTime());
+		this.requests.add("list");
+		if (this.unresponsive) {
 			return new CompletableFuture<>();
 		}
 		if (this.listFailures > 0) {
@@ -61,10 +61,10 @@
 
 	@Override
 	public synchronized CompletableFuture<Changes> watch(Kind kind, long revision, Duration wait) {
-		this.askedNanos.add(System.nanoTime());
+		this.requestNanos.add(System.nanoTime());
 		this.waits.add(wait);
-		this.asked.add((wait.isZero() ? "since " : "watch ") + revision);
-		if (this.silent) {
+		this.requests.add((wait.isZero() ? "since " : "watch ") + revision);
+		if (this.unresponsive) {
 			return new CompletableFuture<>();
 		}
 		if (!this.changes.isEmpty()) {
@@ -74,12 +74,12 @@
 			return CompletableFuture.failedFuture(CodedException.of(this.failures.remove(), "scripted"));
 		}
 		if (wait.isZero()) {
-			return CompletableFuture
-				.completedFuture(this.gaps.isEmpty() ? new Changes(List.of(), revision) : this.gaps.remove());
+			return CompletableFuture.completedFuture(
+					this.catchUpChanges.isEmpty() ? new Changes(List.of(), revision) : this.catchUpChanges.remove());
 		}
-		this.waiting = new CompletableFuture<>();
-		this.scriptOver.complete(null);
-		return this.waiting;
+		this.pendingWatch = new CompletableFuture<>();
+		this.scriptFinished.complete(null);
+		return this.pendingWatch;
 	}
 
 	@Override
--- a/protocol/src/test/java/org/wisteriapost/protocol/site/FollowerSetting.java
+++ b/protocol/src/test/java/org/wisteriapost/protocol/site/StoreWatcherFixture.java
@@ -18,10 +18,10 @@
 
 import static org.hamcrest.MatcherAssert.assertThat;
 
-/** A follower of a scripted store. */
-abstract class FollowerSetting {
+/** Runs a {@link Follower} against a {@link ScriptedStore}. */
+abstract class StoreWatcherFixture {
 
-	private static final int MOST_SECONDS = 10;
+	private static final int TIMEOUT_SECONDS = 10;
 
 	Consumer<Runnable> scheduled = (command) -> {
 	};
@@ -32,17 +32,17 @@
 
 		@Override
 		public ScheduledFuture<?> schedule(Runnable command, long delay, TimeUnit unit) {
-			// What is to run at once comes here, too.
+			// Tasks without a delay are scheduled here as well.
 			if (delay > 0) {
-				FollowerSetting.this.delaysMillis.add(unit.toMillis(delay));
-				FollowerSetting.this.scheduled.accept(command);
+				StoreWatcherFixture.this.delaysMillis.add(unit.toMillis(delay));
+				StoreWatcherFixture.this.scheduled.accept(command);
 			}
 			return super.schedule(command, delay, unit);
 		}
 
 	};
 
-	final List<String> heard = new ArrayList<>();
+	final List<String> events = new ArrayList<>();
 
 	final long startedNanos = System.nanoTime();
 
@@ -50,9 +50,9 @@
 
 	final List<Confirmed> confirmed = new ArrayList<>();
 
-	final CompletableFuture<Void> scriptOver = new CompletableFuture<>();
+	final CompletableFuture<Void> scriptFinished = new CompletableFuture<>();
 
-	final ScriptedStore store = new ScriptedStore(this.scriptOver);
+	final ScriptedStore store = new ScriptedStore(this.scriptFinished);
 
 	@AfterEach
 	void stop() {
@@ -65,21 +65,21 @@
 
 	List<String> follow() throws Exception {
 		start();
-		awaitScriptOver();
-		return heard();
+		awaitScriptFinished();
+		return events();
 	}
 
-	// The store says that its script is over inside the last call, before the follower
-	// has that call's answer to wait for. What a test does next must come after it, or
-	// an answer that was there first could be left out by a pause that was made later.
-	void awaitScriptOver() throws Exception {
-		this.scriptOver.get(MOST_SECONDS, TimeUnit.SECONDS);
-		heard();
+	// The store completes the future inside its last call, before the watcher has
+	// received the future of that call. Waiting for the timer thread as well keeps
+	// the test's next step, such as a pause, from overtaking it.
+	void awaitScriptFinished() throws Exception {
+		this.scriptFinished.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
+		events();
 	}
 
-	List<String> heard() throws Exception {
-		return CompletableFuture.supplyAsync(() -> List.copyOf(this.heard), this.timer)
-			.get(MOST_SECONDS, TimeUnit.SECONDS);
+	List<String> events() throws Exception {
+		return CompletableFuture.supplyAsync(() -> List.copyOf(this.events), this.timer)
+			.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
 	}
 
 	Follower start() {
@@ -91,54 +91,56 @@
 
 			@Override
 			public void onAll(List<Item> items, long at) {
-				FollowerSetting.this.heard.add("all" + items.stream().map(Item::name).toList());
+				StoreWatcherFixture.this.events.add("all" + items.stream().map(Item::name).toList());
 			}
 
 			@Override
 			public void onChange(Change change) {
-				FollowerSetting.this.heard
+				StoreWatcherFixture.this.events
 					.add((change.deleted() ? "-" : "+") + change.item().name() + "@" + change.item().revision());
 			}
 
 			@Override
 			public void onConfirmed(long asOfNanos) {
-				FollowerSetting.this.confirmed.add(new Confirmed(asOfNanos, List.copyOf(FollowerSetting.this.heard)));
+				StoreWatcherFixture.this.confirmed
+					.add(new Confirmed(asOfNanos, List.copyOf(StoreWatcherFixture.this.events)));
 			}
 
 			@Override
 			public void onDoubt() {
-				FollowerSetting.this.heard.add("doubt");
+				StoreWatcherFixture.this.events.add("doubt");
 			}
 
 			@Override
 			public void onReachable(boolean reachable) {
-				FollowerSetting.this.heard.add(reachable ? "back" : "lost");
+				StoreWatcherFixture.this.events.add(reachable ? "back" : "lost");
 			}
 
 		}, this.clock);
 	}
 
-	List<String> heardAfter(int calls) throws Exception {
-		for (int i = 0; i < 100 && this.store.asked.size() < calls; i++) {
+	List<String> eventsAfter(int calls) throws Exception {
+		for (int i = 0; i < 100 && this.store.requests.size() < calls; i++) {
 			TimeUnit.MILLISECONDS.sleep(50);
 		}
-		return heard();
+		return events();
 	}
 
-	// Between the store's hearing of the call before and of the call itself.
-	void assertAsked(int call, long nanos) {
-		long before = (call > 0) ? this.store.askedNanos.get(call - 1) : this.startedNanos;
+	// Asserts that a time is between the store's receipt of the previous call and of the
+	// call itself.
+	void assertRequestTime(int call, long nanos) {
+		long before = (call > 0) ? this.store.requestNanos.get(call - 1) : this.startedNanos;
 		assertThat(nanos, Matchers.greaterThanOrEqualTo(before));
-		assertThat(nanos, Matchers.lessThanOrEqualTo(this.store.askedNanos.get(call)));
+		assertThat(nanos, Matchers.lessThanOrEqualTo(this.store.requestNanos.get(call)));
 	}
 
 	List<Confirmed> confirmed() throws Exception {
 		return CompletableFuture.supplyAsync(() -> List.copyOf(this.confirmed), this.timer)
-			.get(MOST_SECONDS, TimeUnit.SECONDS);
+			.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
 	}
 
-	/** What was confirmed, and what had been heard by then. */
-	record Confirmed(long asOf, List<String> before) {
+	/** A confirmed time and the events before the confirmation. */
+	record Confirmed(long confirmedNanos, List<String> precedingEvents) {
 	}
 
 }
--- /dev/null
+++ b/protocol/src/test/java/org/wisteriapost/protocol/site/StoreWatcherTests.java
@@ -0,0 +1,189 @@
+package org.wisteriapost.protocol.site;
+
+import java.util.List;
+import java.util.concurrent.CountDownLatch;
+
+import org.hamcrest.Matchers;
+import org.junit.jupiter.api.Test;
+import org.wisteriapost.protocol.site.ObjectStore.Change;
+import org.wisteriapost.protocol.site.ObjectStore.Changes;
+import org.wisteriapost.protocol.site.ObjectStore.Page;
+
+import static org.hamcrest.MatcherAssert.assertThat;
+
+class StoreWatcherTests extends StoreWatcherFixture {
+
+	// A runner changes between two pages of the listing. The watch starts at the revision
+	// of the first page and returns an older change of the runner, which must not make a
+	// leaving runner look ready again.
+	@Test
+	void changeOlderThanListingIsIgnored() throws Exception {
+		this.store.pages.add(new Page(List.of(item("a", 1)), true, 5));
+		this.store.pages.add(new Page(List.of(item("b", 9)), false, 9));
+		this.store.changes
+			.add(new Changes(List.of(new Change(item("b", 7), false), new Change(item("b", 9), false)), 9));
+		assertThat(follow(), Matchers.contains("back", "all[a, b]", "+b@9"));
+	}
+
+	// The store discards its history during a watch.
+	@Test
+	void missingHistoryTriggersRelisting() throws Exception {
+		this.store.pages.add(new Page(List.of(item("a", 1)), false, 5));
+		this.store.failures.add(ObjectStore.HISTORY_GONE);
+		this.store.pages.add(new Page(List.of(item("c", 8)), false, 8));
+		assertThat(follow(), Matchers.contains("back", "all[a]", "all[c]"));
+	}
+
+	// The watch fails, and the catch-up call reports that the history was discarded.
+	@Test
+	void missingHistoryAfterFailedWatchTriggersRelisting() throws Exception {
+		this.store.pages.add(new Page(List.of(item("a", 1)), false, 5));
+		this.store.failures.add(ObjectStore.UNAVAILABLE);
+		this.store.failures.add(ObjectStore.HISTORY_GONE);
+		this.store.pages.add(new Page(List.of(item("c", 8)), false, 8));
+		assertThat(follow(), Matchers.contains("back", "all[a]", "all[c]"));
+		assertThat(this.store.requests, Matchers.contains("list", "watch 5", "since 5", "list", "watch 8"));
+	}
+
+	// Listing everything after each failed watch saturates a narrow link and leaves the
+	// entries behind it with stale route tables; only the changes in the gap are needed.
+	@Test
+	void failedWatchIsFollowedByCatchUp() throws Exception {
+		this.store.pages.add(new Page(List.of(item("a", 1), item("b", 2)), false, 5));
+		this.store.failures.add(ObjectStore.UNAVAILABLE);
+		this.store.catchUpChanges.add(new Changes(List.of(new Change(item("b", 7), false)), 9));
+		assertThat(follow(), Matchers.contains("back", "all[a, b]", "+b@7"));
+		assertThat(this.store.requests, Matchers.contains("list", "watch 5", "since 5", "watch 9"));
+	}
+
+	// A runner is registered and removed in a gap. Publishing both changes would send
+	// requests to it after its removal.
+	@Test
+	void catchUpPublishesOnlyLatestChangeOfEachObject() throws Exception {
+		this.store.pages.add(new Page(List.of(), false, 5));
+		this.store.failures.add(ObjectStore.UNAVAILABLE);
+		this.store.catchUpChanges.add(new Changes(List.of(new Change(item("a", 6), false),
+				new Change(item("b", 7), false), new Change(item("a", 6), true), new Change(item("b", 9), false)), 9));
+		assertThat(follow(), Matchers.contains("back", "all[]", "-a@6", "+b@9"));
+	}
+
+	// A store restored from an older copy reports no changes until it has reached the
+	// requested revision again.
+	@Test
+	void rolledBackStoreIsRelisted() throws Exception {
+		this.store.pages.add(new Page(List.of(item("a", 1)), false, 5));
+		this.store.failures.add(ObjectStore.UNAVAILABLE);
+		this.store.catchUpChanges.add(new Changes(List.of(), 3));
+		this.store.pages.add(new Page(List.of(item("c", 2)), false, 3));
+		assertThat(follow(), Matchers.contains("back", "all[a]", "all[c]"));
+	}
+
+	// The same between two watches: each watch would confirm the stale route table.
+	@Test
+	void storeRolledBackBetweenWatchesIsRelisted() throws Exception {
+		this.store.pages.add(new Page(List.of(item("a", 1)), false, 5));
+		this.store.changes.add(new Changes(List.of(), 3));
+		this.store.pages.add(new Page(List.of(item("c", 2)), false, 3));
+		assertThat(follow(), Matchers.contains("back", "all[a]", "all[c]"));
+		assertThat(confirmed(), Matchers.hasSize(2));
+	}
+
+	@Test
+	void outageAndRecoveryAreReportedOnce() throws Exception {
+		this.store.pages.add(new Page(List.of(), false, 5));
+		for (int i = 0; i < 4; i++) {
+			this.store.failures.add(ObjectStore.UNAVAILABLE);
+		}
+		assertThat(follow(), Matchers.contains("back", "all[]", "lost", "back"));
+		assertThat(this.store.requests,
+				Matchers.contains("list", "watch 5", "since 5", "since 5", "since 5", "since 5", "watch 5"));
+	}
+
+	@Test
+	void outageBeforeFirstListingIsFollowedByListing() throws Exception {
+		this.store.listFailures = 2;
+		this.store.pages.add(new Page(List.of(item("a", 1)), false, 5));
+		assertThat(follow(), Matchers.contains("lost", "back", "all[a]"));
+	}
+
+	// A peer has become leader. The response to the last watch arrives before the pause
+	// can cancel it and may be older than the leader's updates: a removed runner would be
+	// considered ready again.
+	@Test
+	void responseReceivedAfterPauseIsIgnored() throws Exception {
+		this.store.pages.add(new Page(List.of(item("a", 1)), false, 5));
+		Follower watcher = start();
+		awaitScriptFinished();
+		CountDownLatch busy = new CountDownLatch(1);
+		this.timer.execute(() -> awaitQuietly(busy));
+		watcher.pause();
+		assertThat(this.store.pendingWatch.complete(new Changes(List.of(new Change(item("a", 6), false)), 6)),
+				Matchers.is(true));
+		busy.countDown();
+		assertThat(events(), Matchers.contains("back", "all[a]"));
+	}
+
+	private static void awaitQuietly(CountDownLatch latch) {
+		try {
+			latch.await();
+		}
+		catch (InterruptedException ex) {
+			Thread.currentThread().interrupt();
+		}
+	}
+
+	// A peer has become leader. The response to a pending call would use bandwidth of a
+	// link that may be saturated.
+	@Test
+	void pauseCancelsCallInProgress() throws Exception {
+		this.store.pages.add(new Page(List.of(item("a", 1)), false, 5));
+		Follower watcher = start();
+		awaitScriptFinished();
+		watcher.pause();
+		assertThat(events(), Matchers.contains("back", "all[a]"));
+		assertThat(this.store.pendingWatch.isCancelled(), Matchers.is(true));
+	}
+
+	// The leader has failed: the changes in between are read at once, and the store is
+	// reported reachable again.
+	@Test
+	void resumeCatchesUpFromLastRevision() throws Exception {
+		this.store.pages.add(new Page(List.of(item("a", 1)), false, 5));
+		this.store.catchUpChanges.add(new Changes(List.of(new Change(item("b", 8), false)), 8));
+		Follower watcher = start();
+		awaitScriptFinished();
+		watcher.pause();
+		watcher.resume(0);
+		assertThat(eventsAfter(4), Matchers.contains("back", "all[a]", "back", "+b@8"));
+		assertThat(this.store.requests, Matchers.contains("list", "watch 5", "since 5", "watch 8"));
+	}
+
+	// The leader forwarded many versions of the route table. Catching up from this
+	// process's own last revision would transfer all of them again over a link that may
+	// be saturated.
+	@Test
+	void resumeSkipsRevisionsReceivedFromPeer() throws Exception {
+		this.store.pages.add(new Page(List.of(item("a", 1)), false, 5));
+		Follower watcher = start();
+		awaitScriptFinished();
+		watcher.pause();
+		watcher.resume(25);
+		eventsAfter(4);
+		assertThat(this.store.requests, Matchers.contains("list", "watch 5", "since 25", "watch 25"));
+	}
+
+	// The listener discarded the last updates because a peer became leader, so the last
+	// revision does not describe the listener's state.
+	@Test
+	void discardedUpdatesAreRelistedOnResume() throws Exception {
+		this.store.pages.add(new Page(List.of(item("a", 1)), false, 5));
+		this.store.pages.add(new Page(List.of(item("b", 8)), false, 8));
+		Follower watcher = start();
+		awaitScriptFinished();
+		watcher.pause();
+		watcher.forget();
+		watcher.resume(0);
+		assertThat(eventsAfter(4), Matchers.contains("back", "all[a]", "back", "all[b]"));
+	}
+
+}
--- a/protocol/src/test/java/org/wisteriapost/protocol/site/LargeGapTests.java
+++ b/protocol/src/test/java/org/wisteriapost/protocol/site/TruncatedCatchUpTests.java
@@ -19,11 +19,11 @@
 import static org.hamcrest.MatcherAssert.assertThat;
 
 /**
- * A follower whose call for what has changed fails.
+ * A {@link Follower} whose catch-up call fails.
  */
-class LargeGapTests {
+class TruncatedCatchUpTests {
 
-	private static final int MOST_SECONDS = 10;
+	private static final int TIMEOUT_SECONDS = 10;
 
 	private final ScheduledThreadPoolExecutor timer = new ScheduledThreadPoolExecutor(1);
 
@@ -34,21 +34,22 @@
 		this.timer.shutdownNow();
 	}
 
-	// A table is declared again and again while the link is full, and the store sends
-	// each form of it. The answer is cut while it comes. Asked for once more it would be
-	// as long or longer, and no table would ever come; the table alone is one copy. An
-	// answer that has not begun says nothing of that, and the table may be the same.
+	// The route table is declared many times while the link is saturated, and the
+	// catch-up response with all versions is cut off. Another one would be at least
+	// as long and never arrive; a listing has only one version. A call that failed
+	// before its response started is repeated.
 	@ParameterizedTest
 	@CsvSource({ "ROUTES,3200,list", "ROUTES,0,since 5", "RUNNERS,2500,since 5" })
-	void whatWasCutWhileItCameIsNotAskedForAgain(Kind kind, long millis, String next) throws Exception {
+	void truncatedCatchUpIsFollowedByListing(Kind kind, long millis, String next) throws Exception {
 		this.store.failsAfterMillis = millis;
-		Follower.start(this.store, kind, this.timer, new Deaf());
-		assertThat(this.store.over.await(MOST_SECONDS, TimeUnit.SECONDS), Matchers.is(true));
-		assertThat(List.copyOf(this.store.asked).subList(0, 4), Matchers.contains("list", "watch 5", "since 5", next));
+		Follower.start(this.store, kind, this.timer, new IgnoringListener());
+		assertThat(this.store.remainingRequests.await(TIMEOUT_SECONDS, TimeUnit.SECONDS), Matchers.is(true));
+		assertThat(List.copyOf(this.store.requests).subList(0, 4),
+				Matchers.contains("list", "watch 5", "since 5", next));
 	}
 
-	/** Hears nothing. */
-	private static final class Deaf implements FollowListener {
+	/** Ignores all calls. */
+	private static final class IgnoringListener implements FollowListener {
 
 		@Override
 		public void onAll(List<ObjectStore.Item> items, long at) {
@@ -72,29 +73,29 @@
 
 	}
 
-	/** Answers listings; its watches end and its answers to other calls are cut. */
+	/** Answers listings; watches fail at once and catch-up calls after a delay. */
 	private static final class FailingStore implements ObjectStore {
 
-		private final List<String> asked = new CopyOnWriteArrayList<>();
+		private final List<String> requests = new CopyOnWriteArrayList<>();
 
-		private final CountDownLatch over = new CountDownLatch(4);
+		private final CountDownLatch remainingRequests = new CountDownLatch(4);
 
 		private volatile long failsAfterMillis;
 
-		private void asked(String call) {
-			this.asked.add(call);
-			this.over.countDown();
+		private void requests(String call) {
+			this.requests.add(call);
+			this.remainingRequests.countDown();
 		}
 
 		@Override
 		public CompletableFuture<Page> list(Kind kind, Optional<String> after) {
-			asked("list");
+			requests("list");
 			return CompletableFuture.completedFuture(new Page(List.of(), false, 5));
 		}
 
 		@Override
 		public CompletableFuture<Changes> watch(Kind kind, long revision, Duration wait) {
-			asked((wait.isZero() ? "since " : "watch ") + revision);
+			requests((wait.isZero() ? "since " : "watch ") + revision);
 			CompletableFuture<Changes> answer = new CompletableFuture<>();
 			long millis = wait.isZero() ? this.failsAfterMillis : 0;
 			CompletableFuture.delayedExecutor(millis, TimeUnit.MILLISECONDS)
