--- a/protocol/src/main/java/org/wisteriapost/protocol/link/Link.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/link/Link.java
@@ -3,23 +3,23 @@
 import org.wisteriapost.protocol.wire.Frame;
 
 /**
- * One connection to another of our processes.
+ * A connection to another wisteriapost process.
  */
 public interface Link {
 
 	/**
-	 * Queues a frame; false when the link is closed and nothing of it was sent.
+	 * Queues a frame; returns false when the link is closed and the frame was not sent.
 	 */
 	boolean send(Frame frame);
 
 	/**
-	 * Returns whether the send buffer is below its high-water mark; bulk senders stop
-	 * when it is not and go on in {@link LinkHandler#onWritable}.
+	 * Returns whether the send buffer is below its high-water mark. Bulk senders stop
+	 * when it is not and continue in {@link LinkHandler#onWritable}.
 	 */
 	boolean writable();
 
 	/**
-	 * Returns the other side as {@code host:port}.
+	 * Returns the address of the peer as {@code host:port}.
 	 */
 	String peer();
 
--- a/protocol/src/main/java/org/wisteriapost/protocol/link/LinkChannel.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/link/LinkChannel.java
@@ -13,8 +13,8 @@
 import org.wisteriapost.protocol.wire.Frame;
 
 /**
- * Turns one Netty channel into a {@link Link}. Empty frames are heartbeats; no handler
- * hears them.
+ * Adapts a Netty channel to {@link Link}. Empty frames are heartbeats and are not passed
+ * to the handler.
  */
 final class LinkChannel extends SimpleChannelInboundHandler<Frame> implements Link {
 
@@ -27,9 +27,9 @@
 	private volatile Channel channel;
 
 	/**
-	 * Returns a channel that is not open yet.
-	 * @param opened completes when the handler has heard that the link is open; fails
-	 * when it closes before that
+	 * Creates a channel that is not open yet.
+	 * @param opened completes after {@link LinkHandler#onOpen}; fails when the channel
+	 * closes before that
 	 */
 	LinkChannel(LinkHandler handler, CompletableFuture<Void> opened) {
 		this.handler = handler;
@@ -76,8 +76,8 @@
 		});
 	}
 
-	// Netty completes its own connect future before the channel is active; whoever waited
-	// for that one would send over a link that its handler has not heard of.
+	// Netty completes its connect future before the channel is active, so waiting for
+	// that future would allow sending before the handler's onOpen.
 	private void open() {
 		this.handler.onOpen(this);
 		this.opened.complete(null);
--- a/protocol/src/main/java/org/wisteriapost/protocol/link/LinkHandler.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/link/LinkHandler.java
@@ -3,27 +3,27 @@
 import org.wisteriapost.protocol.wire.Frame;
 
 /**
- * Hears one link's events, in order, on an I/O thread; must not block.
+ * Receives the events of a link, in order, on an I/O thread. Must not block.
  */
 public interface LinkHandler {
 
 	/**
-	 * Called when the link is up; the first frame to send is a Hello.
+	 * Called when the link is open. The first frame to send is a Hello.
 	 */
 	void onOpen(Link link);
 
 	/**
-	 * Called for each frame.
+	 * Called for each frame except heartbeats.
 	 */
 	void onFrame(Link link, Frame frame);
 
 	/**
-	 * Called once when the link is gone, for whatever reason.
+	 * Called once when an open link has closed for any reason.
 	 */
 	void onClosed(Link link);
 
 	/**
-	 * Called when a full send buffer has drained.
+	 * Called when the send buffer has fallen below its low-water mark.
 	 */
 	default void onWritable(Link link) {
 	}
--- a/protocol/src/main/java/org/wisteriapost/protocol/link/LinkServer.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/link/LinkServer.java
@@ -5,7 +5,7 @@
 import io.netty.channel.Channel;
 
 /**
- * An address at which links are taken.
+ * A listening socket that accepts links.
  */
 public final class LinkServer implements AutoCloseable {
 
@@ -16,7 +16,7 @@
 	}
 
 	/**
-	 * Returns the port, also when a free one was chosen.
+	 * Returns the bound port.
 	 */
 	public int port() {
 		return ((InetSocketAddress) this.channel.localAddress()).getPort();
--- a/protocol/src/main/java/org/wisteriapost/protocol/link/LinkTls.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/link/LinkTls.java
@@ -3,10 +3,10 @@
 import io.netty.handler.ssl.SslContext;
 
 /**
- * Mutual TLS for links: both sides show a certificate of the configured authority.
+ * Mutual TLS for links: both sides present a certificate of the configured authority.
  *
- * @param server for links taken
- * @param client for links made
+ * @param server the context for accepted links
+ * @param client the context for outgoing links
  */
 public record LinkTls(SslContext server, SslContext client) {
 }
--- a/protocol/src/main/java/org/wisteriapost/protocol/link/Links.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/link/Links.java
@@ -32,23 +32,22 @@
 import org.wisteriapost.protocol.wire.Frame;
 
 /**
- * Makes and takes links. One instance serves a whole process.
+ * Opens and accepts links. A process has one instance.
  */
 public final class Links implements AutoCloseable {
 
-	/** A link could not be made or the address not be taken. */
+	/** A link could not be opened or an address could not be bound. */
 	public static final Code LINK_FAILED = Code.warning("link-failed",
 			"A link to another wisteriapost process could not be opened.");
 
 	/**
-	 * The most bytes in a frame: a chunk or bundle of one megabyte with room for its
-	 * headers.
+	 * Maximum size of a frame: a chunk or bundle of one megabyte and its headers.
 	 */
 	public static final int MAX_FRAME_BYTES = 4 << 20;
 
 	private static final int LENGTH_BYTES = 4;
 
-	private static final int CONNECT_MILLIS = 1000;
+	private static final int CONNECT_TIMEOUT_MILLIS = 1000;
 
 	private static final WriteBufferWaterMark WATER_MARK = new WriteBufferWaterMark(256 << 10, 1 << 20);
 
@@ -56,7 +55,7 @@
 
 	private final Optional<Supplier<LinkTls>> tls;
 
-	private final Map<EventLoop, Heartbeats> heartbeats = new ConcurrentHashMap<>();
+	private final Map<EventLoop, HeartbeatTimer> heartbeatTimers = new ConcurrentHashMap<>();
 
 	private Links(EventLoopGroup group, Optional<Supplier<LinkTls>> tls) {
 		this.group = group;
@@ -72,14 +71,14 @@
 
 	/**
 	 * Returns links under mutual TLS.
-	 * @param tls asked for each new link, so that keys are replaced without a restart
+	 * @param tls called for each new link, so that keys can be replaced without a restart
 	 */
 	public static Links secured(int threads, Supplier<LinkTls> tls) {
 		return new Links(group(threads), Optional.of(tls));
 	}
 
 	/**
-	 * Takes links at an address; port 0 chooses a free one.
+	 * Accepts links at an address; port 0 selects a free one.
 	 */
 	public LinkServer listen(InetSocketAddress address, LinkHandler handler) {
 		ChannelFuture bound = new ServerBootstrap().group(this.group)
@@ -97,16 +96,16 @@
 	}
 
 	/**
-	 * Makes a link; the handler has heard {@code onOpen} when the future completes. A
-	 * link that never opens, also for want of a valid certificate, fails the future and
-	 * is not heard of by the handler.
+	 * Opens a link. The future completes after the handler's {@code onOpen}. If the link
+	 * cannot be opened, for example without a valid certificate, the future fails and the
+	 * handler is not called.
 	 */
 	public CompletableFuture<Void> connect(InetSocketAddress address, LinkHandler handler) {
 		CompletableFuture<Void> future = new CompletableFuture<>();
 		new Bootstrap().group(this.group)
 			.channel(NioSocketChannel.class)
 			.option(ChannelOption.TCP_NODELAY, true)
-			.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MILLIS)
+			.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
 			.option(ChannelOption.WRITE_BUFFER_WATER_MARK, WATER_MARK)
 			.handler(new Pipeline(handler, false, future))
 			.connect(address)
@@ -145,10 +144,11 @@
 
 		@Override
 		protected void initChannel(SocketChannel channel) {
-			Links.this.tls.map(Supplier::get).ifPresent((both) -> secure(channel, both));
-			Heartbeats ofThread = Links.this.heartbeats.computeIfAbsent(channel.eventLoop(), Heartbeats::new);
+			Links.this.tls.map(Supplier::get).ifPresent((contexts) -> secure(channel, contexts));
+			HeartbeatTimer heartbeatTimer = Links.this.heartbeatTimers.computeIfAbsent(channel.eventLoop(),
+					HeartbeatTimer::new);
 			channel.pipeline()
-				.addLast(new LinkLife(ofThread))
+				.addLast(new LinkKeepAlive(heartbeatTimer))
 				.addLast(new LengthFieldBasedFrameDecoder(MAX_FRAME_BYTES, 0, LENGTH_BYTES, 0, LENGTH_BYTES))
 				.addLast(new ProtobufDecoder(Frame.getDefaultInstance()))
 				.addLast(new LengthFieldPrepender(LENGTH_BYTES))
@@ -156,8 +156,9 @@
 				.addLast(new LinkChannel(this.handler, this.opened));
 		}
 
-		private void secure(Channel channel, LinkTls both) {
-			channel.pipeline().addLast((this.server ? both.server() : both.client()).newHandler(channel.alloc()));
+		private void secure(Channel channel, LinkTls contexts) {
+			channel.pipeline()
+				.addLast((this.server ? contexts.server() : contexts.client()).newHandler(channel.alloc()));
 		}
 
 	}
--- a/protocol/src/main/java/org/wisteriapost/protocol/link/package-info.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/link/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Connections between wisteriapost's own processes: Netty with protobuf frames.
+ * Connections between wisteriapost processes, which exchange protobuf frames over Netty.
  */
 package org.wisteriapost.protocol.link;
--- a/protocol/src/test/java/org/wisteriapost/protocol/link/LinksTests.java
+++ b/protocol/src/test/java/org/wisteriapost/protocol/link/LinksTests.java
@@ -25,9 +25,9 @@
 
 class LinksTests {
 
-	private static final long LONGER_THAN_SILENCE_SECONDS = 5;
+	private static final long LONGER_THAN_IDLE_TIMEOUT_SECONDS = 5;
 
-	private static final int PARTS = 25;
+	private static final int WRITES = 25;
 
 	private final Links links = Links.plain(1);
 
@@ -37,7 +37,7 @@
 	}
 
 	@Test
-	void framesArriveWholeAndInOrder() throws InterruptedException {
+	void framesArriveCompleteAndInOrder() throws InterruptedException {
 		Recorder server = new Recorder();
 		Recorder client = new Recorder();
 		try (LinkServer at = this.links.listen(new InetSocketAddress("127.0.0.1", 0), server)) {
@@ -53,7 +53,7 @@
 	}
 
 	@Test
-	void closedLinkIsHeardAndTakesNothing() throws InterruptedException {
+	void closedLinkNotifiesHandlerAndRejectsFrames() throws InterruptedException {
 		Recorder server = new Recorder();
 		Recorder client = new Recorder();
 		try (LinkServer at = this.links.listen(new InetSocketAddress("127.0.0.1", 0), server)) {
@@ -71,23 +71,22 @@
 	}
 
 	@Test
-	void aLinkOnWhichNothingIsSentStaysOpen() throws InterruptedException {
+	void idleLinkStaysOpen() throws InterruptedException {
 		Recorder server = new Recorder();
 		Recorder client = new Recorder();
 		try (LinkServer at = this.links.listen(new InetSocketAddress("127.0.0.1", 0), server)) {
 			this.links.connect(new InetSocketAddress("127.0.0.1", at.port()), client).join();
-			assertThat(client.closed.poll(LONGER_THAN_SILENCE_SECONDS, TimeUnit.SECONDS), is(nullValue()));
+			assertThat(client.closed.poll(LONGER_THAN_IDLE_TIMEOUT_SECONDS, TimeUnit.SECONDS), is(nullValue()));
 			client.opened.remove().send(data(1, 1));
 			assertThat(server.frames.poll(20, TimeUnit.SECONDS), is(data(1, 1)));
 		}
 	}
 
-	// The other process is stopped or its machine is cut off: the connection stays open
-	// and nothing comes over it, not even a heartbeat. The handler hears that the link is
-	// gone, also on one over which this side sends all the time.
+	// The peer is suspended or its VM is disconnected: the connection stays open, but no
+	// heartbeat arrives. The link must be closed even while this side keeps sending.
 	@ParameterizedTest
 	@ValueSource(booleans = { false, true })
-	void aSilentPeerIsTakenForLost(boolean sending) throws Exception {
+	void linkToUnresponsivePeerIsClosed(boolean sending) throws Exception {
 		Recorder client = new Recorder();
 		try (ServerSocket silent = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
 			this.links.connect(new InetSocketAddress("127.0.0.1", silent.getLocalPort()), client).join();
@@ -103,38 +102,38 @@
 		}
 	}
 
-	// A frame of several hundred kilobytes comes over a link so narrow that it takes
-	// longer than the silence after which a link is closed. Its bytes arrive all the
-	// time; closing the link would lose the frame, and the next one on a new link too.
+	// A frame takes longer than the idle timeout to arrive over a narrow link.
+	// Closing the link would lose the frame, and every repetition of it on a new
+	// link.
 	@Test
-	void aFrameThatTakesLongToArriveIsNoSilence() throws Exception {
+	void slowlyArrivingFrameKeepsLinkOpen() throws Exception {
 		Recorder client = new Recorder();
-		byte[] frame = data(1, PARTS * 100).toByteArray();
+		byte[] frame = data(1, WRITES * 100).toByteArray();
 		try (ServerSocket narrow = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
 			this.links.connect(new InetSocketAddress("127.0.0.1", narrow.getLocalPort()), client).join();
 			try (Socket socket = narrow.accept()) {
 				DataOutputStream out = new DataOutputStream(socket.getOutputStream());
 				out.writeInt(frame.length);
-				int part = frame.length / PARTS;
-				for (int i = 0; i < PARTS; i++) {
-					TimeUnit.MILLISECONDS.sleep(TimeUnit.SECONDS.toMillis(LONGER_THAN_SILENCE_SECONDS) / PARTS);
-					out.write(frame, i * part, (i < PARTS - 1) ? part : frame.length - i * part);
+				int size = frame.length / WRITES;
+				for (int i = 0; i < WRITES; i++) {
+					TimeUnit.MILLISECONDS.sleep(TimeUnit.SECONDS.toMillis(LONGER_THAN_IDLE_TIMEOUT_SECONDS) / WRITES);
+					out.write(frame, i * size, (i < WRITES - 1) ? size : frame.length - i * size);
 				}
-				assertThat(client.frames.poll(20, TimeUnit.SECONDS), is(data(1, PARTS * 100)));
+				assertThat(client.frames.poll(20, TimeUnit.SECONDS), is(data(1, WRITES * 100)));
 			}
 		}
 	}
 
-	// One side has nothing to say and the other sends without a pause. The busy side
-	// leaves out its heartbeats and the quiet side's keep the link open.
+	// One side sends continuously and omits its heartbeats; the heartbeats of the other
+	// side keep the link open.
 	@Test
-	void aLinkThatIsUsedOneWayStaysOpen() throws InterruptedException {
+	void linkUsedInOneDirectionStaysOpen() throws InterruptedException {
 		Recorder server = new Recorder();
 		Recorder client = new Recorder();
 		try (LinkServer at = this.links.listen(new InetSocketAddress("127.0.0.1", 0), server)) {
 			this.links.connect(new InetSocketAddress("127.0.0.1", at.port()), client).join();
 			Link link = client.opened.remove();
-			int sent = 10 * (int) LONGER_THAN_SILENCE_SECONDS;
+			int sent = 10 * (int) LONGER_THAN_IDLE_TIMEOUT_SECONDS;
 			for (int i = 0; i < sent; i++) {
 				link.send(data(i, 1));
 				TimeUnit.MILLISECONDS.sleep(100);
