--- a/protocol/src/main/java/org/wisteriapost/protocol/http/ConnectionPool.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/http/ConnectionPool.java
@@ -19,36 +19,35 @@
 import org.xnio.XnioWorker;
 
 /**
- * Idle connections by host and port. A connection comes back only after a whole answer,
- * so no late answer of one call can be read as another's.
+ * Idle connections by host and port. A connection is returned to the pool only after a
+ * complete response, so a late response is never read by another call.
  *
- * Load: a server that takes few connections is called by many processes, each of them now
- * and then. Harm prevented: connections that nobody will use stay open until the server
- * closes them, and whoever comes last is reset for as long: two to five of 19 agents got
- * no weights for 20 s. So every call to any host closes what has been idle for its time.
+ * Every call, to any host, closes the connections whose idle time has expired. Otherwise,
+ * with many processes that rarely call a server with a low connection limit, unused
+ * connections would occupy the limit and the server would reset new ones.
  */
 final class ConnectionPool {
 
 	/**
-	 * For a server that does not say how long it keeps a connection: shorter than the
-	 * usual limits, so that it is seldom the server that closes first.
+	 * The idle time for a server without a Keep-Alive timeout. It is shorter than common
+	 * server limits, so that the server rarely closes a connection first.
 	 */
-	static final long USUAL_IDLE_MILLIS = 4000;
+	static final long DEFAULT_MAX_IDLE_MILLIS = 4000;
 
-	static final long LONGEST_IDLE_MILLIS = 30_000;
+	static final long MAX_IDLE_MILLIS = 30_000;
 
 	private static final int MAX_IDLE_PER_HOST = 64;
 
-	// A look at some dozen lists; calls come up to some hundred a second.
-	private static final long SWEEP_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
+	// Limits the cost of eviction, since there may be hundreds of calls per second.
+	private static final long EVICTION_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
 
 	private final XnioWorker worker;
 
 	private final ByteBufferPool buffers;
 
-	private final Map<String, Deque<Idle>> idle = new HashMap<>();
+	private final Map<String, Deque<IdleConnection>> idle = new HashMap<>();
 
-	private long sweptNanos = System.nanoTime();
+	private long lastEvictionNanos = System.nanoTime();
 
 	ConnectionPool(XnioWorker worker, ByteBufferPool buffers) {
 		this.worker = worker;
@@ -64,16 +63,16 @@
 	}
 
 	/**
-	 * Returns the connection to a host that was used last.
-	 * @param mostIdle how long it may have been idle; empty for as long as it is kept
+	 * Returns the most recently used connection to a host.
+	 * @param maxIdle how long it may have been idle; empty for no limit
 	 */
-	synchronized Optional<ClientConnection> take(URI target, Optional<Duration> mostIdle) {
-		sweep();
-		Deque<Idle> list = this.idle.getOrDefault(target.getAuthority(), new ArrayDeque<>());
+	synchronized Optional<ClientConnection> acquire(URI target, Optional<Duration> maxIdle) {
+		evictExpired();
+		Deque<IdleConnection> list = this.idle.getOrDefault(target.getAuthority(), new ArrayDeque<>());
 		while (!list.isEmpty()) {
-			Idle candidate = list.peekFirst();
-			if (mostIdle.isPresent() && candidate.idleNanos() > mostIdle.get().toNanos()) {
-				// A new one comes in place of the one that has been idle for longest.
+			IdleConnection candidate = list.peekFirst();
+			if (maxIdle.isPresent() && candidate.idleNanos() > maxIdle.get().toNanos()) {
+				// The new connection replaces the one that has been idle for longest.
 				IoUtils.safeClose(list.pollLast().connection);
 				return Optional.empty();
 			}
@@ -86,27 +85,27 @@
 		return Optional.empty();
 	}
 
-	synchronized void giveBack(URI target, ClientConnection connection, long idleMillis) {
-		Deque<Idle> list = this.idle.computeIfAbsent(target.getAuthority(), (host) -> new ArrayDeque<>());
+	synchronized void release(URI target, ClientConnection connection, long idleMillis) {
+		Deque<IdleConnection> list = this.idle.computeIfAbsent(target.getAuthority(), (host) -> new ArrayDeque<>());
 		if (!connection.isOpen() || list.size() >= MAX_IDLE_PER_HOST) {
 			IoUtils.safeClose(connection);
 			return;
 		}
-		list.addFirst(new Idle(connection, System.nanoTime(), TimeUnit.MILLISECONDS.toNanos(idleMillis)));
+		list.addFirst(new IdleConnection(connection, System.nanoTime(), TimeUnit.MILLISECONDS.toNanos(idleMillis)));
 	}
 
-	private void sweep() {
+	private void evictExpired() {
 		long now = System.nanoTime();
-		if (now - this.sweptNanos < SWEEP_NANOS) {
+		if (now - this.lastEvictionNanos < EVICTION_INTERVAL_NANOS) {
 			return;
 		}
-		this.sweptNanos = now;
-		this.idle.values().forEach((list) -> list.removeIf((one) -> {
-			boolean over = !one.usable();
-			if (over) {
-				IoUtils.safeClose(one.connection);
+		this.lastEvictionNanos = now;
+		this.idle.values().forEach((list) -> list.removeIf((pooled) -> {
+			boolean expired = !pooled.usable();
+			if (expired) {
+				IoUtils.safeClose(pooled.connection);
 			}
-			return over;
+			return expired;
 		}));
 		this.idle.values().removeIf(Deque::isEmpty);
 	}
@@ -114,10 +113,10 @@
 	/**
 	 * Closes the idle connections to a host.
 	 */
-	synchronized void forget(URI target) {
-		Deque<Idle> list = this.idle.remove(target.getAuthority());
+	synchronized void closeIdle(URI target) {
+		Deque<IdleConnection> list = this.idle.remove(target.getAuthority());
 		if (list != null) {
-			list.forEach((one) -> IoUtils.safeClose(one.connection));
+			list.forEach((pooled) -> IoUtils.safeClose(pooled.connection));
 		}
 	}
 
@@ -127,18 +126,18 @@
 	}
 
 	synchronized void close() {
-		this.idle.values().forEach((list) -> list.forEach((one) -> IoUtils.safeClose(one.connection)));
+		this.idle.values().forEach((list) -> list.forEach((pooled) -> IoUtils.safeClose(pooled.connection)));
 		this.idle.clear();
 	}
 
-	private record Idle(ClientConnection connection, long sinceNanos, long mostNanos) {
+	private record IdleConnection(ClientConnection connection, long sinceNanos, long maxIdleNanos) {
 
 		private long idleNanos() {
 			return System.nanoTime() - this.sinceNanos;
 		}
 
 		private boolean usable() {
-			return this.connection.isOpen() && idleNanos() < this.mostNanos;
+			return this.connection.isOpen() && idleNanos() < this.maxIdleNanos;
 		}
 
 	}
--- a/protocol/src/main/java/org/wisteriapost/protocol/http/HttpCall.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/http/HttpCall.java
@@ -7,17 +7,16 @@
 import java.util.Optional;
 
 /**
- * One HTTP request.
+ * An HTTP request.
  *
  * @param method GET, PUT, ...
- * @param target the absolute URI, host as an IP number
+ * @param target the absolute URI; its host is an IP address
  * @param headers by name
  * @param body empty for none
- * @param times how long it waits
- * @param mostIdle how long a reused connection may have been idle; empty for as long as
- * it is kept
- * @param keptIdle how long its connection is kept afterwards at most; empty for as long
- * as the server keeps it
+ * @param times the timeouts
+ * @param mostIdle maximum idle time of a reused connection; empty for no limit
+ * @param keptIdle maximum idle time of the connection afterwards; empty for the server's
+ * limit
  */
 public record HttpCall(String method, URI target, Map<String, String> headers, byte[] body, HttpTimes times,
 		Optional<Duration> mostIdle, Optional<Duration> keptIdle) {
@@ -26,7 +25,7 @@
 
 	/**
 	 * Returns a request without a body.
-	 * @param timeout until the whole answer
+	 * @param timeout the timeout for the complete response
 	 */
 	public static HttpCall of(String method, URI target, Duration timeout) {
 		return of(method, target, HttpTimes.whole(timeout));
@@ -43,18 +42,18 @@
 	 * Returns this request with one more header.
 	 */
 	public HttpCall header(String name, String value) {
-		Map<String, String> more = new LinkedHashMap<>(this.headers);
-		more.put(name, value);
-		return new HttpCall(this.method, this.target, more, this.body, this.times, this.mostIdle, this.keptIdle);
+		Map<String, String> extended = new LinkedHashMap<>(this.headers);
+		extended.put(name, value);
+		return new HttpCall(this.method, this.target, extended, this.body, this.times, this.mostIdle, this.keptIdle);
 	}
 
 	/**
-	 * Returns this request with a bound on how long its connection is kept idle
-	 * afterwards, for a server that many share and that takes few connections.
+	 * Returns this request with a limit on the idle time of its connection afterwards,
+	 * for a server with many clients and a low connection limit.
 	 */
-	public HttpCall keptIdle(Duration most) {
+	public HttpCall keptIdle(Duration maxIdle) {
 		return new HttpCall(this.method, this.target, this.headers, this.body, this.times, this.mostIdle,
-				Optional.of(most));
+				Optional.of(maxIdle));
 	}
 
 	/**
--- a/protocol/src/main/java/org/wisteriapost/protocol/http/HttpCaller.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/http/HttpCaller.java
@@ -15,17 +15,17 @@
 import org.xnio.XnioWorker;
 
 /**
- * Calls over pooled connections of Undertow's client. One caller serves a whole process.
+ * An HTTP client with a connection pool, based on Undertow. A process has one instance.
  */
 public final class HttpCaller implements AutoCloseable {
 
-	/** The answer did not come whole. */
+	/** The response was not received completely. */
 	public static final Code HTTP_FAILED = Code.warning("http-call-failed",
 			"An HTTP call to an outside system did not get its whole answer.");
 
 	private static final int BUFFER_BYTES = 16 * 1024;
 
-	private static final int MAX_WHOLE_BODY_BYTES = 16 << 20;
+	private static final int MAX_BUFFERED_BODY_BYTES = 16 << 20;
 
 	private final XnioWorker worker;
 
@@ -37,7 +37,7 @@
 	}
 
 	/**
-	 * Returns a caller with its own I/O threads.
+	 * Creates a client with its own I/O threads.
 	 */
 	public static HttpCaller create(int ioThreads) {
 		try {
@@ -53,24 +53,24 @@
 			return new HttpCaller(worker, new DefaultByteBufferPool(true, BUFFER_BYTES, -1, 4));
 		}
 		catch (IOException ex) {
-			throw CodedException.of(HTTP_FAILED, "no I/O threads: " + ex.getMessage(), ex);
+			throw CodedException.of(HTTP_FAILED, "cannot create I/O threads: " + ex.getMessage(), ex);
 		}
 	}
 
 	/**
-	 * Returns the threads that calls run on, for a server that shares them.
+	 * Returns the worker that runs the calls, for a server that shares its threads.
 	 */
 	public XnioWorker worker() {
 		return this.worker;
 	}
 
 	/**
-	 * Returns the whole answer; a failed future carries {@link #HTTP_FAILED} with an
-	 * {@link HttpFailure} as its cause.
+	 * Sends a request and returns the complete response. A failed future carries
+	 * {@link #HTTP_FAILED} with an {@link HttpCallException} as its cause.
 	 */
 	public CompletableFuture<HttpReply> call(HttpCall call) {
 		CompletableFuture<HttpReply> future = new CompletableFuture<>();
-		HttpExchange exchange = stream(call, new WholeAnswer(future, call));
+		HttpExchange exchange = stream(call, new BufferingListener(future, call));
 		future.whenComplete((reply, failure) -> {
 			if (future.isCancelled()) {
 				exchange.cancel();
@@ -80,10 +80,10 @@
 	}
 
 	/**
-	 * Starts a call whose answer is heard piece by piece.
+	 * Sends a request and passes the response to a listener as it arrives.
 	 */
 	public HttpExchange stream(HttpCall call, HttpListener listener) {
-		Exchange exchange = new Exchange(call, listener, this.pool);
+		PooledHttpExchange exchange = new PooledHttpExchange(call, listener, this.pool);
 		exchange.start();
 		return exchange;
 	}
@@ -94,7 +94,7 @@
 		this.worker.shutdownNow();
 	}
 
-	private static final class WholeAnswer implements HttpListener {
+	private static final class BufferingListener implements HttpListener {
 
 		private final CompletableFuture<HttpReply> future;
 
@@ -106,7 +106,7 @@
 
 		private Map<String, String> headers = Map.of();
 
-		private WholeAnswer(CompletableFuture<HttpReply> future, HttpCall call) {
+		private BufferingListener(CompletableFuture<HttpReply> future, HttpCall call) {
 			this.future = future;
 			this.call = call;
 		}
@@ -119,8 +119,8 @@
 
 		@Override
 		public void onData(byte[] data) {
-			if (this.body.size() + data.length > MAX_WHOLE_BODY_BYTES) {
-				this.future.completeExceptionally(CodedException.of(HTTP_FAILED, "answer over the size limit"));
+			if (this.body.size() + data.length > MAX_BUFFERED_BODY_BYTES) {
+				this.future.completeExceptionally(CodedException.of(HTTP_FAILED, "response exceeds the size limit"));
 				return;
 			}
 			this.body.writeBytes(data);
@@ -134,7 +134,8 @@
 		@Override
 		public void onFailure(boolean sent, Throwable cause) {
 			String detail = this.call.method() + " " + this.call.target() + ": " + cause.getMessage();
-			this.future.completeExceptionally(CodedException.of(HTTP_FAILED, detail, new HttpFailure(sent, cause)));
+			this.future
+				.completeExceptionally(CodedException.of(HTTP_FAILED, detail, new HttpCallException(sent, cause)));
 		}
 
 	}
--- a/protocol/src/main/java/org/wisteriapost/protocol/http/HttpExchange.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/http/HttpExchange.java
@@ -6,18 +6,19 @@
 public interface HttpExchange {
 
 	/**
-	 * Closes the connection; the listener hears a failure unless the answer had ended.
+	 * Closes the connection. The listener's {@code onFailure} is called unless the
+	 * response was complete.
 	 */
 	void cancel();
 
 	/**
-	 * Stops reading the answer until {@link #resume}, so that a slow reader downstream
-	 * slows the sender instead of filling this process's heap.
+	 * Stops reading the response until {@link #resume}, so that a slow consumer throttles
+	 * the server instead of filling the heap.
 	 */
 	void pause();
 
 	/**
-	 * Goes on reading after {@link #pause}.
+	 * Continues reading after {@link #pause}.
 	 */
 	void resume();
 
--- a/protocol/src/main/java/org/wisteriapost/protocol/http/HttpListener.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/http/HttpListener.java
@@ -4,14 +4,14 @@
 import java.util.Map;
 
 /**
- * Hears a streamed answer, in order, on an I/O thread; must not block. Exactly one of
- * {@link #onEnd} and {@link #onFailure} is called, last.
+ * Receives a streamed response, in order, on an I/O thread. Must not block. Exactly one
+ * of {@link #onEnd} and {@link #onFailure} is called, last.
  */
 public interface HttpListener {
 
 	/**
-	 * Called when a new connection for the call is there, before anything is sent over
-	 * it; not for one that is used again.
+	 * Called when a new connection for the call is established, before anything is sent.
+	 * Not called for a reused connection.
 	 */
 	default void onConnected() {
 	}
@@ -22,27 +22,28 @@
 	void onHead(int status, Map<String, String> headers);
 
 	/**
-	 * Called once, instead of the method above, with all headers as they were sent.
-	 * @param all every header in order, names as sent
+	 * Called once with all headers as received. By default it calls
+	 * {@link #onHead(int, Map)}.
+	 * @param all every header in order, with its name as received
 	 */
 	default void onHead(int status, Map<String, String> headers, List<Map.Entry<String, String>> all) {
 		onHead(status, headers);
 	}
 
 	/**
-	 * Called for each piece of the body.
+	 * Called for each chunk of the body.
 	 */
 	void onData(byte[] data);
 
 	/**
-	 * Called when the whole answer has come.
+	 * Called when the response is complete.
 	 */
 	void onEnd();
 
 	/**
-	 * Called when the answer will not come whole.
-	 * @param sent whether any byte of the request may have reached the other side; false
-	 * is the only proof that it did not run
+	 * Called when the call has failed before the response was complete.
+	 * @param sent whether any byte of the request may have reached the server; only false
+	 * guarantees that the request did not run
 	 */
 	void onFailure(boolean sent, Throwable cause);
 
--- a/protocol/src/main/java/org/wisteriapost/protocol/http/HttpReply.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/http/HttpReply.java
@@ -4,16 +4,16 @@
 import java.util.Optional;
 
 /**
- * One whole HTTP answer.
+ * A complete HTTP response.
  *
  * @param status the status code
  * @param headers by lower-case name
- * @param body the whole body
+ * @param body the complete body
  */
 public record HttpReply(int status, Map<String, String> headers, byte[] body) {
 
 	/**
-	 * Returns a header by name in any case.
+	 * Returns a header by its case-insensitive name.
 	 */
 	public Optional<String> header(String name) {
 		return Optional.ofNullable(this.headers.get(name.toLowerCase(java.util.Locale.ROOT)));
--- a/protocol/src/main/java/org/wisteriapost/protocol/http/HttpTimes.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/http/HttpTimes.java
@@ -3,44 +3,44 @@
 import java.time.Duration;
 
 /**
- * How long a call waits for what. When a time passes, the connection is closed and never
- * reused.
+ * The timeouts of a call. When one expires, the connection is closed and not reused.
  *
- * @param connect until a new connection is there
- * @param first from the request on until the answer begins
- * @param stall after each piece of the answer until the next; one that comes within
- * {@code first} is in time as well
- * @param whole from the start of the call until the whole answer
+ * @param connect timeout for a new connection
+ * @param first timeout from the request to the start of the response
+ * @param stall timeout between two chunks of the response, not enforced before
+ * {@code first} has expired
+ * @param whole timeout from the start of the call to the complete response
  */
 public record HttpTimes(Duration connect, Duration first, Duration stall, Duration whole) {
 
-	// Within a site a connection is there after a few milliseconds. A lost opening packet
-	// is sent again only after a second, which is later than another runner answers.
-	private static final Duration USUAL_CONNECT = Duration.ofMillis(400);
+	// Within a site a connection takes a few milliseconds. A lost SYN is
+	// retransmitted only after a second, and by then another runner can have
+	// answered.
+	private static final Duration DEFAULT_CONNECT_TIMEOUT = Duration.ofMillis(400);
 
 	/**
-	 * Returns a bound on the whole answer alone, and the usual one on the connection.
+	 * Returns a timeout for the whole call and the default connection timeout.
 	 */
 	public static HttpTimes whole(Duration whole) {
-		return new HttpTimes(USUAL_CONNECT, whole, whole, whole);
+		return new HttpTimes(DEFAULT_CONNECT_TIMEOUT, whole, whole, whole);
 	}
 
 	/**
-	 * Returns these times with another bound on the connection.
+	 * Returns these timeouts with another connection timeout.
 	 */
-	public HttpTimes connect(Duration most) {
-		return new HttpTimes(most, this.first, this.stall, this.whole);
+	public HttpTimes connect(Duration timeout) {
+		return new HttpTimes(timeout, this.first, this.stall, this.whole);
 	}
 
 	/**
-	 * Returns these times with bounds on the waits within an answer, so that one that
-	 * keeps coming is not cut for its size.
+	 * Returns these timeouts with timeouts for progress, so that a large response is not
+	 * aborted while it is still arriving.
 	 */
 	public HttpTimes progress(Duration first, Duration stall) {
 		return new HttpTimes(this.connect, first, stall, this.whole);
 	}
 
-	boolean watchesProgress() {
+	boolean hasProgressTimeouts() {
 		return this.first.compareTo(this.whole) < 0 || this.stall.compareTo(this.whole) < 0;
 	}
 
--- a/protocol/src/main/java/org/wisteriapost/protocol/http/Exchange.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/http/PooledHttpExchange.java
@@ -33,9 +33,9 @@
 import org.xnio.channels.StreamSourceChannel;
 
 /**
- * One call in progress over one connection, which no other call uses until it has ended.
+ * A call in progress. No other call uses its connection until it has ended.
  */
-final class Exchange implements HttpExchange {
+final class PooledHttpExchange implements HttpExchange {
 
 	private static final Pattern KEEP_ALIVE_SECONDS = Pattern.compile("timeout=(\\d+)");
 
@@ -49,7 +49,7 @@
 
 	private volatile ClientConnection connection;
 
-	private volatile StreamSourceChannel answer;
+	private volatile StreamSourceChannel responseChannel;
 
 	private volatile boolean sent;
 
@@ -63,13 +63,13 @@
 
 	private volatile long sentNanos;
 
-	private volatile long heardNanos;
+	private volatile long lastReadNanos;
 
-	private volatile boolean begun;
+	private volatile boolean responseStarted;
 
-	private long keptOpenMillis = ConnectionPool.USUAL_IDLE_MILLIS;
+	private long maxIdleMillis = ConnectionPool.DEFAULT_MAX_IDLE_MILLIS;
 
-	Exchange(HttpCall call, HttpListener listener, ConnectionPool pool) {
+	PooledHttpExchange(HttpCall call, HttpListener listener, ConnectionPool pool) {
 		this.call = call;
 		this.listener = listener;
 		this.pool = pool;
@@ -77,50 +77,50 @@
 
 	void start() {
 		Duration whole = this.call.times().whole();
-		this.timer = after(whole, () -> fail(new TimeoutException("no whole answer in " + whole)));
-		Optional<ClientConnection> pooled = this.pool.take(this.call.target(), this.call.mostIdle());
+		this.timer = schedule(whole, () -> fail(new TimeoutException("no complete response in " + whole)));
+		Optional<ClientConnection> pooled = this.pool.acquire(this.call.target(), this.call.mostIdle());
 		if (pooled.isPresent()) {
 			ClientConnection reused = pooled.get();
 			reused.getIoThread().execute(() -> send(reused));
 			return;
 		}
-		this.connectTimer = after(this.call.times().connect(), this::connectLate);
+		this.connectTimer = schedule(this.call.times().connect(), this::onConnectTimeout);
 		this.pool.connect(this.call.target(), new Step<>(this::send));
 	}
 
-	private void connectLate() {
+	private void onConnectTimeout() {
 		if (this.connection == null) {
 			fail(new TimeoutException("no connection in " + this.call.times().connect().toMillis() + " ms"));
 		}
 	}
 
-	// Failure: a limit on the whole answer alone cuts a large one that is coming, or lets
-	// one that has gone silent wait as long. Pieces that come put this limit off, and the
-	// one on the whole answer bounds a trickle.
-	private void progress() {
+	// A timeout for the whole response alone would either abort a large response that is
+	// still arriving or detect a stalled one too late. This timeout restarts with each
+	// received chunk; the one for the whole response bounds a slow trickle.
+	private void checkProgress() {
 		if (this.done.get()) {
 			return;
 		}
 		HttpTimes times = this.call.times();
 		long now = System.nanoTime();
-		long left = this.sentNanos + times.first().toNanos() - now;
-		if (this.begun) {
-			left = Math.max(left, this.heardNanos + times.stall().toNanos() - now);
+		long remaining = this.sentNanos + times.first().toNanos() - now;
+		if (this.responseStarted) {
+			remaining = Math.max(remaining, this.lastReadNanos + times.stall().toNanos() - now);
 		}
-		if (left > 0) {
-			this.progressTimer = after(Duration.ofNanos(left), this::progress);
+		if (remaining > 0) {
+			this.progressTimer = schedule(Duration.ofNanos(remaining), this::checkProgress);
 		}
 		else if (this.paused) {
-			// Its reader does not want more for now.
-			this.progressTimer = after(times.stall(), this::progress);
+			// The listener has paused reading.
+			this.progressTimer = schedule(times.stall(), this::checkProgress);
 		}
 		else {
 			fail(new TimeoutException(
-					this.begun ? "no further byte in " + times.stall() : "no answer in " + times.first()));
+					this.responseStarted ? "no further data in " + times.stall() : "no response in " + times.first()));
 		}
 	}
 
-	private XnioExecutor.Key after(Duration wait, Runnable task) {
+	private XnioExecutor.Key schedule(Duration wait, Runnable task) {
 		return this.pool.worker().getIoThread().executeAfter(task, wait.toNanos(), TimeUnit.NANOSECONDS);
 	}
 
@@ -137,7 +137,7 @@
 	@Override
 	public void resume() {
 		this.paused = false;
-		StreamSourceChannel channel = this.answer;
+		StreamSourceChannel channel = this.responseChannel;
 		if (channel != null) {
 			channel.getIoThread().execute(() -> read(channel));
 		}
@@ -166,14 +166,14 @@
 		}
 		this.sent = true;
 		this.sentNanos = System.nanoTime();
-		if (this.call.times().watchesProgress()) {
-			progress();
+		if (this.call.times().hasProgressTimeouts()) {
+			checkProgress();
 		}
-		to.sendRequest(request, new Step<>(this::exchange));
+		to.sendRequest(request, new Step<>(this::onExchangeStarted));
 	}
 
-	private void exchange(ClientExchange exchange) {
-		exchange.setResponseListener(new Step<>(this::answer));
+	private void onExchangeStarted(ClientExchange exchange) {
+		exchange.setResponseListener(new Step<>(this::onResponse));
 		write(exchange.getRequestChannel(), ByteBuffer.wrap(this.call.body()));
 	}
 
@@ -208,7 +208,7 @@
 		}
 	}
 
-	private void answer(ClientExchange exchange) {
+	private void onResponse(ClientExchange exchange) {
 		ClientResponse response = exchange.getResponse();
 		Map<String, String> headers = new HashMap<>();
 		List<Map.Entry<String, String>> all = new ArrayList<>();
@@ -217,22 +217,22 @@
 			headers.put(name.toLowerCase(Locale.ROOT), header.getFirst());
 			header.forEach((value) -> all.add(Map.entry(name, value)));
 		});
-		keptOpen(headers);
-		heard();
-		this.answer = exchange.getResponseChannel();
+		readKeepAlive(headers);
+		onBytesReceived();
+		this.responseChannel = exchange.getResponseChannel();
 		if (!this.done.get()) {
 			this.listener.onHead(response.getResponseCode(), headers, all);
-			read(this.answer);
+			read(this.responseChannel);
 		}
 	}
 
-	// Half of what the other side says: a request that meets its close on the way may or
-	// may not have run.
-	private void keptOpen(Map<String, String> headers) {
+	// Uses half of the server's Keep-Alive timeout: if the server closes the connection
+	// while a request is in transit, it is unknown whether the request has run.
+	private void readKeepAlive(Map<String, String> headers) {
 		Matcher seconds = KEEP_ALIVE_SECONDS.matcher(headers.getOrDefault("keep-alive", ""));
 		if (seconds.find()) {
-			long said = TimeUnit.SECONDS.toMillis(Long.parseLong(seconds.group(1)));
-			this.keptOpenMillis = Math.min(ConnectionPool.LONGEST_IDLE_MILLIS, said / 2);
+			long serverMillis = TimeUnit.SECONDS.toMillis(Long.parseLong(seconds.group(1)));
+			this.maxIdleMillis = Math.min(ConnectionPool.MAX_IDLE_MILLIS, serverMillis / 2);
 		}
 	}
 
@@ -250,7 +250,7 @@
 				buffer.clear();
 				int count = channel.read(buffer);
 				if (count < 0) {
-					end();
+					complete();
 					return;
 				}
 				if (count == 0) {
@@ -258,7 +258,7 @@
 					channel.resumeReads();
 					return;
 				}
-				heard();
+				onBytesReceived();
 				byte[] data = new byte[count];
 				buffer.flip().get(data);
 				this.listener.onData(data);
@@ -269,16 +269,16 @@
 		}
 	}
 
-	private void heard() {
-		this.heardNanos = System.nanoTime();
-		this.begun = true;
+	private void onBytesReceived() {
+		this.lastReadNanos = System.nanoTime();
+		this.responseStarted = true;
 	}
 
-	private void end() {
+	private void complete() {
 		if (this.done.compareAndSet(false, true)) {
 			stopTimers();
-			long most = this.call.keptIdle().map(Duration::toMillis).orElse(Long.MAX_VALUE);
-			this.pool.giveBack(this.call.target(), this.connection, Math.min(most, this.keptOpenMillis));
+			long limitMillis = this.call.keptIdle().map(Duration::toMillis).orElse(Long.MAX_VALUE);
+			this.pool.release(this.call.target(), this.connection, Math.min(limitMillis, this.maxIdleMillis));
 			this.listener.onEnd();
 		}
 	}
@@ -286,10 +286,10 @@
 	private void fail(Throwable cause) {
 		if (this.done.compareAndSet(false, true)) {
 			stopTimers();
-			drop(this.connection);
+			abort(this.connection);
 			if (!(cause instanceof Cancelled)) {
-				// Idle connections to a machine that was cut off are as dead as this one.
-				this.pool.forget(this.call.target());
+				// Idle connections to the same host have probably failed as well.
+				this.pool.closeIdle(this.call.target());
 			}
 			this.listener.onFailure(this.sent, cause);
 		}
@@ -303,19 +303,20 @@
 		}
 	}
 
-	// Undertow's own close ends the sending side and then waits up to 10 seconds for the
-	// other side, which would work on, for nobody, that long. The bare connection closes
-	// at once. It is reset, since what has not left over a full link would still be sent
-	// after a close in order, and a runner would begin it seconds after its caller left.
-	private static void drop(ClientConnection dropped) {
+	// Undertow's close shuts down the sending side and waits up to 10 seconds for the
+	// server, which would keep working on an abandoned request. The underlying
+	// connection closes at once. It is reset, because data queued for a saturated
+	// link would still be sent after an orderly close, and a runner would start the
+	// abandoned request.
+	private static void abort(ClientConnection dropped) {
 		if (dropped == null) {
 			return;
 		}
 		dropped.getIoThread().execute(() -> {
 			try {
-				StreamConnection bare = dropped.performUpgrade();
-				bare.setOption(Options.CLOSE_ABORT, true);
-				IoUtils.safeClose(bare);
+				StreamConnection underlying = dropped.performUpgrade();
+				underlying.setOption(Options.CLOSE_ABORT, true);
+				IoUtils.safeClose(underlying);
 			}
 			catch (IOException ex) {
 				IoUtils.safeClose(dropped);
@@ -323,7 +324,7 @@
 		});
 	}
 
-	/** Its caller gave the call up; that says nothing of the other side. */
+	/** The call was cancelled, which does not indicate a failure of the server. */
 	private static final class Cancelled extends IOException {
 
 		private static final long serialVersionUID = 1;
@@ -334,7 +335,7 @@
 
 	}
 
-	/** One asynchronous step; its failure is the call's. */
+	/** An asynchronous step whose failure fails the call. */
 	private final class Step<T> implements ClientCallback<T> {
 
 		private final java.util.function.Consumer<T> next;
--- a/protocol/src/main/java/org/wisteriapost/protocol/http/package-info.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/http/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Calls over Undertow's client.
+ * An HTTP client based on Undertow.
  */
 package org.wisteriapost.protocol.http;
--- a/protocol/src/main/java/org/wisteriapost/protocol/outside/Engine.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/outside/Engine.java
@@ -6,12 +6,12 @@
 import org.wisteriapost.kernel.Code;
 
 /**
- * The orders that a model engine takes and the state that it reports. Calls go to it over
- * {@link org.wisteriapost.protocol.http.HttpCaller}.
+ * The control interface of a model engine: orders and reported state. Callers' requests
+ * are sent by {@link org.wisteriapost.protocol.http.HttpCaller}.
  */
 public interface Engine extends AutoCloseable {
 
-	/** The engine refused an order because it has seen a higher fencing number. */
+	/** The engine rejected an order because it has seen a higher fencing token. */
 	Code FENCED = Code.warning("engine-fenced", "The engine has taken an order of a newer agent.");
 
 	/** The engine did not answer. */
@@ -23,7 +23,7 @@
 	CompletableFuture<Void> load(Order order);
 
 	/**
-	 * Returns what the engine serves now.
+	 * Returns the current state of the engine.
 	 */
 	CompletableFuture<State> state();
 
@@ -31,28 +31,28 @@
 	void close();
 
 	/**
-	 * One order. Engines that honour fencing refuse a lower pair of generation and epoch
-	 * than the highest they have seen; others ignore both.
+	 * An order. Engines with fencing reject an order whose pair of generation and epoch
+	 * is lower than the highest that they have seen; others ignore both.
 	 *
-	 * @param weightsDigest what answers will be labelled with
+	 * @param weightsDigest the digest that responses will carry
 	 * @param files digests of the files: the model, then its adapters
-	 * @param generation of the head
-	 * @param epoch of the agent
+	 * @param generation the generation of the head
+	 * @param epoch the epoch of the agent
 	 */
 	record Order(String weightsDigest, List<String> files, long generation, long epoch) {
 	}
 
 	/**
-	 * What an engine reports.
+	 * The state that an engine reports.
 	 *
-	 * @param weightsDigest what it serves; empty when nothing is loaded
-	 * @param loading whether an order is being carried out
-	 * @param running calls in progress
-	 * @param queued calls waiting, lagged
-	 * @param capacity calls at once
-	 * @param generation of the last order taken
-	 * @param epoch of the last order taken
-	 * @param prefixes hashes of cached prompt prefixes, late and with gaps
+	 * @param weightsDigest digest of the weights in use; empty when nothing is loaded
+	 * @param loading whether an order is in progress
+	 * @param running number of calls in progress
+	 * @param queued number of queued calls; may lag
+	 * @param capacity maximum number of concurrent calls
+	 * @param generation the generation of the last accepted order
+	 * @param epoch the epoch of the last accepted order
+	 * @param prefixes hashes of cached prompt prefixes; may lag and be incomplete
 	 */
 	record State(String weightsDigest, boolean loading, int running, int queued, int capacity, long generation,
 			long epoch, List<Long> prefixes) {
--- a/protocol/src/main/java/org/wisteriapost/protocol/outside/Origin.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/outside/Origin.java
@@ -5,19 +5,19 @@
 import org.wisteriapost.kernel.Code;
 
 /**
- * The origin of weights. Every byte read from it is paid for.
+ * The origin of weights. Every byte read from it is charged.
  */
 public interface Origin extends AutoCloseable {
 
-	/** The origin did not answer or answered short. */
+	/** The origin did not answer or its response was truncated. */
 	Code UNAVAILABLE = Code.unavailable("origin-unavailable", "The origin of weights did not answer.");
 
-	/** What stands at the path is no longer the pinned version. */
+	/** The file at the path is no longer the pinned version. */
 	Code CHANGED = Code.error("origin-version-changed",
 			"A file changed at the origin after the bundle pinned it; nothing of it is taken.");
 
 	/**
-	 * Returns the bytes of a range of exactly the pinned version, sent as If-Match.
+	 * Reads a range of the pinned version, which is sent as If-Match.
 	 */
 	CompletableFuture<byte[]> read(String path, String etag, long offset, int length);
 
@@ -30,12 +30,12 @@
 	void close();
 
 	/**
-	 * What the publisher says of a file.
+	 * The publisher's description of a file.
 	 *
-	 * @param etag the validator of this content
+	 * @param etag the entity tag of this content
 	 * @param size in bytes
-	 * @param chunkBytes size of every chunk but the last
-	 * @param chunks lower-case hex SHA-256 of each
+	 * @param chunkBytes size of each chunk except the last
+	 * @param chunks lower-case hex SHA-256 of each chunk
 	 */
 	record Manifest(String etag, long size, int chunkBytes, java.util.List<String> chunks) {
 	}
--- a/protocol/src/main/java/org/wisteriapost/protocol/outside/OutsideProvider.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/outside/OutsideProvider.java
@@ -5,13 +5,13 @@
 import org.wisteriapost.protocol.http.HttpCaller;
 
 /**
- * Makes the adapters for one kind of surroundings. Another bench's protocol is one more
- * provider, chosen by {@code [outside] provider} in the settings.
+ * Creates the adapters for the external systems of a deployment. The setting
+ * {@code [outside] provider} selects the provider by name.
  */
 public interface OutsideProvider {
 
 	/**
-	 * Returns the name that settings choose this provider by.
+	 * Returns the name by which the settings select this provider.
 	 */
 	String name();
 
--- a/protocol/src/main/java/org/wisteriapost/protocol/outside/OutsideProviders.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/outside/OutsideProviders.java
@@ -13,7 +13,7 @@
 import org.wisteriapost.kernel.settings.SettingsSchema;
 
 /**
- * Finds the adapters that the settings name, and reports a name that none has.
+ * Finds the provider that the settings select, and reports an unknown name.
  */
 public final class OutsideProviders implements SettingsSchema {
 
@@ -21,7 +21,7 @@
 			"The settings name adapters for the outside systems that the program does not have.");
 
 	/**
-	 * Returns the adapters of settings that were checked.
+	 * Returns the provider that valid settings select.
 	 */
 	public static OutsideProvider of(Settings settings) {
 		String name = CommonSettings.PROVIDER.get(settings);
--- a/protocol/src/main/java/org/wisteriapost/protocol/outside/Platform.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/outside/Platform.java
@@ -12,9 +12,9 @@
  *
  * A failed future carries a {@link org.wisteriapost.kernel.CodedException} with
  * {@link #UNAVAILABLE} when the call certainly had no effect and {@link #UNCONFIRMED}
- * when it may have had. A writer that meets the second reads back and looks for its own
- * nonce; it never guesses. Each call counts against the platform's limits, a waiting
- * watch as one.
+ * when it may have taken effect. After the latter a writer reads the value back and
+ * checks it for its own nonce. Each call counts against the platform's rate limits, a
+ * waiting watch as one call.
  */
 public interface Platform extends AutoCloseable {
 
@@ -25,7 +25,7 @@
 	Code UNCONFIRMED = Code.unavailable("platform-unconfirmed",
 			"The platform's answer to a write was lost; the write may have taken effect.");
 
-	/** The most bytes in one value. */
+	/** Maximum size of a value. */
 	int MAX_VALUE_BYTES = 1 << 20;
 
 	/**
@@ -34,18 +34,18 @@
 	CompletableFuture<Optional<Stored>> get(String key);
 
 	/**
-	 * Returns the result of a conditional update.
+	 * Updates a key conditionally.
 	 */
 	CompletableFuture<PutResult> put(String key, byte[] value, Expected expected);
 
 	/**
-	 * Returns all values under a prefix and the revision they were read at.
+	 * Returns all values under a prefix and their revision.
 	 */
 	CompletableFuture<Listing> list(String prefix);
 
 	/**
-	 * Waits for a change under a prefix after a revision; the listing is empty when the
-	 * wait ended without one.
+	 * Waits for changes under a prefix after a revision; returns an empty listing when
+	 * there were none within the wait.
 	 */
 	CompletableFuture<Listing> watch(String prefix, long afterRevision, Duration wait);
 
@@ -53,11 +53,11 @@
 	void close();
 
 	/**
-	 * One stored value.
+	 * A stored value.
 	 *
 	 * @param key its key
 	 * @param value its bytes
-	 * @param version counts its updates, from 1
+	 * @param version number of its updates, starting at 1
 	 */
 	record Stored(String key, byte[] value, long version) {
 	}
@@ -65,14 +65,14 @@
 	/**
 	 * Values under a prefix.
 	 *
-	 * @param items the values, by key
+	 * @param items the values, ordered by key
 	 * @param revision the store's revision, for the next watch
 	 */
 	record Listing(List<Stored> items, long revision) {
 	}
 
 	/**
-	 * What a write expects to find.
+	 * The precondition of a write.
 	 */
 	sealed interface Expected {
 
@@ -83,19 +83,19 @@
 		/**
 		 * The key has exactly this version.
 		 *
-		 * @param version as read before
+		 * @param version the version read before
 		 */
 		record Version(long version) implements Expected {
 		}
 
-		/** Whatever is there; only for values that one writer owns. */
+		/** No precondition; only for values that have a single writer. */
 		record Anything() implements Expected {
 		}
 
 	}
 
 	/**
-	 * What became of a write that the platform answered.
+	 * The result of a write that the platform answered.
 	 */
 	sealed interface PutResult {
 
@@ -108,9 +108,9 @@
 		}
 
 		/**
-		 * The write had no effect: the key was not as expected.
+		 * The write had no effect because its precondition did not hold.
 		 *
-		 * @param current what is there instead
+		 * @param current the stored value; empty when the key does not exist
 		 */
 		record Conflict(Optional<Stored> current) implements PutResult {
 		}
--- a/protocol/src/main/java/org/wisteriapost/protocol/outside/WeightStore.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/outside/WeightStore.java
@@ -5,28 +5,28 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * The memory of the endpoint VM that holds chunks for its engine. It outlives the agent's
- * process but not the VM. What is read back is hashed again before it is used.
+ * A store on the endpoint VM that holds chunks of weights for the engine. It outlives the
+ * agent's process but not the VM. Chunks that are read back are verified by hash again.
  */
 public interface WeightStore extends AutoCloseable {
 
 	/**
-	 * Keeps one verified chunk of the file with this digest.
+	 * Stores a verified chunk of the file with this digest.
 	 */
 	CompletableFuture<Void> put(String file, int index, byte[] chunk);
 
 	/**
-	 * Returns one chunk, when it is held.
+	 * Returns a chunk, if it is stored.
 	 */
 	CompletableFuture<Optional<byte[]>> get(String file, int index);
 
 	/**
-	 * Returns which chunks of a file are held.
+	 * Returns the indexes of the stored chunks of a file.
 	 */
 	CompletableFuture<BitSet> held(String file);
 
 	/**
-	 * Drops a file that no bundle in force names.
+	 * Deletes a file that no active bundle contains.
 	 */
 	CompletableFuture<Void> drop(String file);
 
--- a/protocol/src/main/java/org/wisteriapost/protocol/outside/http/HttpSystem.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/outside/http/ExternalSystemClient.java
@@ -11,17 +11,17 @@
 import org.wisteriapost.kernel.Code;
 import org.wisteriapost.kernel.CodedException;
 import org.wisteriapost.protocol.http.HttpCall;
+import org.wisteriapost.protocol.http.HttpCallException;
 import org.wisteriapost.protocol.http.HttpCaller;
-import org.wisteriapost.protocol.http.HttpFailure;
 import org.wisteriapost.protocol.http.HttpReply;
 
 /**
- * One outside system's address and how its calls are sent.
+ * Sends calls to an external system and maps failures to codes.
  */
-final class HttpSystem {
+final class ExternalSystemClient {
 
 	/**
-	 * An outside system answers in milliseconds; after this long its link counts as dead.
+	 * Timeout of a call. External systems normally answer within milliseconds.
 	 */
 	static final Duration TIMEOUT = Duration.ofSeconds(4);
 
@@ -31,14 +31,14 @@
 
 	private final String address;
 
-	HttpSystem(HttpCaller caller, URI address) {
+	ExternalSystemClient(HttpCaller caller, URI address) {
 		this.caller = caller;
 		String text = address.toString();
 		this.address = text.endsWith("/") ? text.substring(0, text.length() - 1) : text;
 	}
 
 	/**
-	 * Returns the call to a path; the path's parts are escaped, its slashes kept.
+	 * Returns a call to a path; the segments of the path are escaped.
 	 */
 	HttpCall request(String method, String path) {
 		return request(method, path, "", TIMEOUT);
@@ -55,32 +55,32 @@
 	}
 
 	/**
-	 * Returns what the answer says; fails with a code for any call that had no answer and
-	 * for any answer that cannot be read. The future fails with the
-	 * {@link CodedException} itself, not wrapped.
-	 * @param read throws a coded exception for a status that it does not accept
-	 * @param failed the code when no whole answer came
+	 * Sends a call and decodes its response. The future fails with an unwrapped
+	 * {@link CodedException} when there was no complete response or it could not be
+	 * decoded.
+	 * @param decode throws a coded exception for an unexpected status
+	 * @param failureCode returns the code for a call without a complete response
 	 */
-	<T> CompletableFuture<T> send(HttpCall call, Function<HttpReply, T> read, Function<Throwable, Code> failed) {
+	<T> CompletableFuture<T> send(HttpCall call, Function<HttpReply, T> decode, Function<Throwable, Code> failureCode) {
 		CompletableFuture<T> result = new CompletableFuture<>();
 		CompletableFuture<HttpReply> reply = this.caller.call(call);
-		reply.whenComplete((answer, failure) -> {
+		reply.whenComplete((response, failure) -> {
 			try {
 				if (failure != null) {
-					throw CodedException.of(failed.apply(failure), unwrap(failure).getMessage(), failure);
+					throw CodedException.of(failureCode.apply(failure), unwrap(failure).getMessage(), failure);
 				}
-				result.complete(read.apply(answer));
+				result.complete(decode.apply(response));
 			}
 			catch (CodedException ex) {
 				result.completeExceptionally(ex);
 			}
 			catch (RuntimeException ex) {
 				String detail = call.method() + " " + call.target() + ": " + ex.getMessage();
-				result.completeExceptionally(CodedException.of(failed.apply(ex), detail, ex));
+				result.completeExceptionally(CodedException.of(failureCode.apply(ex), detail, ex));
 			}
 		});
-		// A caller that gives up must not leave a waiting watch behind: the platform
-		// counts it against its limits.
+		// A cancelled watch must not stay open, since the platform counts it against its
+		// limits.
 		result.whenComplete((value, failure) -> {
 			if (result.isCancelled()) {
 				reply.cancel(false);
@@ -90,25 +90,27 @@
 	}
 
 	/**
-	 * Returns the whole body of a 200 as a reader; any other status is the code.
+	 * Returns a decoder of the body of a 200 response; any other status fails with the
+	 * code.
 	 */
-	static <T> Function<HttpReply, T> body(Class<T> type, Code otherwise) {
-		return (reply) -> Json.read(expect(reply, STATUS_OK, otherwise).body(), type);
+	static <T> Function<HttpReply, T> body(Class<T> type, Code code) {
+		return (reply) -> Json.read(expect(reply, STATUS_OK, code).body(), type);
 	}
 
-	static HttpReply expect(HttpReply reply, int status, Code otherwise) {
+	static HttpReply expect(HttpReply reply, int status, Code code) {
 		if (reply.status() != status) {
-			throw CodedException.of(otherwise, "status " + reply.status());
+			throw CodedException.of(code, "status " + reply.status());
 		}
 		return reply;
 	}
 
 	/**
-	 * Returns whether a failed call may have reached the other side; true when in doubt.
+	 * Returns whether the request of a failed call may have reached the server; true when
+	 * unknown.
 	 */
 	static boolean sent(Throwable failure) {
 		for (Throwable cause = failure; cause != null; cause = cause.getCause()) {
-			if (cause instanceof HttpFailure known) {
+			if (cause instanceof HttpCallException known) {
 				return known.sent();
 			}
 		}
--- a/protocol/src/main/java/org/wisteriapost/protocol/outside/http/HttpEngine.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/outside/http/HttpEngine.java
@@ -9,45 +9,45 @@
 import org.wisteriapost.protocol.outside.Engine;
 
 /**
- * A model engine's orders and state over HTTP.
+ * Controls a model engine over HTTP.
  */
 public final class HttpEngine implements Engine {
 
-	private final HttpSystem system;
+	private final ExternalSystemClient client;
 
-	private HttpEngine(HttpSystem system) {
-		this.system = system;
+	private HttpEngine(ExternalSystemClient client) {
+		this.client = client;
 	}
 
 	/**
 	 * Returns the engine at an address.
 	 */
 	public static HttpEngine at(HttpCaller caller, URI address) {
-		return new HttpEngine(new HttpSystem(caller, address));
+		return new HttpEngine(new ExternalSystemClient(caller, address));
 	}
 
 	@Override
 	public CompletableFuture<Void> load(Order order) {
-		return this.system.send(this.system.request("POST", "/orders").body(Json.write(order)), HttpEngine::taken,
-				(failure) -> UNAVAILABLE);
+		return this.client.send(this.client.request("POST", "/orders").body(Json.write(order)),
+				HttpEngine::checkAccepted, (failure) -> UNAVAILABLE);
 	}
 
 	@Override
 	public CompletableFuture<State> state() {
-		return this.system.send(this.system.request("GET", "/state"), HttpSystem.body(State.class, UNAVAILABLE),
-				(failure) -> UNAVAILABLE);
+		return this.client.send(this.client.request("GET", "/state"),
+				ExternalSystemClient.body(State.class, UNAVAILABLE), (failure) -> UNAVAILABLE);
 	}
 
 	@Override
 	public void close() {
-		// The caller is the process's own and is closed by it.
+		// The HTTP client is shared by the process and closed by its owner.
 	}
 
-	private static Void taken(HttpReply reply) {
+	private static Void checkAccepted(HttpReply reply) {
 		if (reply.status() == 409) {
 			throw CodedException.of(FENCED, "status 409");
 		}
-		HttpSystem.expect(reply, 200, UNAVAILABLE);
+		ExternalSystemClient.expect(reply, 200, UNAVAILABLE);
 		return null;
 	}
 
--- a/protocol/src/main/java/org/wisteriapost/protocol/outside/http/HttpOrigin.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/outside/http/HttpOrigin.java
@@ -11,52 +11,53 @@
 import org.wisteriapost.protocol.outside.Origin;
 
 /**
- * The origin of weights over HTTP range requests.
+ * Reads weights from the origin by HTTP range requests.
  */
 public final class HttpOrigin implements Origin {
 
-	// A chunk shares the origin's link with every other reader, so it may take far longer
-	// than a small call; progress deadlines above this cancel sooner.
+	// A chunk shares the origin's link with all other downloads and may take far
+	// longer than a small call. Progress timeouts of the transfer cancel a stalled
+	// read sooner.
 	private static final Duration READ_TIMEOUT = Duration.ofSeconds(60);
 
-	private final HttpSystem system;
+	private final ExternalSystemClient client;
 
-	private HttpOrigin(HttpSystem system) {
-		this.system = system;
+	private HttpOrigin(ExternalSystemClient client) {
+		this.client = client;
 	}
 
 	/**
 	 * Returns the origin at an address.
 	 */
 	public static HttpOrigin at(HttpCaller caller, URI address) {
-		return new HttpOrigin(new HttpSystem(caller, address));
+		return new HttpOrigin(new ExternalSystemClient(caller, address));
 	}
 
 	@Override
 	public CompletableFuture<byte[]> read(String path, String etag, long offset, int length) {
-		HttpCall call = this.system.request("GET", "/weights/" + path, "", READ_TIMEOUT)
+		HttpCall call = this.client.request("GET", "/weights/" + path, "", READ_TIMEOUT)
 			.header("Range", "bytes=" + offset + "-" + (offset + length - 1))
 			.header("If-Match", quoted(etag));
-		return this.system.send(call, (reply) -> range(reply, path, etag, length), (failure) -> UNAVAILABLE);
+		return this.client.send(call, (reply) -> range(reply, path, etag, length), (failure) -> UNAVAILABLE);
 	}
 
 	@Override
 	public CompletableFuture<Manifest> manifest(String path) {
-		return this.system.send(this.system.request("GET", "/weights/" + path + ".manifest"),
-				HttpSystem.body(Manifest.class, UNAVAILABLE), (failure) -> UNAVAILABLE);
+		return this.client.send(this.client.request("GET", "/weights/" + path + ".manifest"),
+				ExternalSystemClient.body(Manifest.class, UNAVAILABLE), (failure) -> UNAVAILABLE);
 	}
 
 	@Override
 	public void close() {
-		// The caller is the process's own and is closed by it.
+		// The HTTP client is shared by the process and closed by its owner.
 	}
 
 	private static byte[] range(HttpReply reply, String path, String etag, int length) {
 		if (reply.status() == 412) {
 			throw CodedException.of(CHANGED, path + " is no longer " + etag);
 		}
-		HttpSystem.expect(reply, 206, UNAVAILABLE);
-		// An origin that passes over If-Match would answer with another version's bytes.
+		ExternalSystemClient.expect(reply, 206, UNAVAILABLE);
+		// An origin that ignores If-Match may return the bytes of another version.
 		if (reply.header("ETag").filter((now) -> !now.equals(quoted(etag))).isPresent()) {
 			throw CodedException.of(CHANGED, path + " is no longer " + etag);
 		}
--- a/protocol/src/main/java/org/wisteriapost/protocol/outside/http/HttpProvider.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/outside/http/HttpOutsideProvider.java
@@ -11,9 +11,9 @@
 import org.wisteriapost.protocol.outside.WeightStore;
 
 /**
- * Surroundings that speak plain HTTP, as docs/ARCHITECTURE.md lists it.
+ * Creates adapters for external systems that are called over plain HTTP.
  */
-public final class HttpProvider implements OutsideProvider {
+public final class HttpOutsideProvider implements OutsideProvider {
 
 	@Override
 	public String name() {
--- a/protocol/src/main/java/org/wisteriapost/protocol/outside/http/HttpPlatform.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/outside/http/HttpPlatform.java
@@ -19,62 +19,63 @@
 
 	private static final Duration WATCH_MARGIN = Duration.ofSeconds(3);
 
-	private final HttpSystem system;
+	private final ExternalSystemClient client;
 
-	private HttpPlatform(HttpSystem system) {
-		this.system = system;
+	private HttpPlatform(ExternalSystemClient client) {
+		this.client = client;
 	}
 
 	/**
 	 * Returns the platform at an address.
 	 */
 	public static HttpPlatform at(HttpCaller caller, URI address) {
-		return new HttpPlatform(new HttpSystem(caller, address));
+		return new HttpPlatform(new ExternalSystemClient(caller, address));
 	}
 
 	@Override
 	public CompletableFuture<Optional<Stored>> get(String key) {
-		return this.system.send(this.system.request("GET", "/objects/" + key), (reply) -> switch (reply.status()) {
+		return this.client.send(this.client.request("GET", "/objects/" + key), (reply) -> switch (reply.status()) {
 			case 200 -> stored(key, reply);
 			case 404 -> Optional.empty();
-			default -> throw refused(reply);
+			default -> throw rejected(reply);
 		}, (failure) -> UNAVAILABLE);
 	}
 
 	@Override
 	public CompletableFuture<PutResult> put(String key, byte[] value, Expected expected) {
-		HttpCall call = condition(this.system.request("PUT", "/objects/" + key), expected).body(value);
-		return this.system.send(call, (reply) -> switch (reply.status()) {
+		HttpCall call = condition(this.client.request("PUT", "/objects/" + key), expected).body(value);
+		return this.client.send(call, (reply) -> switch (reply.status()) {
 			case 200 -> new PutResult.Written(version(reply));
 			case 412 -> new PutResult.Conflict(stored(key, reply));
-			case 429, 503 -> throw refused(reply);
+			case 429, 503 -> throw rejected(reply);
 			default -> throw CodedException.of(UNCONFIRMED, "status " + reply.status());
-		}, HttpPlatform::writeFailed);
+		}, HttpPlatform::writeFailureCode);
 	}
 
 	@Override
 	public CompletableFuture<Listing> list(String prefix) {
-		HttpCall call = this.system.request("GET", "/objects", "prefix=" + HttpSystem.escape(prefix),
-				HttpSystem.TIMEOUT);
-		return this.system.send(call, HttpSystem.body(Listing.class, UNAVAILABLE), (failure) -> UNAVAILABLE);
+		HttpCall call = this.client.request("GET", "/objects", "prefix=" + ExternalSystemClient.escape(prefix),
+				ExternalSystemClient.TIMEOUT);
+		return this.client.send(call, ExternalSystemClient.body(Listing.class, UNAVAILABLE), (failure) -> UNAVAILABLE);
 	}
 
 	@Override
 	public CompletableFuture<Listing> watch(String prefix, long afterRevision, Duration wait) {
-		String query = "prefix=" + HttpSystem.escape(prefix) + "&after=" + afterRevision + "&wait=" + wait.toMillis();
-		HttpCall call = this.system.request("GET", "/objects", query, wait.plus(WATCH_MARGIN));
-		return this.system.send(call, HttpSystem.body(Listing.class, UNAVAILABLE), (failure) -> UNAVAILABLE);
+		String query = "prefix=" + ExternalSystemClient.escape(prefix) + "&after=" + afterRevision + "&wait="
+				+ wait.toMillis();
+		HttpCall call = this.client.request("GET", "/objects", query, wait.plus(WATCH_MARGIN));
+		return this.client.send(call, ExternalSystemClient.body(Listing.class, UNAVAILABLE), (failure) -> UNAVAILABLE);
 	}
 
 	@Override
 	public void close() {
-		// The caller is the process's own and is closed by it.
+		// The HTTP client is shared by the process and closed by its owner.
 	}
 
-	// A write whose bytes left this process may have taken effect even if the connection
-	// broke at once; telling its writer otherwise would make it write twice.
-	private static Code writeFailed(Throwable failure) {
-		return HttpSystem.sent(failure) ? UNCONFIRMED : UNAVAILABLE;
+	// A request that was sent may have taken effect even if the connection failed.
+	// Reporting it as without effect would make the writer write twice.
+	private static Code writeFailureCode(Throwable failure) {
+		return ExternalSystemClient.sent(failure) ? UNCONFIRMED : UNAVAILABLE;
 	}
 
 	private static HttpCall condition(HttpCall call, Expected expected) {
@@ -90,11 +91,11 @@
 	}
 
 	private static long version(HttpReply reply) {
-		String etag = reply.header("ETag").orElseThrow(() -> new IllegalArgumentException("an answer without ETag"));
+		String etag = reply.header("ETag").orElseThrow(() -> new IllegalArgumentException("response without ETag"));
 		return Long.parseLong(etag.replace("\"", ""));
 	}
 
-	private static CodedException refused(HttpReply reply) {
+	private static CodedException rejected(HttpReply reply) {
 		return CodedException.of(UNAVAILABLE, "status " + reply.status());
 	}
 
--- a/protocol/src/main/java/org/wisteriapost/protocol/outside/http/HttpVmList.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/outside/http/HttpVmList.java
@@ -9,34 +9,35 @@
 import org.wisteriapost.protocol.outside.VmList;
 
 /**
- * The VM list over HTTP.
+ * Reads the VM list over HTTP.
  */
 public final class HttpVmList implements VmList {
 
 	private static final Code UNAVAILABLE = Code.warning("vm-list-unavailable", "The VM list did not answer.");
 
-	private final HttpSystem system;
+	private final ExternalSystemClient client;
 
-	private HttpVmList(HttpSystem system) {
-		this.system = system;
+	private HttpVmList(ExternalSystemClient client) {
+		this.client = client;
 	}
 
 	/**
 	 * Returns the VM list at an address.
 	 */
 	public static HttpVmList at(HttpCaller caller, URI address) {
-		return new HttpVmList(new HttpSystem(caller, address));
+		return new HttpVmList(new ExternalSystemClient(caller, address));
 	}
 
 	@Override
 	public CompletableFuture<List<Vm>> read() {
-		return this.system.send(this.system.request("GET", "/vms"),
-				(reply) -> List.of(HttpSystem.body(Vm[].class, UNAVAILABLE).apply(reply)), (failure) -> UNAVAILABLE);
+		return this.client.send(this.client.request("GET", "/vms"),
+				(reply) -> List.of(ExternalSystemClient.body(Vm[].class, UNAVAILABLE).apply(reply)),
+				(failure) -> UNAVAILABLE);
 	}
 
 	@Override
 	public void close() {
-		// The caller is the process's own and is closed by it.
+		// The HTTP client is shared by the process and closed by its owner.
 	}
 
 }
--- a/protocol/src/main/java/org/wisteriapost/protocol/outside/http/HttpWeightStore.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/outside/http/HttpWeightStore.java
@@ -13,56 +13,57 @@
 import org.wisteriapost.protocol.outside.WeightStore;
 
 /**
- * The weight store of a runner's VM over HTTP.
+ * Accesses the weight store of an endpoint VM over HTTP.
  */
 public final class HttpWeightStore implements WeightStore {
 
 	private static final Code UNAVAILABLE = Code.error("weight-store-unavailable",
 			"The weight store of the endpoint VM did not take a call.");
 
-	private final HttpSystem system;
+	private final ExternalSystemClient client;
 
-	private HttpWeightStore(HttpSystem system) {
-		this.system = system;
+	private HttpWeightStore(ExternalSystemClient client) {
+		this.client = client;
 	}
 
 	/**
 	 * Returns the weight store at an address.
 	 */
 	public static HttpWeightStore at(HttpCaller caller, URI address) {
-		return new HttpWeightStore(new HttpSystem(caller, address));
+		return new HttpWeightStore(new ExternalSystemClient(caller, address));
 	}
 
 	@Override
 	public CompletableFuture<Void> put(String file, int index, byte[] chunk) {
-		return done(this.system.request("PUT", "/store/" + file + "/" + index).body(chunk));
+		return sendExpectingOk(this.client.request("PUT", "/store/" + file + "/" + index).body(chunk));
 	}
 
 	@Override
 	public CompletableFuture<Optional<byte[]>> get(String file, int index) {
-		return this.system.send(this.system.request("GET", "/store/" + file + "/" + index), HttpWeightStore::chunk,
+		return this.client.send(this.client.request("GET", "/store/" + file + "/" + index), HttpWeightStore::chunk,
 				(failure) -> UNAVAILABLE);
 	}
 
 	@Override
 	public CompletableFuture<BitSet> held(String file) {
-		return this.system.send(this.system.request("GET", "/store/" + file),
-				(reply) -> HttpSystem.body(Held.class, UNAVAILABLE).apply(reply).bits(), (failure) -> UNAVAILABLE);
+		return this.client.send(this.client.request("GET", "/store/" + file),
+				(reply) -> ExternalSystemClient.body(Held.class, UNAVAILABLE).apply(reply).bits(),
+				(failure) -> UNAVAILABLE);
 	}
 
 	@Override
 	public CompletableFuture<Void> drop(String file) {
-		return done(this.system.request("DELETE", "/store/" + file));
+		return sendExpectingOk(this.client.request("DELETE", "/store/" + file));
 	}
 
 	@Override
 	public void close() {
-		// The caller is the process's own and is closed by it.
+		// The HTTP client is shared by the process and closed by its owner.
 	}
 
-	private CompletableFuture<Void> done(HttpCall call) {
-		return this.system.send(call, (reply) -> {
-			HttpSystem.expect(reply, 200, UNAVAILABLE);
+	private CompletableFuture<Void> sendExpectingOk(HttpCall call) {
+		return this.client.send(call, (reply) -> {
+			ExternalSystemClient.expect(reply, 200, UNAVAILABLE);
 			return null;
 		}, (failure) -> UNAVAILABLE);
 	}
@@ -71,7 +72,7 @@
 		if (reply.status() == 404) {
 			return Optional.empty();
 		}
-		return Optional.of(HttpSystem.expect(reply, 200, UNAVAILABLE).body());
+		return Optional.of(ExternalSystemClient.expect(reply, 200, UNAVAILABLE).body());
 	}
 
 	private record Held(List<Integer> held) {
--- a/protocol/src/main/java/org/wisteriapost/protocol/outside/http/Json.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/outside/http/Json.java
@@ -8,7 +8,7 @@
 import com.fasterxml.jackson.databind.json.JsonMapper;
 
 /**
- * JSON of the outside systems; members that are not known are passed over.
+ * Encodes and decodes JSON of the external systems; unknown members are ignored.
  */
 final class Json {
 
@@ -24,12 +24,12 @@
 		try {
 			T value = MAPPER.readValue(bytes, type);
 			if (value == null) {
-				throw new IllegalArgumentException("no " + type.getSimpleName());
+				throw new IllegalArgumentException("JSON null instead of " + type.getSimpleName());
 			}
 			return value;
 		}
 		catch (IOException ex) {
-			throw new IllegalArgumentException("no " + type.getSimpleName() + ": " + ex.getMessage(), ex);
+			throw new IllegalArgumentException("not a valid " + type.getSimpleName() + ": " + ex.getMessage(), ex);
 		}
 	}
 
@@ -38,7 +38,7 @@
 			return MAPPER.writeValueAsBytes(value);
 		}
 		catch (JsonProcessingException ex) {
-			throw new IllegalArgumentException("records of the adapters always encode", ex);
+			throw new IllegalArgumentException("record cannot be encoded as JSON", ex);
 		}
 	}
 
--- a/protocol/src/main/java/org/wisteriapost/protocol/outside/http/package-info.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/outside/http/package-info.java
@@ -1,4 +1,5 @@
 /**
- * The adapters of the provider {@code http}: each outside system as plain HTTP.
+ * The adapters of the provider {@code http}, which call the external systems over plain
+ * HTTP.
  */
 package org.wisteriapost.protocol.outside.http;
--- a/protocol/src/main/java/org/wisteriapost/protocol/outside/package-info.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/outside/package-info.java
@@ -1,5 +1,5 @@
 /**
- * One small interface for each outside system; adapters register as
+ * An interface for each external system. Adapters register as
  * {@link org.wisteriapost.protocol.outside.OutsideProvider}.
  */
 package org.wisteriapost.protocol.outside;
--- a/protocol/src/test/java/org/wisteriapost/protocol/http/HttpCallerTests.java
+++ b/protocol/src/test/java/org/wisteriapost/protocol/http/HttpCallerTests.java
@@ -44,7 +44,7 @@
 
 	private final HttpCaller caller = HttpCaller.create(1);
 
-	private final List<SocketChannel> before = new ArrayList<>();
+	private final List<SocketChannel> queued = new ArrayList<>();
 
 	private Undertow server;
 
@@ -62,11 +62,11 @@
 	void stop() {
 		this.caller.close();
 		this.server.stop();
-		this.before.forEach(IoUtils::safeClose);
+		this.queued.forEach(IoUtils::safeClose);
 	}
 
 	@Test
-	void wholeAnswerComesBackAndItsConnectionIsReused() {
+	void connectionIsReusedAfterCompleteResponse() {
 		for (int i = 0; i < 20; i++) {
 			byte[] body = "b".repeat(i * 5000).getBytes(StandardCharsets.UTF_8);
 			HttpReply reply = this.caller.call(HttpCall.of("PUT", at("/echo"), LONG).body(body)).join();
@@ -76,36 +76,34 @@
 	}
 
 	@Test
-	void refusedConnectionIsKnownNotToHaveBeenSent() {
+	void refusedConnectionIsReportedAsNotSent() {
 		URI closed = URI.create("http://127.0.0.1:1/");
 		assertThat(failure(HttpCall.of("GET", closed, LONG)).sent(), is(false));
 	}
 
 	@Test
-	void cutAnswerFailsAndMayHaveRun() {
+	void truncatedResponseFailsAndMayHaveRun() {
 		assertThat(failure(HttpCall.of("GET", at("/cut"), LONG)).sent(), is(true));
 	}
 
-	// The caller gives up on a slow answer; the answer comes later; the next call must
-	// not read it. The connection of the first call is closed, so there is nothing
-	// left to read.
+	// A response that arrives after its call has timed out must not be read by the next
+	// call.
 	@Test
-	void lateAnswerIsNeverTakenForTheNextCalls() {
+	void lateResponseIsNotReadByNextCall() {
 		failure(HttpCall.of("GET", at("/slow"), SHORT));
 		HttpReply reply = this.caller.call(HttpCall.of("GET", at("/name"), LONG)).join();
 		assertThat(new String(reply.body(), StandardCharsets.UTF_8), equalTo("name"));
 	}
 
-	// A server takes few connections, and many processes call it now and then. One that
-	// is kept by a caller with nothing more to ask keeps another caller out; the next
-	// call to anybody closes it.
+	// An unused idle connection to a server with a low connection limit blocks other
+	// clients. The next call to any server closes it.
 	@Test
-	void aConnectionThatWasKeptLongEnoughIsClosed() throws Exception {
-		try (ServerSocket few = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-			URI target = URI.create("http://127.0.0.1:" + few.getLocalPort() + "/");
+	void expiredIdleConnectionIsClosedByNextCall() throws Exception {
+		try (ServerSocket limited = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+			URI target = URI.create("http://127.0.0.1:" + limited.getLocalPort() + "/");
 			CompletableFuture<HttpReply> reply = this.caller
 				.call(HttpCall.of("GET", target, LONG).keptIdle(Duration.ofMillis(50)));
-			try (Socket open = few.accept()) {
+			try (Socket open = limited.accept()) {
 				open.setSoTimeout((int) LONG.toMillis());
 				open.getOutputStream().write("HTTP/1.1 204 No Content\r\n\r\n".getBytes(StandardCharsets.UTF_8));
 				reply.join();
@@ -116,19 +114,19 @@
 		}
 	}
 
-	// A link is full, and a request waits in it for seconds. Its caller leaves and it is
-	// given up. Closed in order it would still be sent, and a runner would work on it for
-	// nobody, or start it on weights that are no longer accepted. Its connection is
-	// reset, which drops what has not left.
+	// A request is queued for a saturated link when its call times out. After an
+	// orderly close it would still be sent, and a runner would run the abandoned
+	// request, possibly on weights that are no longer allowed. A reset discards the
+	// queued data.
 	@Test
-	void whatWasGivenUpIsNotSentAnyMore() throws Exception {
-		try (ServerSocket deaf = new ServerSocket()) {
-			deaf.setReceiveBufferSize(8 << 10);
-			deaf.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-			URI target = URI.create("http://127.0.0.1:" + deaf.getLocalPort() + "/");
+	void timedOutRequestIsReset() throws Exception {
+		try (ServerSocket unresponsive = new ServerSocket()) {
+			unresponsive.setReceiveBufferSize(8 << 10);
+			unresponsive.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+			URI target = URI.create("http://127.0.0.1:" + unresponsive.getLocalPort() + "/");
 			CompletableFuture<HttpReply> reply = this.caller
 				.call(HttpCall.of("PUT", target, SHORT).body(new byte[8 << 20]));
-			try (Socket open = deaf.accept()) {
+			try (Socket open = unresponsive.accept()) {
 				open.setSoTimeout((int) LONG.toMillis());
 				assertThrows(CompletionException.class, reply::join);
 				assertThrows(SocketException.class, () -> readLater(open));
@@ -136,10 +134,9 @@
 		}
 	}
 
-	// An answer is larger than its link is fast. It comes all the while, so it is not cut
-	// when the time has passed in which a small one would have been there.
+	// A large response over a slow link must not be aborted while it is still arriving.
 	@Test
-	void anAnswerThatKeepsComingIsNotCut() throws Exception {
+	void slowResponseThatMakesProgressCompletes() throws Exception {
 		try (ServerSocket slow = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
 			HttpTimes times = HttpTimes.whole(LONG).progress(Duration.ofSeconds(2), Duration.ofSeconds(2));
 			CompletableFuture<HttpReply> reply = this.caller.call(HttpCall.of("GET", address(slow), times));
@@ -154,34 +151,34 @@
 		}
 	}
 
-	// The server dies, or its link does, in the middle of an answer or before it. That is
-	// known long before the time for a large answer has passed.
+	// The server or its link fails before or during a response. This must be detected
+	// long before the timeout for a large response.
 	@ParameterizedTest
-	@CsvSource({ "'', no answer in PT0.3S",
-			"'HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nb', no further byte in PT0.2S" })
-	void anAnswerThatStopsIsGivenUp(String said, String why) throws Exception {
+	@CsvSource({ "'', no response in PT0.3S",
+			"'HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nb', no further data in PT0.2S" })
+	void stalledResponseTimesOut(String response, String message) throws Exception {
 		try (ServerSocket silent = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
 			HttpTimes times = HttpTimes.whole(LONG).progress(SHORT, Duration.ofMillis(200));
 			CompletableFuture<HttpReply> reply = this.caller.call(HttpCall.of("GET", address(silent), times));
 			try (Socket open = silent.accept()) {
-				write(open, said);
+				write(open, response);
 				CompletionException ex = assertThrows(CompletionException.class, reply::join);
-				assertThat(ex.getMessage(), endsWith(why));
+				assertThat(ex.getMessage(), endsWith(message));
 			}
 		}
 	}
 
-	// The link to a server is full, and its handshake takes longer than runners get for
-	// theirs. There is no other such server, so its caller waits: the server takes no
-	// connection until it has taken those that came before.
+	// A TCP handshake over a saturated link takes longer than the default timeout,
+	// which is meant for runners. A call to a server without alternatives can wait
+	// longer. Here the full accept queue of the server delays the handshake.
 	@Test
-	void aCallSaysHowLongItWaitsForItsConnection() throws Exception {
+	void connectTimeoutIsConfigurablePerCall() throws Exception {
 		try (ServerSocket busy = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
 			for (int i = 0; i < 4; i++) {
-				SocketChannel before = SocketChannel.open();
-				before.configureBlocking(false);
-				before.connect(busy.getLocalSocketAddress());
-				this.before.add(before);
+				SocketChannel pending = SocketChannel.open();
+				pending.configureBlocking(false);
+				pending.connect(busy.getLocalSocketAddress());
+				this.queued.add(pending);
 			}
 			HttpTimes times = HttpTimes.whole(LONG).connect(LONG);
 			CompletableFuture<HttpReply> reply = this.caller.call(HttpCall.of("GET", address(busy), times));
@@ -215,11 +212,11 @@
 		open.getInputStream().readAllBytes();
 	}
 
-	// A server drops an idle connection without a word; what is sent on it is reset, and
-	// nobody knows whether it ran. A call that may run once goes on a connection that was
-	// used a moment ago, or on a new one.
+	// A server may have dropped an idle connection silently; a request sent over it
+	// is reset and it is unknown whether it ran. A call that must not run twice
+	// therefore uses a recently used connection or a new one.
 	@Test
-	void aCallCanAskForAConnectionThatWasNotIdleForLong() throws Exception {
+	void callCanLimitIdleTimeOfReusedConnection() throws Exception {
 		String first = port(Optional.empty());
 		assertThat(port(Optional.of(LONG)), equalTo(first));
 		TimeUnit.MILLISECONDS.sleep(30);
@@ -228,20 +225,20 @@
 		assertThat(port(Optional.empty()), equalTo(second));
 	}
 
-	// A call asks for a new connection each time, for as long as its server is in doubt.
-	// Those that are idle meanwhile are not left behind: a server takes so many only.
+	// Calls that require a new connection each time must not accumulate idle connections,
+	// since the server limits their number.
 	@Test
-	void aNewConnectionTakesThePlaceOfAnIdleOne() throws Exception {
+	void newConnectionReplacesIdleOne() throws Exception {
 		try (ServerSocket server = new ServerSocket(0, 2, InetAddress.getLoopbackAddress())) {
-			CompletableFuture<HttpReply> before = this.caller.call(HttpCall.of("GET", address(server), LONG));
+			CompletableFuture<HttpReply> first = this.caller.call(HttpCall.of("GET", address(server), LONG));
 			try (Socket idle = server.accept()) {
 				write(idle, "HTTP/1.1 204 No Content\r\n\r\n");
-				before.join();
+				first.join();
 				HttpCall fresh = new HttpCall("GET", address(server), Map.of(), new byte[0], HttpTimes.whole(LONG),
 						Optional.of(Duration.ZERO), Optional.empty());
 				CompletableFuture<HttpReply> reply = this.caller.call(fresh);
-				try (Socket made = server.accept()) {
-					write(made, "HTTP/1.1 204 No Content\r\n\r\n");
+				try (Socket created = server.accept()) {
+					write(created, "HTTP/1.1 204 No Content\r\n\r\n");
 					assertThat(reply.join().status(), is(204));
 				}
 				idle.setSoTimeout((int) LONG.toMillis());
@@ -251,25 +248,25 @@
 	}
 
 	@Test
-	void onlyANewConnectionIsToldOf() {
-		AtomicInteger told = new AtomicInteger();
+	void onConnectedIsCalledOnlyForNewConnections() {
+		AtomicInteger connections = new AtomicInteger();
 		for (int i = 0; i < 3; i++) {
 			CompletableFuture<Void> end = new CompletableFuture<>();
 			this.caller.stream(HttpCall.of("GET", at("/name"), LONG), new HttpListener() {
 
 				@Override
 				public void onConnected() {
-					told.incrementAndGet();
+					connections.incrementAndGet();
 				}
 
 				@Override
 				public void onHead(int status, Map<String, String> headers) {
-					// Not looked at.
+					// Not used by this test.
 				}
 
 				@Override
 				public void onData(byte[] data) {
-					// Not looked at.
+					// Not used by this test.
 				}
 
 				@Override
@@ -285,19 +282,19 @@
 			});
 			end.join();
 		}
-		assertThat(told.get(), is(1));
+		assertThat(connections.get(), is(1));
 	}
 
-	// The port on which the server sees a call come in.
-	private String port(Optional<Duration> mostIdle) {
-		HttpCall call = new HttpCall("GET", at("/port"), Map.of(), new byte[0], HttpTimes.whole(LONG), mostIdle,
+	// Returns the client port that the server sees.
+	private String port(Optional<Duration> maxIdle) {
+		HttpCall call = new HttpCall("GET", at("/port"), Map.of(), new byte[0], HttpTimes.whole(LONG), maxIdle,
 				Optional.empty());
 		return new String(this.caller.call(call).join().body(), StandardCharsets.UTF_8);
 	}
 
-	private HttpFailure failure(HttpCall call) {
+	private HttpCallException failure(HttpCall call) {
 		CompletionException ex = assertThrows(CompletionException.class, () -> this.caller.call(call).join());
-		return (HttpFailure) ex.getCause().getCause();
+		return (HttpCallException) ex.getCause().getCause();
 	}
 
 	private URI at(String path) {
--- a/protocol/src/test/java/org/wisteriapost/protocol/outside/FakePlatform.java
+++ b/protocol/src/test/java/org/wisteriapost/protocol/outside/FakePlatform.java
@@ -13,8 +13,7 @@
 import org.wisteriapost.kernel.CodedException;
 
 /**
- * A platform in memory whose next calls can be made to fail in the ways that a real one
- * does. Watches end at once.
+ * An in-memory platform with fault injection. Watches return at once.
  */
 public final class FakePlatform implements Platform {
 
@@ -31,14 +30,14 @@
 	private int calls;
 
 	/**
-	 * Makes the next calls fail, one fault each.
+	 * Injects one fault into each of the next calls.
 	 */
 	public void next(Fault... next) {
 		this.faults.addAll(List.of(next));
 	}
 
 	/**
-	 * Runs an action, for example another writer's call, before the call of this number,
+	 * Runs an action, for example a concurrent write, before the call with this number,
 	 * counted from 1.
 	 */
 	public void beforeCall(int number, Runnable action) {
@@ -46,7 +45,7 @@
 	}
 
 	/**
-	 * Returns how many calls were counted.
+	 * Returns the number of calls received.
 	 */
 	public int calls() {
 		return this.calls;
@@ -121,17 +120,17 @@
 	}
 
 	/**
-	 * How one call goes.
+	 * The fault of a call.
 	 */
 	public enum Fault {
 
-		/** As it should. */
+		/** No fault. */
 		NONE,
-		/** Refused, without effect. */
+		/** The call is rejected without effect. */
 		DOWN,
-		/** Takes effect; the answer is lost. */
+		/** The call takes effect, but its response is lost. */
 		LOST_AFTER,
-		/** Has no effect; the answer is lost. */
+		/** The call has no effect, and its response is lost. */
 		LOST_BEFORE
 
 	}
