--- a/protocol/src/main/java/org/wisteriapost/protocol/tls/PemFiles.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/tls/PemFiles.java
@@ -27,11 +27,13 @@
 import org.wisteriapost.kernel.CodedException;
 
 /**
- * A certificate, its key and the authority that peers are checked against, as PEM files.
+ * PEM files with a certificate, its private key and the authority that peers are verified
+ * against.
  *
- * @param certificate the chain of this process
+ * @param certificate the certificate chain of this process
  * @param key its private key, PKCS#8
- * @param authority the certificates that peers must descend from
+ * @param authority the certificates of the authority that must have issued peers'
+ * certificates
  */
 public record PemFiles(Path certificate, Path key, Path authority) {
 
@@ -43,7 +45,7 @@
 	private static final char[] NO_PASSWORD = new char[0];
 
 	/**
-	 * Returns a manager that shows this certificate.
+	 * Returns a key manager for this certificate.
 	 */
 	X509ExtendedKeyManager keyManager() {
 		try {
@@ -66,15 +68,15 @@
 	}
 
 	/**
-	 * Returns a manager that accepts certificates of the authority.
+	 * Returns a trust manager that accepts certificates of the authority.
 	 */
 	X509ExtendedTrustManager trustManager() {
 		try {
 			KeyStore store = KeyStore.getInstance(KeyStore.getDefaultType());
 			store.load(null, NO_PASSWORD);
-			int number = 0;
+			int index = 0;
 			for (Certificate one : certificates(this.authority)) {
-				store.setCertificateEntry("authority-" + number++, one);
+				store.setCertificateEntry("authority-" + index++, one);
 			}
 			TrustManagerFactory factory = TrustManagerFactory.getInstance(TrustManagerFactory.getDefaultAlgorithm());
 			factory.init(store);
@@ -91,16 +93,16 @@
 	}
 
 	/**
-	 * Returns when the youngest of the files was written, in milliseconds since 1970; 0
-	 * when one is missing, as it may be while it is replaced.
+	 * Returns the latest modification time of the files in milliseconds since the epoch;
+	 * 0 when one is missing, for example while it is being replaced.
 	 */
-	long writtenMillis() {
+	long lastModifiedMillis() {
 		try {
-			long youngest = 0;
+			long latest = 0;
 			for (Path file : List.of(this.certificate, this.key, this.authority)) {
-				youngest = Math.max(youngest, Files.getLastModifiedTime(file).toMillis());
+				latest = Math.max(latest, Files.getLastModifiedTime(file).toMillis());
 			}
-			return youngest;
+			return latest;
 		}
 		catch (IOException ex) {
 			return 0;
@@ -121,8 +123,7 @@
 				return KeyFactory.getInstance(algorithm).generatePrivate(new PKCS8EncodedKeySpec(bytes));
 			}
 			catch (java.security.spec.InvalidKeySpecException ex) {
-				// Of another algorithm: the encoding names it, so at most one of these
-				// fits.
+				// The encoding names the algorithm, so at most one of these succeeds.
 			}
 		}
 		throw new GeneralSecurityException("not a PKCS#8 key of " + KEY_ALGORITHMS);
--- a/protocol/src/main/java/org/wisteriapost/protocol/tls/ReloadingTls.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/tls/ReloadingTls.java
@@ -20,15 +20,16 @@
 import org.wisteriapost.kernel.CodedException;
 
 /**
- * An SSL context whose keys follow their files. New handshakes use the new files within a
- * second of their being written; open connections go on. A file that cannot be read is
- * reported and the former keys stay in use, so that a half-written key cuts nobody off.
+ * An SSL context that reloads its keys when their files change. Handshakes use changed
+ * files within a second; open connections are not affected. If a file cannot be read, the
+ * error is logged and the previous keys stay in use, so that a partially written key does
+ * not make handshakes fail.
  */
 public final class ReloadingTls {
 
 	private static final Logger LOG = System.getLogger(ReloadingTls.class.getName());
 
-	private static final long CHECK_NANOS = TimeUnit.SECONDS.toNanos(1);
+	private static final long CHECK_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(1);
 
 	private final PemFiles files;
 
@@ -36,29 +37,30 @@
 
 	private Managers managers;
 
-	private long checkedNanos = System.nanoTime();
+	private long lastCheckNanos = System.nanoTime();
 
 	private ReloadingTls(PemFiles files) throws GeneralSecurityException {
 		this.files = files;
 		this.managers = Managers.read(files);
 		this.context = SSLContext.getInstance("TLSv1.3");
-		this.context.init(new KeyManager[] { new Keys() }, new TrustManager[] { new Trust() }, null);
+		this.context.init(new KeyManager[] { new ReloadingKeyManager() },
+				new TrustManager[] { new ReloadingTrustManager() }, null);
 	}
 
 	/**
-	 * Returns a context over some files, which must be readable now.
+	 * Returns a context for the files, which must be readable.
 	 */
 	public static ReloadingTls of(PemFiles files) {
 		try {
 			return new ReloadingTls(files);
 		}
 		catch (GeneralSecurityException ex) {
-			throw new IllegalStateException("every Java since 11 has TLS 1.3", ex);
+			throw new IllegalStateException("TLS 1.3 is not available", ex);
 		}
 	}
 
 	/**
-	 * Returns the context for servers and clients.
+	 * Returns the context, for servers and clients.
 	 */
 	public SSLContext context() {
 		return this.context;
@@ -66,15 +68,15 @@
 
 	private synchronized Managers current() {
 		long now = System.nanoTime();
-		if (now - this.checkedNanos >= CHECK_NANOS) {
-			this.checkedNanos = now;
+		if (now - this.lastCheckNanos >= CHECK_INTERVAL_NANOS) {
+			this.lastCheckNanos = now;
 			reload();
 		}
 		return this.managers;
 	}
 
 	private void reload() {
-		if (this.files.writtenMillis() == this.managers.writtenMillis) {
+		if (this.files.lastModifiedMillis() == this.managers.writtenMillis) {
 			return;
 		}
 		try {
@@ -82,21 +84,21 @@
 			LOG.log(Level.INFO, "tls-reloaded: " + this.files.certificate());
 		}
 		catch (CodedException ex) {
-			LOG.log(Level.ERROR, "tls-reload-failed: the former keys stay in use: " + ex.getMessage());
+			LOG.log(Level.ERROR, "tls-reload-failed: the previous keys stay in use: " + ex.getMessage());
 		}
 	}
 
 	private record Managers(X509ExtendedKeyManager keys, X509ExtendedTrustManager trust, long writtenMillis) {
 
 		private static Managers read(PemFiles files) {
-			long written = files.writtenMillis();
+			long written = files.lastModifiedMillis();
 			return new Managers(files.keyManager(), files.trustManager(), written);
 		}
 
 	}
 
-	/** Asks the current key manager. */
-	private final class Keys extends X509ExtendedKeyManager {
+	/** Delegates to the current key manager. */
+	private final class ReloadingKeyManager extends X509ExtendedKeyManager {
 
 		@Override
 		public String[] getClientAliases(String type, Principal[] issuers) {
@@ -140,8 +142,8 @@
 
 	}
 
-	/** Asks the current trust manager. */
-	private final class Trust extends X509ExtendedTrustManager {
+	/** Delegates to the current trust manager. */
+	private final class ReloadingTrustManager extends X509ExtendedTrustManager {
 
 		@Override
 		public void checkClientTrusted(X509Certificate[] chain, String type, Socket socket)
--- a/protocol/src/main/java/org/wisteriapost/protocol/tls/TlsSettings.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/tls/TlsSettings.java
@@ -17,8 +17,8 @@
 import org.wisteriapost.protocol.link.Links;
 
 /**
- * The keys of {@code [tls]}, for links between our processes, and {@code [caller-tls]},
- * for callers. A section that is absent means no TLS there.
+ * The settings of {@code [tls]}, for links between wisteriapost processes, and
+ * {@code [caller-tls]}, for callers. Without its section there is no TLS.
  */
 public final class TlsSettings implements SettingsSchema {
 
@@ -53,7 +53,7 @@
 	}
 
 	/**
-	 * Returns links between our processes, under mutual TLS when the settings have it.
+	 * Returns links between wisteriapost processes, with mutual TLS if configured.
 	 */
 	public static Links links(Settings settings, int threads) {
 		if (!settings.sections().contains(LINKS)) {
@@ -61,13 +61,13 @@
 		}
 		ReloadingTls tls = ReloadingTls
 			.of(new PemFiles(CERTIFICATE.get(settings), KEY.get(settings), AUTHORITY.get(settings)));
-		LinkTls both = new LinkTls(netty(tls, false), netty(tls, true));
-		return Links.secured(threads, () -> both);
+		LinkTls contexts = new LinkTls(sslContext(tls, false), sslContext(tls, true));
+		return Links.secured(threads, () -> contexts);
 	}
 
 	/**
-	 * Returns TLS towards callers when the settings have it. Callers show a token, not a
-	 * certificate, so the authority is of no use there.
+	 * Returns TLS for callers if configured. Callers authenticate by token, not by
+	 * certificate, so the authority is not used.
 	 */
 	public static Optional<ReloadingTls> callers(Settings settings) {
 		if (!settings.sections().contains(CALLERS)) {
@@ -77,7 +77,7 @@
 		return Optional.of(ReloadingTls.of(new PemFiles(certificate, CALLER_KEY.get(settings), certificate)));
 	}
 
-	private static JdkSslContext netty(ReloadingTls tls, boolean client) {
+	private static JdkSslContext sslContext(ReloadingTls tls, boolean client) {
 		return new JdkSslContext(tls.context(), client, null, IdentityCipherSuiteFilter.INSTANCE,
 				ApplicationProtocolConfig.DISABLED, ClientAuth.REQUIRE, null, false);
 	}
--- a/protocol/src/main/java/org/wisteriapost/protocol/tls/package-info.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/tls/package-info.java
@@ -1,4 +1,4 @@
 /**
- * TLS from key files named in the settings, replaced without a restart.
+ * TLS with key files from the settings, which can be replaced without a restart.
  */
 package org.wisteriapost.protocol.tls;
--- a/protocol/src/test/java/org/wisteriapost/protocol/tls/TestAuthority.java
+++ b/protocol/src/test/java/org/wisteriapost/protocol/tls/TestAuthority.java
@@ -23,11 +23,11 @@
 import org.bouncycastle.operator.jcajce.JcaContentSignerBuilder;
 
 /**
- * Makes certificates for tests.
+ * Issues certificates for tests.
  */
 final class TestAuthority {
 
-	private final KeyPair pair = pair();
+	private final KeyPair keyPair = generateKeyPair();
 
 	private final X500Principal name;
 
@@ -42,12 +42,12 @@
 	 */
 	PemFiles issue(Path folder, String subject) {
 		try {
-			KeyPair own = pair();
+			KeyPair subjectKeys = generateKeyPair();
 			PemFiles files = new PemFiles(folder.resolve(subject + ".pem"), folder.resolve(subject + ".key"),
 					folder.resolve(subject + "-authority.pem"));
-			write(files.certificate(), "CERTIFICATE", certificate(subject, own, false).getEncoded());
-			write(files.key(), "PRIVATE KEY", own.getPrivate().getEncoded());
-			write(files.authority(), "CERTIFICATE", certificate(null, this.pair, true).getEncoded());
+			write(files.certificate(), "CERTIFICATE", certificate(subject, subjectKeys, false).getEncoded());
+			write(files.key(), "PRIVATE KEY", subjectKeys.getPrivate().getEncoded());
+			write(files.authority(), "CERTIFICATE", certificate(null, this.keyPair, true).getEncoded());
 			return files;
 		}
 		catch (GeneralSecurityException | IOException | OperatorCreationException ex) {
@@ -55,16 +55,16 @@
 		}
 	}
 
-	private X509Certificate certificate(String subject, KeyPair of, boolean authority)
+	private X509Certificate certificate(String subject, KeyPair subjectKeys, boolean authority)
 			throws GeneralSecurityException, IOException, OperatorCreationException {
 		X500Principal principal = (subject != null) ? new X500Principal("CN=" + subject) : this.name;
 		Instant now = Instant.now();
 		JcaX509v3CertificateBuilder builder = new JcaX509v3CertificateBuilder(this.name,
 				BigInteger.valueOf(++this.serial), Date.from(now.minus(1, ChronoUnit.DAYS)),
-				Date.from(now.plus(1, ChronoUnit.DAYS)), principal, of.getPublic());
+				Date.from(now.plus(1, ChronoUnit.DAYS)), principal, subjectKeys.getPublic());
 		builder.addExtension(Extension.basicConstraints, true, new BasicConstraints(authority));
 		return new JcaX509CertificateConverter().getCertificate(
-				builder.build(new JcaContentSignerBuilder("SHA256withECDSA").build(this.pair.getPrivate())));
+				builder.build(new JcaContentSignerBuilder("SHA256withECDSA").build(this.keyPair.getPrivate())));
 	}
 
 	private static void write(Path file, String kind, byte[] content) throws IOException {
@@ -72,7 +72,7 @@
 				+ "\n-----END " + kind + "-----\n");
 	}
 
-	private static KeyPair pair() {
+	private static KeyPair generateKeyPair() {
 		try {
 			KeyPairGenerator generator = KeyPairGenerator.getInstance("EC");
 			generator.initialize(256);
--- a/protocol/src/test/java/org/wisteriapost/protocol/tls/TlsSettingsTests.java
+++ b/protocol/src/test/java/org/wisteriapost/protocol/tls/TlsSettingsTests.java
@@ -26,66 +26,67 @@
 
 	private static final long WAIT_SECONDS = 20;
 
-	private final TestAuthority ours = new TestAuthority("ours");
+	private final TestAuthority ownAuthority = new TestAuthority("ours");
 
-	private final TestAuthority theirs = new TestAuthority("theirs");
+	private final TestAuthority otherAuthority = new TestAuthority("theirs");
 
 	@TempDir
 	private Path folder;
 
 	@Test
-	void peersOfOneAuthorityTalk() throws Exception {
-		assertThat(talk(this.ours.issue(this.folder, "server"), this.ours.issue(this.folder, "client")), is(true));
+	void peersOfSameAuthorityConnect() throws Exception {
+		assertThat(exchangeFrame(this.ownAuthority.issue(this.folder, "server"),
+				this.ownAuthority.issue(this.folder, "client")), is(true));
 	}
 
 	@Test
 	void peerOfAnotherAuthorityIsRefused() throws Exception {
-		assertThat(talk(this.ours.issue(this.folder, "server"), this.theirs.issue(this.folder, "client")), is(false));
+		assertThat(exchangeFrame(this.ownAuthority.issue(this.folder, "server"),
+				this.otherAuthority.issue(this.folder, "client")), is(false));
 	}
 
 	@Test
 	void peerWithoutTlsIsRefused() throws Exception {
-		try (Links server = links(this.ours.issue(this.folder, "server")); Links client = Links.plain(1)) {
-			assertThat(talk(server, client), is(false));
+		try (Links server = links(this.ownAuthority.issue(this.folder, "server")); Links client = Links.plain(1)) {
+			assertThat(exchangeFrame(server, client), is(false));
 		}
 	}
 
-	// Operators replace the key files of a running process. Its next handshake shows the
-	// new
-	// certificate; a client that only trusts the new authority is the proof.
+	// The key files of a running server are replaced. A client that trusts only the new
+	// authority can connect afterwards.
 	@Test
-	void replacedFilesAreUsedWithoutARestart() throws Exception {
-		PemFiles files = this.ours.issue(this.folder, "server");
-		PemFiles other = this.theirs.issue(this.folder, "other");
-		try (Links server = links(files); Links client = links(this.theirs.issue(this.folder, "client"))) {
-			assertThat(talk(server, client), is(false));
+	void replacedFilesAreUsedWithoutRestart() throws Exception {
+		PemFiles files = this.ownAuthority.issue(this.folder, "server");
+		PemFiles other = this.otherAuthority.issue(this.folder, "other");
+		try (Links server = links(files); Links client = links(this.otherAuthority.issue(this.folder, "client"))) {
+			assertThat(exchangeFrame(server, client), is(false));
 			replace(other.certificate(), files.certificate());
 			replace(other.key(), files.key());
 			replace(other.authority(), files.authority());
 			long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_SECONDS);
-			boolean talked = false;
-			while (!talked && System.nanoTime() < end) {
-				talked = talk(server, client);
+			boolean connected = false;
+			while (!connected && System.nanoTime() < end) {
+				connected = exchangeFrame(server, client);
 			}
-			assertThat(talked, is(true));
+			assertThat(connected, is(true));
 		}
 	}
 
-	private boolean talk(PemFiles server, PemFiles client) throws Exception {
-		try (Links one = links(server); Links two = links(client)) {
-			return talk(one, two);
+	private boolean exchangeFrame(PemFiles server, PemFiles client) throws Exception {
+		try (Links serverLinks = links(server); Links clientLinks = links(client)) {
+			return exchangeFrame(serverLinks, clientLinks);
 		}
 	}
 
-	private static boolean talk(Links server, Links client) throws Exception {
-		Ends serverEnds = new Ends(false);
-		Ends clientEnds = new Ends(true);
-		try (LinkServer at = server.listen(new InetSocketAddress("127.0.0.1", 0), serverEnds)) {
-			client.connect(new InetSocketAddress("127.0.0.1", at.port()), clientEnds).exceptionally((refused) -> {
-				clientEnds.results.add(false);
+	private static boolean exchangeFrame(Links server, Links client) throws Exception {
+		PingHandler serverHandler = new PingHandler(false);
+		PingHandler clientHandler = new PingHandler(true);
+		try (LinkServer at = server.listen(new InetSocketAddress("127.0.0.1", 0), serverHandler)) {
+			client.connect(new InetSocketAddress("127.0.0.1", at.port()), clientHandler).exceptionally((failure) -> {
+				clientHandler.results.add(false);
 				return null;
 			});
-			return clientEnds.results.poll(WAIT_SECONDS, TimeUnit.SECONDS);
+			return clientHandler.results.poll(WAIT_SECONDS, TimeUnit.SECONDS);
 		}
 	}
 
@@ -100,15 +101,16 @@
 	}
 
 	/**
-	 * The client sends one frame, the server answers it: true; closed before that: false.
+	 * The client sends a frame and the server echoes it. The result is true when the
+	 * client has received the echo and false when the link closed before.
 	 */
-	private static final class Ends implements LinkHandler {
+	private static final class PingHandler implements LinkHandler {
 
 		private final BlockingQueue<Boolean> results = new LinkedBlockingQueue<>();
 
 		private final boolean client;
 
-		private Ends(boolean client) {
+		private PingHandler(boolean client) {
 			this.client = client;
 		}
 
