--- a/protocol/src/main/java/org/wisteriapost/protocol/admin/AdminServer.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/admin/AdminServer.java
@@ -13,7 +13,7 @@
 import org.xnio.XnioWorker;
 
 /**
- * The address for monitoring: {@code /healthz}, {@code /readyz} and {@code /metrics}.
+ * The HTTP server for monitoring: {@code /healthz}, {@code /readyz} and {@code /metrics}.
  */
 public final class AdminServer implements HttpHandler, AutoCloseable {
 
@@ -29,8 +29,8 @@
 	}
 
 	/**
-	 * Returns a running server.
-	 * @param ready whether new requests can be answered
+	 * Starts a server.
+	 * @param ready returns whether the process can serve new requests
 	 */
 	public static AdminServer start(InetSocketAddress address, PrometheusMeterRegistry registry,
 			BooleanSupplier ready) {
@@ -38,7 +38,7 @@
 	}
 
 	/**
-	 * Returns a running server on the threads of another.
+	 * Starts a server on the threads of an existing worker.
 	 */
 	public static AdminServer start(InetSocketAddress address, PrometheusMeterRegistry registry, BooleanSupplier ready,
 			XnioWorker worker) {
@@ -57,7 +57,7 @@
 	}
 
 	/**
-	 * Returns the port, also when a free one was chosen.
+	 * Returns the bound port.
 	 */
 	public int port() {
 		return ((InetSocketAddress) this.server.getListenerInfo().getFirst().getAddress()).getPort();
--- a/protocol/src/main/java/org/wisteriapost/protocol/admin/package-info.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/admin/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The address at which a process is watched, the same for every role.
+ * The HTTP server for health checks and metrics, the same in every process.
  */
 package org.wisteriapost.protocol.admin;
--- a/protocol/src/main/java/org/wisteriapost/protocol/package-info.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/package-info.java
@@ -1,5 +1,5 @@
 /**
- * How processes speak: the wire between our own, HTTP to the rest, and one small
- * interface for each outside system.
+ * The protocols between wisteriapost processes and with callers, runners and external
+ * systems.
  */
 package org.wisteriapost.protocol;
