--- a/kernel/src/main/java/org/wisteriapost/kernel/log/DecisionLog.java
+++ b/kernel/src/main/java/org/wisteriapost/kernel/log/DecisionLog.java
@@ -12,29 +12,28 @@
 import com.fasterxml.jackson.core.io.JsonStringEncoder;
 
 /**
- * Writes one JSON line for each decision that touches a request or changes a belief.
+ * Writes one JSON line for each decision about a request and each change of local state.
  *
- * A decision never waits for its line: lines go through a bounded queue to a thread of
- * their own. A busy process would otherwise spend more on its log than on requests, so
- * each kind of line has a rate; lines of failures have a larger one, since they are the
- * ones that are looked for. What is left out is counted and said in the next line of its
- * kind.
+ * Callers never block: a bounded queue passes the lines to a writer thread. Under load a
+ * process would otherwise spend more time on its log than on requests, so each event name
+ * has a rate limit. The limit for failures is higher, because they are needed to explain
+ * incidents. The number of dropped lines is reported by the next line of the same event.
  */
 public final class DecisionLog implements AutoCloseable {
 
-	/** Lines of one kind in a second, for what goes well. */
-	public static final int USUAL_RATE = 40;
+	/** Limit per event name for decisions that are not failures. */
+	public static final int MAX_DECISIONS_PER_SECOND = 40;
 
-	/** Lines of one kind in a second, for what fails. */
-	public static final int FAILURE_RATE = 200;
+	/** Limit per event name for failures and rejections. */
+	public static final int MAX_FAILURES_PER_SECOND = 200;
 
-	private static final int QUEUE = 4096;
+	private static final int QUEUE_CAPACITY = 4096;
 
-	private static final long PAUSE_MILLIS = 250;
+	private static final long BATCH_INTERVAL_MILLIS = 250;
 
-	private final BlockingQueue<String> lines = new ArrayBlockingQueue<>(QUEUE);
+	private final BlockingQueue<String> lines = new ArrayBlockingQueue<>(QUEUE_CAPACITY);
 
-	private final Map<String, Rate> rates = new ConcurrentHashMap<>();
+	private final Map<String, RateLimiter> limiters = new ConcurrentHashMap<>();
 
 	private final PrintStream out;
 
@@ -47,13 +46,13 @@
 	private DecisionLog(String process, PrintStream out) {
 		this.process = process;
 		this.out = out;
-		this.writer = new Thread(this::write, "decision-log");
+		this.writer = new Thread(this::writeBatches, "decision-log");
 		this.writer.setDaemon(true);
 	}
 
 	/**
-	 * Returns a running log.
-	 * @param process names the process in each line
+	 * Starts the writer thread and returns the log.
+	 * @param process name of the process, written to each line
 	 */
 	public static DecisionLog start(String process, PrintStream out) {
 		DecisionLog log = new DecisionLog(process, out);
@@ -62,44 +61,44 @@
 	}
 
 	/**
-	 * Notes a decision.
-	 * @param pairs names and values by turns
+	 * Logs a decision.
+	 * @param pairs alternating names and values
 	 */
 	public void decision(String event, Object... pairs) {
-		line(event, USUAL_RATE, pairs);
+		enqueue(event, MAX_DECISIONS_PER_SECOND, pairs);
 	}
 
 	/**
-	 * Notes a decision that turns a request away or a failure.
-	 * @param pairs names and values by turns
+	 * Logs a failure, or a decision that rejects a request.
+	 * @param pairs alternating names and values
 	 */
 	public void failure(String event, Object... pairs) {
-		line(event, FAILURE_RATE, pairs);
+		enqueue(event, MAX_FAILURES_PER_SECOND, pairs);
 	}
 
-	private void line(String event, int perSecond, Object... pairs) {
-		Rate rate = this.rates.computeIfAbsent(event, (name) -> new Rate());
-		if (!rate.take(perSecond, System.nanoTime())) {
+	private void enqueue(String event, int maxPerSecond, Object... pairs) {
+		RateLimiter limiter = this.limiters.computeIfAbsent(event, (name) -> new RateLimiter());
+		if (!limiter.tryAcquire(maxPerSecond, System.nanoTime())) {
 			return;
 		}
 		StringBuilder text = new StringBuilder(160);
 		text.append("{\"time\":\"").append(Instant.now()).append('"');
-		field(text, "process", this.process);
-		field(text, "event", event);
-		long leftOut = rate.leftOut.getAndSet(0);
-		if (leftOut > 0) {
-			field(text, "leftOut", leftOut);
+		appendField(text, "process", this.process);
+		appendField(text, "event", event);
+		long dropped = limiter.dropped.getAndSet(0);
+		if (dropped > 0) {
+			appendField(text, "leftOut", dropped);
 		}
 		for (int i = 0; i + 1 < pairs.length; i += 2) {
-			field(text, String.valueOf(pairs[i]), pairs[i + 1]);
+			appendField(text, String.valueOf(pairs[i]), pairs[i + 1]);
 		}
 		text.append('}');
 		if (!this.lines.offer(text.toString())) {
-			rate.leftOut.incrementAndGet();
+			limiter.dropped.incrementAndGet();
 		}
 	}
 
-	private static void field(StringBuilder text, String name, Object value) {
+	private static void appendField(StringBuilder text, String name, Object value) {
 		text.append(",\"").append(name).append("\":");
 		if (value instanceof Number || value instanceof Boolean) {
 			text.append(value);
@@ -108,7 +107,7 @@
 		text.append('"').append(JsonStringEncoder.getInstance().quoteAsString(String.valueOf(value))).append('"');
 	}
 
-	private void write() {
+	private void writeBatches() {
 		StringBuilder batch = new StringBuilder();
 		while (!this.closed || !this.lines.isEmpty()) {
 			try {
@@ -119,11 +118,12 @@
 				}
 				this.out.print(batch);
 				this.out.flush();
-				// One write for many lines: a write costs more than the lines in it.
-				TimeUnit.MILLISECONDS.sleep(PAUSE_MILLIS);
+				// Batches lines: a system call costs more than formatting the
+				// lines.
+				TimeUnit.MILLISECONDS.sleep(BATCH_INTERVAL_MILLIS);
 			}
 			catch (InterruptedException ex) {
-				// Only close interrupts; what is queued is still written.
+				// Only close() interrupts; the loop still drains the queue.
 			}
 		}
 	}
@@ -140,22 +140,22 @@
 		}
 	}
 
-	private static final class Rate {
+	private static final class RateLimiter {
 
-		private final AtomicLong leftOut = new AtomicLong();
+		private final AtomicLong dropped = new AtomicLong();
 
-		private long secondStart;
+		private long windowStartNanos;
 
 		private int count;
 
-		private synchronized boolean take(int perSecond, long nowNanos) {
-			if (this.count == 0 || nowNanos - this.secondStart >= TimeUnit.SECONDS.toNanos(1)) {
-				this.secondStart = nowNanos;
+		private synchronized boolean tryAcquire(int maxPerSecond, long nowNanos) {
+			if (this.count == 0 || nowNanos - this.windowStartNanos >= TimeUnit.SECONDS.toNanos(1)) {
+				this.windowStartNanos = nowNanos;
 				this.count = 0;
 			}
 			this.count++;
-			if (this.count > perSecond) {
-				this.leftOut.incrementAndGet();
+			if (this.count > maxPerSecond) {
+				this.dropped.incrementAndGet();
 				return false;
 			}
 			return true;
--- a/kernel/src/main/java/org/wisteriapost/kernel/log/JsonLines.java
+++ b/kernel/src/main/java/org/wisteriapost/kernel/log/JsonLogConfigurator.java
@@ -15,31 +15,31 @@
 import net.logstash.logback.fieldnames.LogstashFieldNames;
 
 /**
- * Sets logging up: JSON lines on standard error. The event's name opens the message:
- * {@code event-name: detail}.
+ * Configures Logback in code: JSON lines on standard error. Messages start with the name
+ * of the event: {@code event-name: detail}.
  *
- * Load: all processes of a site start at the same moment after a loss of power. Harm
- * prevented: each of them reads a file of XML for it, which takes hundreds of classes.
- * {@code -Dlogback.configurationFile} still names a file that is read instead.
+ * After a power failure all processes of a site start at once; parsing an XML
+ * configuration, which loads hundreds of classes, would slow each of them down. A file
+ * named by {@code -Dlogback.configurationFile} takes precedence.
  */
 @ConfiguratorRank(ConfiguratorRank.CUSTOM_HIGH_PRIORITY)
-public final class JsonLines extends ContextAwareBase implements Configurator {
+public final class JsonLogConfigurator extends ContextAwareBase implements Configurator {
 
-	static final String FILE = "logback.configurationFile";
+	static final String CONFIG_FILE_PROPERTY = "logback.configurationFile";
 
-	static final String TARGET = "wisteriapost.log.target";
+	static final String TARGET_PROPERTY = "wisteriapost.log.target";
 
-	private static final String LEFT_OUT = "[ignore]";
+	private static final String IGNORED_FIELD = "[ignore]";
 
-	private static final List<String> WARNINGS_ONLY = List.of("org.xnio", "org.jboss", "io.undertow", "io.netty");
+	private static final List<String> WARN_LEVEL_LOGGERS = List.of("org.xnio", "org.jboss", "io.undertow", "io.netty");
 
 	@Override
 	public ExecutionStatus configure(LoggerContext context) {
-		if (System.getProperty(FILE) != null) {
+		if (System.getProperty(CONFIG_FILE_PROPERTY) != null) {
 			return ExecutionStatus.INVOKE_NEXT_IF_ANY;
 		}
 		context.getStatusManager().add(new NopStatusListener());
-		WARNINGS_ONLY.forEach((name) -> context.getLogger(name).setLevel(Level.WARN));
+		WARN_LEVEL_LOGGERS.forEach((name) -> context.getLogger(name).setLevel(Level.WARN));
 		Logger root = context.getLogger(org.slf4j.Logger.ROOT_LOGGER_NAME);
 		root.setLevel(Level.INFO);
 		root.addAppender(console(context));
@@ -50,7 +50,7 @@
 		ConsoleAppender<ILoggingEvent> console = new ConsoleAppender<>();
 		console.setContext(context);
 		console.setName("json");
-		console.setTarget(System.getProperty(TARGET, "System.err"));
+		console.setTarget(System.getProperty(TARGET_PROPERTY, "System.err"));
 		console.setEncoder(encoder(context));
 		console.start();
 		return console;
@@ -58,8 +58,8 @@
 
 	private static LogstashEncoder encoder(LoggerContext context) {
 		LogstashFieldNames names = new LogstashFieldNames();
-		names.setVersion(LEFT_OUT);
-		names.setLevelValue(LEFT_OUT);
+		names.setVersion(IGNORED_FIELD);
+		names.setLevelValue(IGNORED_FIELD);
 		LogstashEncoder encoder = new LogstashEncoder();
 		encoder.setContext(context);
 		encoder.setFieldNames(names);
--- a/kernel/src/main/java/org/wisteriapost/kernel/log/package-info.java
+++ b/kernel/src/main/java/org/wisteriapost/kernel/log/package-info.java
@@ -1,5 +1,4 @@
 /**
- * The log of decisions: one JSON line each, bounded in volume, never in the way of a
- * decision.
+ * Logging: the rate-limited, asynchronous decision log and the configuration of Logback.
  */
 package org.wisteriapost.kernel.log;
--- a/kernel/src/test/java/org/wisteriapost/kernel/log/DecisionLogTests.java
+++ b/kernel/src/test/java/org/wisteriapost/kernel/log/DecisionLogTests.java
@@ -18,10 +18,10 @@
 @Timeout(30)
 class DecisionLogTests {
 
-	// Nothing is said for a while and the writer sleeps. A decision that comes then is
-	// read on the other side without another one behind it and without a close.
+	// A decision after an idle period is written without a further decision or
+	// close().
 	@Test
-	void aLineAfterARestIsWritten() throws Exception {
+	void decisionAfterIdlePeriodIsWritten() throws Exception {
 		PipedInputStream in = new PipedInputStream();
 		try (PrintStream out = new PrintStream(new PipedOutputStream(in));
 				DecisionLog log = DecisionLog.start("edge", out);
@@ -35,21 +35,21 @@
 		}
 	}
 
-	// The process ends directly after its last decisions; nothing follows that could
-	// push them out. All are in the log when close returns.
+	// Decisions logged right before the process exits must not be lost.
 	@Test
-	void closeWritesWhatIsQueued() {
+	void closeFlushesQueuedLines() {
 		ByteArrayOutputStream out = new ByteArrayOutputStream();
 		DecisionLog log = DecisionLog.start("edge", new PrintStream(out));
-		for (int i = 0; i < DecisionLog.USUAL_RATE; i++) {
+		for (int i = 0; i < DecisionLog.MAX_DECISIONS_PER_SECOND; i++) {
 			log.decision("stopping", "number", i);
 		}
 		log.close();
-		assertThat(out.toString(StandardCharsets.UTF_8).lines().count(), is((long) DecisionLog.USUAL_RATE));
+		assertThat(out.toString(StandardCharsets.UTF_8).lines().count(),
+				is((long) DecisionLog.MAX_DECISIONS_PER_SECOND));
 	}
 
 	@Test
-	void aLogThatNeverHeardAnythingCloses() {
+	void closeWithoutDecisionsWritesNothing() {
 		ByteArrayOutputStream out = new ByteArrayOutputStream();
 		DecisionLog.start("edge", new PrintStream(out)).close();
 		assertThat(out.size(), is(0));
--- a/kernel/src/test/java/org/wisteriapost/kernel/log/JsonLinesTests.java
+++ b/kernel/src/test/java/org/wisteriapost/kernel/log/JsonLogConfiguratorTests.java
@@ -20,31 +20,28 @@
 
 import static org.hamcrest.MatcherAssert.assertThat;
 
-/**
- * How a process logs that names no file for it.
- */
-class JsonLinesTests {
+class JsonLogConfiguratorTests {
 
 	private final LoggerContext context = new LoggerContext();
 
-	private String file;
+	private String savedConfigFile;
 
 	@BeforeEach
-	void noFile() {
+	void clearConfigFileProperty() {
 		this.context.setMDCAdapter(new LogbackMDCAdapter());
-		this.file = System.clearProperty(JsonLines.FILE);
+		this.savedConfigFile = System.clearProperty(JsonLogConfigurator.CONFIG_FILE_PROPERTY);
 	}
 
 	@AfterEach
-	void sameFile() {
-		System.clearProperty(JsonLines.TARGET);
-		if (this.file != null) {
-			System.setProperty(JsonLines.FILE, this.file);
+	void restoreProperties() {
+		System.clearProperty(JsonLogConfigurator.TARGET_PROPERTY);
+		if (this.savedConfigFile != null) {
+			System.setProperty(JsonLogConfigurator.CONFIG_FILE_PROPERTY, this.savedConfigFile);
 		}
 	}
 
-	private ConsoleAppender<ILoggingEvent> configured() {
-		assertThat(new JsonLines().configure(this.context),
+	private ConsoleAppender<ILoggingEvent> configuredAppender() {
+		assertThat(new JsonLogConfigurator().configure(this.context),
 				Matchers.equalTo(Configurator.ExecutionStatus.DO_NOT_INVOKE_NEXT_IF_ANY));
 		return (ConsoleAppender<ILoggingEvent>) root().getAppender("json");
 	}
@@ -54,10 +51,10 @@
 	}
 
 	@Test
-	void aLineIsOneJsonObject() {
+	void eachEventIsOneJsonLine() {
 		LoggingEvent event = new LoggingEvent("", this.context.getLogger("org.wisteriapost.some"), Level.INFO,
 				"link-up: edge-1", null, null);
-		String line = new String(configured().getEncoder().encode(event), StandardCharsets.UTF_8);
+		String line = new String(configuredAppender().getEncoder().encode(event), StandardCharsets.UTF_8);
 		assertThat(line, Matchers.startsWith("{\"@timestamp\":"));
 		assertThat(line, Matchers.endsWith("}" + System.lineSeparator()));
 		assertThat(line, Matchers.containsString("\"message\":\"link-up: edge-1\""));
@@ -68,36 +65,36 @@
 
 	@ParameterizedTest
 	@ValueSource(strings = { "org.xnio", "org.jboss.threads", "io.undertow", "io.netty.channel" })
-	void librariesWarnOnly(String library) {
-		configured();
+	void librariesLogWarningsOnly(String library) {
+		configuredAppender();
 		assertThat(this.context.getLogger(library).getEffectiveLevel(), Matchers.equalTo(Level.WARN));
 		assertThat(this.context.getLogger("org.wisteriapost").getEffectiveLevel(), Matchers.equalTo(Level.INFO));
 	}
 
 	@ParameterizedTest
 	@ValueSource(strings = { "System.out", "System.err" })
-	void linesGoWhereTheSettingSays(String target) {
-		System.setProperty(JsonLines.TARGET, target);
-		assertThat(configured().getTarget(), Matchers.equalTo(target));
+	void outputTargetIsTakenFromProperty(String target) {
+		System.setProperty(JsonLogConfigurator.TARGET_PROPERTY, target);
+		assertThat(configuredAppender().getTarget(), Matchers.equalTo(target));
 	}
 
 	@Test
-	void linesGoToStandardErrorUnlessSaid() {
-		assertThat(configured().getTarget(), Matchers.equalTo("System.err"));
+	void defaultOutputTargetIsStandardError() {
+		assertThat(configuredAppender().getTarget(), Matchers.equalTo("System.err"));
 	}
 
 	@Test
-	void aNamedFileIsReadInstead() {
-		System.setProperty(JsonLines.FILE, "some.xml");
-		assertThat(new JsonLines().configure(this.context),
+	void configurationFileTakesPrecedence() {
+		System.setProperty(JsonLogConfigurator.CONFIG_FILE_PROPERTY, "some.xml");
+		assertThat(new JsonLogConfigurator().configure(this.context),
 				Matchers.equalTo(Configurator.ExecutionStatus.INVOKE_NEXT_IF_ANY));
 		assertThat(root().getAppender("json"), Matchers.nullValue());
 	}
 
 	@Test
-	void itIsFound() {
+	void isRegisteredAsServiceProvider() {
 		assertThat(ServiceLoader.load(Configurator.class).stream().map(ServiceLoader.Provider::type).toList(),
-				Matchers.hasItem(JsonLines.class));
+				Matchers.hasItem(JsonLogConfigurator.class));
 	}
 
 }
