--- a/kernel/src/main/java/org/wisteriapost/kernel/settings/Setting.java
+++ b/kernel/src/main/java/org/wisteriapost/kernel/settings/Setting.java
@@ -10,35 +10,34 @@
 import org.wisteriapost.kernel.Findings;
 
 /**
- * One key of the settings: where it stands, what it may hold, its default and its
- * documentation.
+ * Definition of a settings key: its section, format, default and documentation.
  *
  * @param <T> the value's type
- * @param section the section, or {@code kind NAME} for one that stands once for each name
+ * @param section the section, or {@code kind NAME} for sections that occur once per name
  * @param key the key
- * @param shape what may be written, for findings and the reference page
- * @param parser turns text into a value or throws
- * @param fallback the default as written; empty when the key must be given
- * @param doc one sentence with the unit
+ * @param shape the expected format, for findings and the reference page
+ * @param parser converts the text to a value; throws a runtime exception for invalid text
+ * @param fallback the default in text form; empty when the key is required
+ * @param doc one sentence of documentation, with the unit
  */
 public record Setting<T>(String section, String key, String shape, Function<String, T> parser,
 		Optional<String> fallback, String doc) {
 
-	/** A required key is not there. */
+	/** A required key is absent. */
 	public static final Code SETTING_MISSING = Code.error("setting-missing", "A key without a default is absent.");
 
-	/** A value cannot be read. */
+	/** A value does not have the expected format. */
 	public static final Code SETTING_INVALID = Code.error("setting-invalid", "A value is not of its key's shape.");
 
 	/**
-	 * Returns a key for any text.
+	 * Returns a setting that accepts any text.
 	 */
 	public static Setting<String> text(String section, String key, String doc) {
 		return new Setting<>(section, key, "text", Function.identity(), Optional.empty(), doc);
 	}
 
 	/**
-	 * Returns a key for a whole number within bounds.
+	 * Returns a setting for an integer between two inclusive bounds.
 	 */
 	public static Setting<Long> number(String section, String key, long min, long max, String doc) {
 		return new Setting<>(section, key, "a whole number from " + min + " to " + max, (value) -> {
@@ -51,7 +50,7 @@
 	}
 
 	/**
-	 * Returns a key for a fraction within bounds.
+	 * Returns a setting for a decimal number between two inclusive bounds.
 	 */
 	public static Setting<Double> fraction(String section, String key, double min, double max, String doc) {
 		return new Setting<>(section, key, "a number from " + min + " to " + max, (value) -> {
@@ -64,7 +63,7 @@
 	}
 
 	/**
-	 * Returns a key for a time span in milliseconds.
+	 * Returns a setting for a duration in milliseconds.
 	 */
 	public static Setting<Duration> millis(String section, String key, long min, long max, String doc) {
 		Setting<Long> number = number(section, key, min, max, doc);
@@ -73,7 +72,7 @@
 	}
 
 	/**
-	 * Returns a key for an HTTP address with an IP number.
+	 * Returns a setting for an HTTP URL whose host is an IP address.
 	 */
 	public static Setting<URI> address(String section, String key, String doc) {
 		return new Setting<>(section, key, "http://IP:PORT", (value) -> {
@@ -86,14 +85,14 @@
 	}
 
 	/**
-	 * Returns a key for a file's path.
+	 * Returns a setting for a file path.
 	 */
 	public static Setting<Path> file(String section, String key, String doc) {
 		return new Setting<>(section, key, "a file's path", Path::of, Optional.empty(), doc);
 	}
 
 	/**
-	 * Returns a key that is {@code true} or {@code false}.
+	 * Returns a setting for {@code true} or {@code false}.
 	 */
 	public static Setting<Boolean> flag(String section, String key, String doc) {
 		return new Setting<>(section, key, "true or false", (value) -> switch (value) {
@@ -104,16 +103,16 @@
 	}
 
 	/**
-	 * Returns this key with a default.
+	 * Returns a copy of this setting with a default.
 	 */
 	public Setting<T> orElse(String value) {
 		return new Setting<>(this.section, this.key, this.shape, this.parser, Optional.of(value), this.doc);
 	}
 
 	/**
-	 * Returns the value in a section, or the default; adds a finding and returns empty
-	 * when there is neither or it cannot be read.
-	 * @param name the section to read, for a key of {@code kind NAME} sections
+	 * Returns the value in a section, or the default. Adds a finding and returns empty
+	 * when both are absent or the value is invalid.
+	 * @param name the section to read, for settings of {@code kind NAME} sections
 	 */
 	public Optional<T> read(Settings settings, String name, Findings findings) {
 		Optional<String> written = settings.text(name, this.key).or(() -> this.fallback);
@@ -132,21 +131,22 @@
 	}
 
 	/**
-	 * Returns the value in this key's own section.
+	 * Returns the value in the section of this setting.
 	 */
 	public Optional<T> read(Settings settings, Findings findings) {
 		return read(settings, this.section, findings);
 	}
 
 	/**
-	 * Returns the value after the settings were checked whole.
+	 * Returns the value in the section of this setting; throws if it is absent or
+	 * invalid.
 	 */
 	public T get(Settings settings) {
 		return get(settings, this.section);
 	}
 
 	/**
-	 * Returns the value of a named section after the settings were checked whole.
+	 * Returns the value in a named section; throws if it is absent or invalid.
 	 */
 	public T get(Settings settings, String name) {
 		Findings findings = new Findings();
--- a/kernel/src/main/java/org/wisteriapost/kernel/settings/Settings.java
+++ b/kernel/src/main/java/org/wisteriapost/kernel/settings/Settings.java
@@ -19,7 +19,7 @@
 import org.wisteriapost.kernel.Location;
 
 /**
- * An operator's INI file, with the line of every section and key.
+ * Parsed INI file that keeps the line number of each section and key.
  */
 public final class Settings {
 
@@ -30,16 +30,16 @@
 
 	private final INIConfiguration ini;
 
-	private final Map<String, Integer> lines;
+	private final Map<String, Integer> lineNumbers;
 
-	private Settings(String file, INIConfiguration ini, Map<String, Integer> lines) {
+	private Settings(String file, INIConfiguration ini, Map<String, Integer> lineNumbers) {
 		this.file = file;
 		this.ini = ini;
-		this.lines = lines;
+		this.lineNumbers = lineNumbers;
 	}
 
 	/**
-	 * Returns the settings of a file.
+	 * Reads and parses a file.
 	 */
 	public static Settings read(Path path) {
 		try {
@@ -51,8 +51,8 @@
 	}
 
 	/**
-	 * Returns the settings in a text.
-	 * @param file the name used in findings
+	 * Parses the content of a file.
+	 * @param file the file name that findings report
 	 */
 	public static Settings parse(String file, String text) {
 		INIConfiguration ini = new INIConfiguration();
@@ -63,12 +63,9 @@
 		catch (ConfigurationException | IOException ex) {
 			throw CodedException.of(FILE_UNREADABLE, file + ": " + ex.getMessage(), ex);
 		}
-		return new Settings(file, ini, index(text));
+		return new Settings(file, ini, indexLines(text));
 	}
 
-	/**
-	 * Returns the names of all sections.
-	 */
 	public Set<String> sections() {
 		Set<String> names = new TreeSet<>();
 		this.ini.getSections().stream().filter(Objects::nonNull).forEach(names::add);
@@ -76,8 +73,8 @@
 	}
 
 	/**
-	 * Returns the names of the sections that start with a word and a space, without it:
-	 * {@code [service lm-notice]} is {@code lm-notice} of {@code service}.
+	 * Returns the names of all sections of a kind: {@code [service lm-notice]} is section
+	 * {@code lm-notice} of kind {@code service}.
 	 */
 	public List<String> named(String kind) {
 		String prefix = kind + " ";
@@ -87,9 +84,6 @@
 			.toList();
 	}
 
-	/**
-	 * Returns the keys of a section.
-	 */
 	public Set<String> keys(String section) {
 		Set<String> keys = new TreeSet<>();
 		this.ini.getSection(section).getKeys().forEachRemaining((key) -> keys.add(key.replace("..", ".")));
@@ -97,7 +91,7 @@
 	}
 
 	/**
-	 * Returns a value, trimmed; empty when the key is absent or blank.
+	 * Returns the trimmed value; empty when the key is absent or its value blank.
 	 */
 	public Optional<String> text(String section, String key) {
 		String value = this.ini.getSection(section).getString(key.replace(".", ".."));
@@ -116,15 +110,16 @@
 	}
 
 	/**
-	 * Returns where a key, or an absent key's section, stands in the file.
+	 * Returns the position of a key, or of its section when the key is absent.
 	 */
 	public Location locate(String section, String key) {
-		int line = this.lines.getOrDefault(section + "\n" + key, this.lines.getOrDefault(section + "\n", 0));
+		int line = this.lineNumbers.getOrDefault(section + "\n" + key,
+				this.lineNumbers.getOrDefault(section + "\n", 0));
 		return new Location(this.file, line, section, key);
 	}
 
-	private static Map<String, Integer> index(String text) {
-		Map<String, Integer> lines = new HashMap<>();
+	private static Map<String, Integer> indexLines(String text) {
+		Map<String, Integer> lineNumbers = new HashMap<>();
 		String section = "";
 		int number = 0;
 		for (String line : text.split("\n", -1)) {
@@ -132,13 +127,13 @@
 			String trimmed = line.trim();
 			if (trimmed.startsWith("[") && trimmed.contains("]")) {
 				section = trimmed.substring(1, trimmed.indexOf(']')).trim();
-				lines.putIfAbsent(section + "\n", number);
+				lineNumbers.putIfAbsent(section + "\n", number);
 			}
 			else if (trimmed.contains("=") && !trimmed.startsWith(";") && !trimmed.startsWith("#")) {
-				lines.putIfAbsent(section + "\n" + trimmed.substring(0, trimmed.indexOf('=')).trim(), number);
+				lineNumbers.putIfAbsent(section + "\n" + trimmed.substring(0, trimmed.indexOf('=')).trim(), number);
 			}
 		}
-		return lines;
+		return lineNumbers;
 	}
 
 }
--- a/kernel/src/main/java/org/wisteriapost/kernel/settings/SettingsCheck.java
+++ b/kernel/src/main/java/org/wisteriapost/kernel/settings/SettingsCheck.java
@@ -8,7 +8,7 @@
 import org.wisteriapost.kernel.Findings;
 
 /**
- * Checks a whole file against every registered schema, so that one start shows all
+ * Validates a settings file against all registered schemas, so that one run reports all
  * findings.
  */
 public final class SettingsCheck {
@@ -19,9 +19,6 @@
 	private SettingsCheck() {
 	}
 
-	/**
-	 * Returns all findings of a file.
-	 */
 	public static Findings run(Settings settings) {
 		List<SettingsSchema> schemas = new ArrayList<>();
 		ServiceLoader.load(SettingsSchema.class).forEach(schemas::add);
@@ -37,7 +34,7 @@
 			Findings findings) {
 		List<Setting<?>> known = schemas.stream()
 			.flatMap((schema) -> schema.keys().stream())
-			.filter((setting) -> covers(setting, section))
+			.filter((setting) -> matchesSection(setting, section))
 			.toList();
 		if (known.isEmpty()) {
 			findings.add(SETTING_UNKNOWN, settings.locate(section, ""), "no such section", "remove or rename it");
@@ -52,7 +49,7 @@
 		}
 	}
 
-	private static boolean covers(Setting<?> setting, String section) {
+	private static boolean matchesSection(Setting<?> setting, String section) {
 		return setting.section().equals(section) || (setting.section().endsWith(" NAME")
 				&& section.startsWith(setting.section().substring(0, setting.section().length() - "NAME".length())));
 	}
--- a/kernel/src/main/java/org/wisteriapost/kernel/settings/SettingsSchema.java
+++ b/kernel/src/main/java/org/wisteriapost/kernel/settings/SettingsSchema.java
@@ -5,25 +5,26 @@
 import org.wisteriapost.kernel.Findings;
 
 /**
- * The keys of one part of the program; registers with the service loader.
+ * Settings of one component; implementations are registered with the service loader.
  */
 public interface SettingsSchema {
 
 	/**
-	 * Returns every key this part reads.
+	 * Returns all settings that the component reads.
 	 */
 	List<Setting<?>> keys();
 
 	/**
-	 * Returns the sections that must be there for this part's keys to be required, for
-	 * example {@code agent}: a file without the section is not an agent's.
+	 * Returns whether a file has the given section, without which the settings of the
+	 * component are not required: a file without {@code [agent]} does not configure an
+	 * agent.
 	 */
 	default boolean appliesTo(Settings settings, String section) {
 		return settings.sections().contains(section);
 	}
 
 	/**
-	 * Adds findings that need more than one key.
+	 * Adds findings that involve more than one setting.
 	 */
 	default void check(Settings settings, Findings findings) {
 	}
--- a/kernel/src/main/java/org/wisteriapost/kernel/settings/package-info.java
+++ b/kernel/src/main/java/org/wisteriapost/kernel/settings/package-info.java
@@ -1,4 +1,4 @@
 /**
- * INI settings, checked whole before anything starts.
+ * INI settings and their validation, which covers the whole file before a process starts.
  */
 package org.wisteriapost.kernel.settings;
--- a/kernel/src/test/java/org/wisteriapost/kernel/settings/SettingsCheckTests.java
+++ b/kernel/src/test/java/org/wisteriapost/kernel/settings/SettingsCheckTests.java
@@ -13,7 +13,7 @@
 
 class SettingsCheckTests {
 
-	private static final String WHOLE = """
+	private static final String VALID = """
 			[process]
 			vm = a
 			place = b
@@ -24,18 +24,18 @@
 			""";
 
 	static Stream<Arguments> files() {
-		return Stream.of(Arguments.of("nothing is wrong", WHOLE, List.of()),
-				Arguments.of("dotted and commented lines are no findings", "; x = 1\n" + WHOLE, List.of()),
-				Arguments.of("a key is missing", WHOLE.replace("vm = a\n", ""),
+		return Stream.of(Arguments.of("valid file", VALID, List.of()),
+				Arguments.of("commented line", "; x = 1\n" + VALID, List.of()),
+				Arguments.of("missing key", VALID.replace("vm = a\n", ""),
 						List.of("f:1 [process] vm: setting-missing: no value; write text")),
-				Arguments.of("two values are wrong", WHOLE.replace("127.0.0.1:1", "host:1") + "[admin]\nport = x\n",
+				Arguments.of("two invalid values", VALID.replace("127.0.0.1:1", "host:1") + "[admin]\nport = x\n",
 						List.of("f:9 [admin] port: setting-invalid: \"x\" is not accepted; "
 								+ "write a whole number from 0 to 65535",
 								"f:5 [outside] platform: setting-invalid: \"http://host:1\" is not accepted; "
 										+ "write http://IP:PORT")),
-				Arguments.of("a section is unknown", WHOLE + "[proces]\nvm = a\n",
+				Arguments.of("unknown section", VALID + "[proces]\nvm = a\n",
 						List.of("f:8 [proces]: setting-unknown: no such section; remove or rename it")),
-				Arguments.of("a key is unknown", WHOLE + "[admin]\nprot = 1\n",
+				Arguments.of("unknown key", VALID + "[admin]\nprot = 1\n",
 						List.of("f:9 [admin] prot: setting-unknown: no such key; use one of [host, port]")));
 	}
 
