--- a/kernel/src/main/java/org/wisteriapost/kernel/Code.java
+++ b/kernel/src/main/java/org/wisteriapost/kernel/Code.java
@@ -3,13 +3,13 @@
 import java.util.Objects;
 
 /**
- * Names one decision, refusal, failure or finding in a stable way.
+ * Stable identifier of a decision, rejection, failure or finding.
  *
- * Every code is declared as a constant at the head of the one class that raises it and
- * has a page {@code docs/codes/NAME.md}; a test compares the two sets.
+ * Each code is declared as a constant in the class that raises it and is documented in
+ * {@code docs/codes/NAME.md}; a test compares the two sets.
  *
- * @param name kebab-case, stable across versions, safe to match on
- * @param severity how an operator should take it
+ * @param name kebab-case, stable across versions, so that tools can match it
+ * @param severity the response that is expected of an operator
  * @param summary one sentence for logs and error bodies
  */
 public record Code(String name, Severity severity, String summary) {
@@ -23,45 +23,45 @@
 	}
 
 	/**
-	 * Returns a code for something that is wrong and needs a person.
+	 * Returns a code for a fault that an operator has to resolve.
 	 */
 	public static Code error(String name, String summary) {
 		return new Code(name, Severity.ERROR, summary);
 	}
 
 	/**
-	 * Returns a code for something the system has dealt with by itself.
+	 * Returns a code for a fault that the system has handled by itself.
 	 */
 	public static Code warning(String name, String summary) {
 		return new Code(name, Severity.WARNING, summary);
 	}
 
 	/**
-	 * Returns a code for a request that is turned away under load or by policy.
+	 * Returns a code for a request that is rejected under load or by policy.
 	 */
 	public static Code refusal(String name, String summary) {
 		return new Code(name, Severity.REFUSAL, summary);
 	}
 
 	/**
-	 * Returns a code for an outside system that does not answer.
+	 * Returns a code for an external system that does not respond.
 	 */
 	public static Code unavailable(String name, String summary) {
 		return new Code(name, Severity.UNAVAILABLE, summary);
 	}
 
 	/**
-	 * How an operator should take a code.
+	 * Response that a code expects of an operator.
 	 */
 	public enum Severity {
 
-		/** Needs a person. */
+		/** An operator has to act. */
 		ERROR,
-		/** Dealt with; worth counting. */
+		/** Handled by the system; monitor its rate. */
 		WARNING,
-		/** A caller was told to come back. */
+		/** A request was rejected; the caller may retry later. */
 		REFUSAL,
-		/** An outside system does not answer; the same may work later. */
+		/** An external system does not respond; a retry may succeed. */
 		UNAVAILABLE
 
 	}
--- a/kernel/src/main/java/org/wisteriapost/kernel/CodedException.java
+++ b/kernel/src/main/java/org/wisteriapost/kernel/CodedException.java
@@ -1,7 +1,7 @@
 package org.wisteriapost.kernel;
 
 /**
- * An unchecked failure that carries a stable {@link Code}.
+ * Unchecked exception that carries a stable {@link Code}.
  */
 public final class CodedException extends RuntimeException {
 
@@ -13,14 +13,16 @@
 	}
 
 	/**
-	 * Returns a failure with a code and a detail that is safe to show to a caller.
+	 * Returns an exception with a code.
+	 * @param detail shown to callers, so it must not contain secrets
 	 */
 	public static CodedException of(Code code, String detail) {
 		return new CodedException(code, detail, null);
 	}
 
 	/**
-	 * Returns a failure with a code, a detail and what caused it.
+	 * Returns an exception with a code and a cause.
+	 * @param detail shown to callers, so it must not contain secrets
 	 */
 	public static CodedException of(Code code, String detail, Throwable cause) {
 		return new CodedException(code, detail, cause);
--- a/kernel/src/main/java/org/wisteriapost/kernel/EventLoop.java
+++ b/kernel/src/main/java/org/wisteriapost/kernel/EventLoop.java
@@ -15,13 +15,15 @@
 import com.lmax.disruptor.util.DaemonThreadFactory;
 
 /**
- * One bounded ring of events with one consumer, so that a role's state needs no locks.
+ * Single-consumer event loop over a bounded ring buffer, so that the state of a role
+ * needs no locks.
  *
- * The ring is bounded so that a burst is refused at the door instead of growing the heap
- * until every caller times out. The consumer blocks while idle: a spinning wait would
- * alone exceed the 1.5 % of a core that control may cost on a node.
+ * The buffer is bounded so that a burst of requests is rejected on arrival instead of
+ * growing the heap until all requests time out. The consumer blocks while idle: busy
+ * waiting alone would exceed the 1.5 % of a core that the control plane may use on a
+ * node.
  *
- * @param <E> the role's event type
+ * @param <E> the event type
  */
 public final class EventLoop<E> implements AutoCloseable {
 
@@ -39,8 +41,8 @@
 	}
 
 	/**
-	 * Returns a running loop.
-	 * @param size the ring's capacity in events, a power of two
+	 * Starts the consumer thread and returns the loop.
+	 * @param size the capacity in events, a power of two
 	 */
 	public static <E> EventLoop<E> start(String name, int size, Consumer<E> consumer) {
 		Objects.requireNonNull(consumer, "consumer");
@@ -56,16 +58,17 @@
 	}
 
 	/**
-	 * Returns whether the event was taken; false means the ring is full and the event's
-	 * sender must refuse its work as not run.
+	 * Publishes an event unless the buffer is full. On false the caller must reject the
+	 * request as not executed.
 	 */
 	public boolean offer(E event) {
 		return this.ring.tryPublishEvent((slot, sequence, value) -> slot.event = value, event);
 	}
 
 	/**
-	 * Waits for room and publishes. Only for events that end work that is already
-	 * admitted (an answer's end, a loss): dropping those would leak the admission slot.
+	 * Publishes an event, blocking while the buffer is full. Only for events that
+	 * complete admitted work (end of a response, loss of a runner): dropping one would
+	 * leak the admission slot.
 	 */
 	public void put(E event) {
 		this.ring.publishEvent((slot, sequence, value) -> slot.event = value, event);
@@ -77,7 +80,7 @@
 			this.disruptor.shutdown(SHUTDOWN_SECONDS, TimeUnit.SECONDS);
 		}
 		catch (TimeoutException ex) {
-			LOG.log(Level.WARNING, "event-loop-halted: events were left behind", ex);
+			LOG.log(Level.WARNING, "event-loop-halted: pending events were discarded", ex);
 			this.disruptor.halt();
 		}
 	}
@@ -96,7 +99,7 @@
 
 	private record LogAndContinue<T>(String name) implements ExceptionHandler<T> {
 
-		// One caller's broken event must not end the loop for all the others.
+		// A failing event must not stop the loop for all other requests.
 		@Override
 		public void handleEventException(Throwable ex, long sequence, T event) {
 			LOG.log(Level.ERROR, "event-failed: loop " + this.name, ex);
--- a/kernel/src/main/java/org/wisteriapost/kernel/Finding.java
+++ b/kernel/src/main/java/org/wisteriapost/kernel/Finding.java
@@ -1,12 +1,12 @@
 package org.wisteriapost.kernel;
 
 /**
- * One thing wrong with an operator's input, with where it is and what to write instead.
+ * Problem in a settings or bundle file.
  *
- * @param code what kind of problem it is
- * @param location where it is
- * @param problem what is wrong, with the offending value
- * @param advice what to write instead
+ * @param code the kind of problem
+ * @param location its position in the file
+ * @param problem the description, with the offending value
+ * @param advice the suggested correction
  */
 public record Finding(Code code, Location location, String problem, String advice) {
 
--- a/kernel/src/main/java/org/wisteriapost/kernel/Findings.java
+++ b/kernel/src/main/java/org/wisteriapost/kernel/Findings.java
@@ -5,7 +5,7 @@
 import java.util.stream.Collectors;
 
 /**
- * Collects findings so that all of them are reported together.
+ * Collects findings so that all problems of an input are reported at once.
  */
 public final class Findings {
 
@@ -14,15 +14,12 @@
 
 	private final List<Finding> list = new ArrayList<>();
 
-	/**
-	 * Adds one finding.
-	 */
 	public void add(Code code, Location location, String problem, String advice) {
 		this.list.add(new Finding(code, location, problem, advice));
 	}
 
 	/**
-	 * Adds all findings of another collection.
+	 * Appends the findings of another collection.
 	 */
 	public void addAll(Findings other) {
 		this.list.addAll(other.list);
@@ -33,14 +30,14 @@
 	}
 
 	/**
-	 * Returns the findings in the order they were found.
+	 * Returns an unmodifiable copy, in the order of insertion.
 	 */
 	public List<Finding> list() {
 		return List.copyOf(this.list);
 	}
 
 	/**
-	 * Throws one failure that names every finding, unless there is none.
+	 * Throws one exception that lists all findings; does nothing when there are none.
 	 */
 	public void throwIfAny() {
 		if (!this.list.isEmpty()) {
--- a/kernel/src/main/java/org/wisteriapost/kernel/Invariants.java
+++ b/kernel/src/main/java/org/wisteriapost/kernel/Invariants.java
@@ -8,11 +8,11 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Counts the times that a promise was found broken inside the running program.
+ * Counts violations of invariants at run time.
  *
- * A violation stops the action that would break the promise and nothing else: the other
- * callers of the same process keep their answers. Random runs fail on any count above
- * zero.
+ * A violation aborts only the action that would break the invariant, so that other
+ * requests of the same process are not affected. Randomized simulations fail on any
+ * violation.
  */
 public final class Invariants {
 
@@ -24,14 +24,14 @@
 	}
 
 	/**
-	 * Returns an empty set of counts, one for each process or random run.
+	 * Returns a new set of counters; use one per process or simulation.
 	 */
 	public static Invariants create() {
 		return new Invariants();
 	}
 
 	/**
-	 * Returns the given condition and counts a violation when it is false.
+	 * Returns the condition; counts and logs a violation if it is false.
 	 */
 	public boolean holds(boolean condition, String invariant, String detail) {
 		if (!condition) {
@@ -42,7 +42,7 @@
 	}
 
 	/**
-	 * Returns the violations by invariant, sorted by name; empty when all held.
+	 * Returns the number of violations by invariant, sorted by name; empty when all hold.
 	 */
 	public Map<String, Long> violations() {
 		Map<String, Long> copy = new TreeMap<>();
--- a/kernel/src/main/java/org/wisteriapost/kernel/Location.java
+++ b/kernel/src/main/java/org/wisteriapost/kernel/Location.java
@@ -1,12 +1,12 @@
 package org.wisteriapost.kernel;
 
 /**
- * Where in an operator's file a finding lies.
+ * Position of a finding in a settings or bundle file.
  *
- * @param file the file's name as the operator gave it
- * @param line counted from 1; 0 when the file as a whole is meant
- * @param section the INI section, empty outside any
- * @param key the key, empty when the section as a whole is meant
+ * @param file the file name as given by the operator
+ * @param line the line, counted from 1; 0 for the whole file
+ * @param section the INI section; empty outside all sections
+ * @param key the key; empty for the whole section
  */
 public record Location(String file, int line, String section, String key) {
 
--- a/kernel/src/main/java/org/wisteriapost/kernel/Plugins.java
+++ b/kernel/src/main/java/org/wisteriapost/kernel/Plugins.java
@@ -5,7 +5,7 @@
 import java.util.function.Predicate;
 
 /**
- * Finds plug-ins that have registered themselves with the service loader.
+ * Looks up plug-ins by {@link ServiceLoader}.
  */
 public final class Plugins {
 
@@ -13,7 +13,7 @@
 	}
 
 	/**
-	 * Returns the first registered plug-in of a type that matches.
+	 * Returns the first registered plug-in of a type that satisfies the predicate.
 	 */
 	public static <T> Optional<T> find(Class<T> type, Predicate<T> matches) {
 		return ServiceLoader.load(type).stream().map(ServiceLoader.Provider::get).filter(matches).findFirst();
--- a/kernel/src/main/java/org/wisteriapost/kernel/SuspensionWatch.java
+++ b/kernel/src/main/java/org/wisteriapost/kernel/SuspensionWatch.java
@@ -3,49 +3,49 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Notices that this VM was suspended: its monotonic clock stands still meanwhile and the
- * time of day does not.
+ * Detects that this VM was suspended: the monotonic clock stops during a suspension, the
+ * wall clock does not.
  *
- * Failure: ages are reckoned on the monotonic clock, so what was known before a
- * suspension seems as young after it. Symptom: decisions rest on beliefs that are older
- * by its whole length. A time of day that is set forward is taken for a suspension too;
- * that costs a moment of doubt.
+ * Staleness is measured on the monotonic clock, so without this check, state from before
+ * a suspension would still count as fresh after it and decisions would rest on outdated
+ * state. A wall clock that is set forward is reported as a suspension too, which only
+ * makes the process distrust its state for a short time.
  */
 public final class SuspensionWatch {
 
-	// Less than any bound within which beliefs count as new, and more than a clock that
-	// is slewed gains between two looks.
-	private static final long GAP_MILLIS = 400;
+	// Below all staleness limits, and above what clock slewing adds between two
+	// checks.
+	private static final long MAX_CLOCK_DIFFERENCE_MILLIS = 400;
 
-	private long nanos;
+	private long lastNanos;
 
-	private long dayMillis;
+	private long lastWallClockMillis;
 
-	private SuspensionWatch(long nanos, long dayMillis) {
-		this.nanos = nanos;
-		this.dayMillis = dayMillis;
+	private SuspensionWatch(long nanos, long wallClockMillis) {
+		this.lastNanos = nanos;
+		this.lastWallClockMillis = wallClockMillis;
 	}
 
 	/**
-	 * Returns a watch.
+	 * Starts with the given time as the first reference.
 	 * @param nanos on the monotonic clock
-	 * @param dayMillis the time of day, in milliseconds since 1970
+	 * @param wallClockMillis wall-clock time, in milliseconds since the epoch
 	 */
-	public static SuspensionWatch start(long nanos, long dayMillis) {
-		return new SuspensionWatch(nanos, dayMillis);
+	public static SuspensionWatch start(long nanos, long wallClockMillis) {
+		return new SuspensionWatch(nanos, wallClockMillis);
 	}
 
 	/**
-	 * Returns whether the VM was suspended since the last look.
+	 * Returns whether the VM was suspended since the previous call.
 	 * @param nowNanos on the monotonic clock
-	 * @param nowDayMillis the time of day, in milliseconds since 1970
+	 * @param nowWallClockMillis wall-clock time, in milliseconds since the epoch
 	 */
-	public boolean woke(long nowNanos, long nowDayMillis) {
-		long ran = TimeUnit.NANOSECONDS.toMillis(nowNanos - this.nanos);
-		long passed = nowDayMillis - this.dayMillis;
-		this.nanos = nowNanos;
-		this.dayMillis = nowDayMillis;
-		return passed - ran > GAP_MILLIS;
+	public boolean woke(long nowNanos, long nowWallClockMillis) {
+		long monotonicMillis = TimeUnit.NANOSECONDS.toMillis(nowNanos - this.lastNanos);
+		long wallClockMillis = nowWallClockMillis - this.lastWallClockMillis;
+		this.lastNanos = nowNanos;
+		this.lastWallClockMillis = nowWallClockMillis;
+		return wallClockMillis - monotonicMillis > MAX_CLOCK_DIFFERENCE_MILLIS;
 	}
 
 }
--- a/kernel/src/main/java/org/wisteriapost/kernel/command/Command.java
+++ b/kernel/src/main/java/org/wisteriapost/kernel/command/Command.java
@@ -4,23 +4,23 @@
 import java.util.List;
 
 /**
- * One command of the binary; registers with the service loader.
+ * Command of the binary; implementations are registered with the service loader.
  */
 public interface Command {
 
 	/**
-	 * Returns the words that choose it, for example {@code bundle roll}.
+	 * Returns the words that select the command, for example {@code bundle roll}.
 	 */
 	String name();
 
 	/**
-	 * Returns one line for {@code --help}.
+	 * Returns the line that {@code --help} prints for the command.
 	 */
 	String summary();
 
 	/**
-	 * Runs it and returns when it has ended.
-	 * @param args what stands after the name
+	 * Runs the command to completion.
+	 * @param args the arguments after the name
 	 * @return one of {@link ExitCodes}
 	 */
 	int run(List<String> args, PrintStream out, PrintStream err);
--- a/kernel/src/main/java/org/wisteriapost/kernel/command/Signals.java
+++ b/kernel/src/main/java/org/wisteriapost/kernel/command/Signals.java
@@ -3,7 +3,7 @@
 import sun.misc.Signal;
 
 /**
- * Signals of the operating system that a process answers other than by ending.
+ * Handlers for operating system signals that do not terminate the process.
  */
 public final class Signals {
 
@@ -11,8 +11,8 @@
 	}
 
 	/**
-	 * Runs a task at each signal, on a thread of the virtual machine's own.
-	 * @param name without its SIG, for example {@code HUP}
+	 * Runs a task on a thread of the Java runtime each time the signal arrives.
+	 * @param name without the prefix SIG, for example {@code HUP}
 	 */
 	public static void on(String name, Runnable task) {
 		Signal.handle(new Signal(name), (signal) -> task.run());
--- a/kernel/src/main/java/org/wisteriapost/kernel/command/package-info.java
+++ b/kernel/src/main/java/org/wisteriapost/kernel/command/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Commands of the one binary; each registers itself.
+ * Command-line interface of the binary.
  */
 package org.wisteriapost.kernel.command;
--- a/kernel/src/main/java/org/wisteriapost/kernel/package-info.java
+++ b/kernel/src/main/java/org/wisteriapost/kernel/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What every role is built from: codes, findings, settings, the event loop and plug-ins.
- * Nothing here knows about requests, bundles or weights.
+ * Foundation that all roles share: codes, findings, settings, the event loop and
+ * plug-ins. Independent of requests, bundles and weights.
  */
 package org.wisteriapost.kernel;
