--- a/operator/src/main/java/org/wisteriapost/operator/Arguments.java
+++ b/operator/src/main/java/org/wisteriapost/operator/Arguments.java
@@ -14,43 +14,43 @@
 import org.wisteriapost.kernel.CodedException;
 
 /**
- * A command's options, read by Commons CLI.
+ * Parsed options and arguments of a command.
  */
 public final class Arguments {
 
 	private static final Code COMMAND_LINE = Code.error("command-line-rejected",
 			"A command's options or arguments are not as its help says.");
 
-	private final CommandLine line;
+	private final CommandLine commandLine;
 
 	private Arguments(CommandLine line) {
-		this.line = line;
+		this.commandLine = line;
 	}
 
 	/**
-	 * Returns an option that takes a value.
+	 * Returns the definition of an option with a value.
 	 */
-	public static Option value(String name, String argument, String help) {
+	public static Option valueOption(String name, String argument, String help) {
 		return Option.builder().longOpt(name).hasArg().argName(argument).desc(help).get();
 	}
 
 	/**
-	 * Returns an option that stands alone.
+	 * Returns the definition of an option without a value.
 	 */
-	public static Option flag(String name, String help) {
+	public static Option flagOption(String name, String help) {
 		return Option.builder().longOpt(name).desc(help).get();
 	}
 
 	/**
-	 * Returns the arguments, or empty after printing help when that was asked for.
-	 * @param usage the command with its plain arguments
+	 * Parses the arguments; prints the help and returns empty if {@code --help} is given.
+	 * @param usage the command name followed by its positional arguments
 	 */
-	public static Optional<Arguments> read(String usage, List<Option> known, List<String> args, PrintStream out) {
+	public static Optional<Arguments> parse(String usage, List<Option> known, List<String> args, PrintStream out) {
 		Options options = new Options();
 		known.forEach(options::addOption);
-		options.addOption(flag("help", "show this help"));
+		options.addOption(flagOption("help", "show this help"));
 		if (args.contains("--help")) {
-			help(usage, options, out);
+			printHelp(usage, options, out);
 			return Optional.empty();
 		}
 		try {
@@ -61,22 +61,19 @@
 		}
 	}
 
-	/**
-	 * Returns an option's value.
-	 */
 	public Optional<String> option(String name) {
-		return Optional.ofNullable(this.line.getOptionValue(name));
+		return Optional.ofNullable(this.commandLine.getOptionValue(name));
 	}
 
 	/**
-	 * Returns an option's value or fails with what is missing.
+	 * Returns the value of an option; throws if the option is absent.
 	 */
 	public String required(String name) {
 		return option(name).orElseThrow(() -> CodedException.of(COMMAND_LINE, "--" + name + " is required"));
 	}
 
 	/**
-	 * Returns a required whole number.
+	 * Returns the value of a required integer option.
 	 */
 	public long requiredNumber(String name) {
 		try {
@@ -88,28 +85,28 @@
 	}
 
 	/**
-	 * Returns a required file.
+	 * Returns the value of a required option that names a file.
 	 */
 	public Path requiredFile(String name) {
 		return Path.of(required(name));
 	}
 
 	public boolean has(String name) {
-		return this.line.hasOption(name);
+		return this.commandLine.hasOption(name);
 	}
 
 	/**
-	 * Returns the one plain argument or fails.
+	 * Returns the only positional argument; throws if there is none or more than one.
 	 */
-	public String only(String what) {
-		List<String> plain = this.line.getArgList();
-		if (plain.size() != 1) {
-			throw CodedException.of(COMMAND_LINE, "give exactly one " + what);
+	public String singleArgument(String description) {
+		List<String> positional = this.commandLine.getArgList();
+		if (positional.size() != 1) {
+			throw CodedException.of(COMMAND_LINE, "give exactly one " + description);
 		}
-		return plain.getFirst();
+		return positional.getFirst();
 	}
 
-	private static void help(String usage, Options options, PrintStream out) {
+	private static void printHelp(String usage, Options options, PrintStream out) {
 		out.println("wisteriapost " + usage);
 		out.println();
 		options.getOptions().forEach((option) -> {
--- a/operator/src/main/java/org/wisteriapost/operator/Surroundings.java
+++ b/operator/src/main/java/org/wisteriapost/operator/ExternalSystems.java
@@ -20,61 +20,49 @@
 import org.wisteriapost.protocol.outside.VmList;
 
 /**
- * The outside systems as an operator's settings name them.
+ * Clients of the external systems that a settings file configures.
  */
-public final class Surroundings implements AutoCloseable {
+public final class ExternalSystems implements AutoCloseable {
 
 	private final Settings settings;
 
-	private final HttpCaller caller;
+	private final HttpCaller httpCaller;
 
 	private final OutsideProvider provider;
 
-	private Surroundings(Settings settings, HttpCaller caller, OutsideProvider provider) {
+	private ExternalSystems(Settings settings, HttpCaller caller, OutsideProvider provider) {
 		this.settings = settings;
-		this.caller = caller;
+		this.httpCaller = caller;
 		this.provider = provider;
 	}
 
 	/**
-	 * Returns the surroundings of a settings file after checking it whole.
+	 * Validates a settings file and returns the clients that it configures.
 	 */
-	public static Surroundings of(Path file) {
+	public static ExternalSystems of(Path file) {
 		Settings settings = Settings.read(file);
 		SettingsCheck.run(settings).throwIfAny();
-		return new Surroundings(settings, HttpCaller.create(1), OutsideProviders.of(settings));
+		return new ExternalSystems(settings, HttpCaller.create(1), OutsideProviders.of(settings));
 	}
 
-	/**
-	 * Returns the settings, checked.
-	 */
 	public Settings settings() {
 		return this.settings;
 	}
 
-	/**
-	 * Returns the platform.
-	 */
 	public Platform platform() {
-		return this.provider.platform(this.caller, address(CommonSettings.PLATFORM));
+		return this.provider.platform(this.httpCaller, address(CommonSettings.PLATFORM));
 	}
 
-	/**
-	 * Returns the origin.
-	 */
 	public Origin origin() {
-		return this.provider.origin(this.caller, address(CommonSettings.ORIGIN));
+		return this.provider.origin(this.httpCaller, address(CommonSettings.ORIGIN));
 	}
 
-	/**
-	 * Returns the VM list.
-	 */
 	public VmList vmList() {
-		return this.provider.vmList(this.caller, address(CommonSettings.VM_LIST));
+		return this.provider.vmList(this.httpCaller, address(CommonSettings.VM_LIST));
 	}
 
 	/**
-	 * Returns the configured operators' public keys by name.
+	 * Returns the public key of each configured operator by name.
 	 */
 	public Map<String, String> operatorKeys() {
 		Map<String, String> keys = new LinkedHashMap<>();
@@ -84,14 +72,15 @@
 	}
 
 	/**
-	 * Returns how many operators must approve.
+	 * Returns the number of operators who must approve a bundle.
 	 */
-	public int approvals() {
+	public int requiredApprovals() {
 		return CommonSettings.APPROVALS.get(this.settings).intValue();
 	}
 
 	/**
-	 * Returns a call's result, or throws its coded failure.
+	 * Waits for a call and returns its result; throws the {@link CodedException} it
+	 * failed with.
 	 */
 	public static <T> T await(CompletableFuture<T> future) {
 		try {
@@ -107,7 +96,7 @@
 
 	@Override
 	public void close() {
-		this.caller.close();
+		this.httpCaller.close();
 	}
 
 	private URI address(Setting<URI> setting) {
--- a/operator/src/main/java/org/wisteriapost/operator/SettingsCheckCommand.java
+++ b/operator/src/main/java/org/wisteriapost/operator/SettingsCheckCommand.java
@@ -12,7 +12,7 @@
 import org.wisteriapost.kernel.settings.SettingsCheck;
 
 /**
- * {@code settings check}: shows all findings of a settings file.
+ * {@code settings check}: validates a settings file and prints all findings.
  */
 public final class SettingsCheckCommand implements Command {
 
@@ -28,11 +28,11 @@
 
 	@Override
 	public int run(List<String> args, PrintStream out, PrintStream err) {
-		Optional<Arguments> arguments = Arguments.read(name() + " FILE", List.of(), args, out);
+		Optional<Arguments> arguments = Arguments.parse(name() + " FILE", List.of(), args, out);
 		if (arguments.isEmpty()) {
 			return ExitCodes.OK;
 		}
-		Findings findings = SettingsCheck.run(Settings.read(Path.of(arguments.get().only("settings file"))));
+		Findings findings = SettingsCheck.run(Settings.read(Path.of(arguments.get().singleArgument("settings file"))));
 		findings.list().forEach(err::println);
 		return findings.isEmpty() ? ExitCodes.OK : ExitCodes.BAD_INPUT;
 	}
--- a/operator/src/main/java/org/wisteriapost/operator/bundle/ApproveCommand.java
+++ b/operator/src/main/java/org/wisteriapost/operator/bundle/ApproveCommand.java
@@ -11,11 +11,11 @@
 import org.wisteriapost.kernel.command.Command;
 import org.wisteriapost.kernel.command.ExitCodes;
 import org.wisteriapost.operator.Arguments;
-import org.wisteriapost.operator.Surroundings;
+import org.wisteriapost.operator.ExternalSystems;
 import org.wisteriapost.policy.bundle.Approvals;
 
 /**
- * {@code bundle approve}: signs a proposed bundle.
+ * {@code bundle approve}: signs a proposed bundle and stores the signature.
  */
 public final class ApproveCommand implements Command {
 
@@ -36,25 +36,25 @@
 
 	@Override
 	public int run(List<String> args, PrintStream out, PrintStream err) {
-		return OperatorOptions.with(name() + " DIGEST",
+		return OperatorOptions.runWithSystems(name() + " DIGEST",
 				List.of(OperatorOptions.SETTINGS, OperatorOptions.AS,
-						Arguments.value("key", "FILE", "your private key, made by keys generate")),
-				args, out, (arguments, surroundings) -> approve(arguments, surroundings, out));
+						Arguments.valueOption("key", "FILE", "your private key, made by keys generate")),
+				args, out, (arguments, systems) -> approve(arguments, systems, out));
 	}
 
-	private static int approve(Arguments arguments, Surroundings surroundings, PrintStream out) {
-		String digest = arguments.only("digest");
+	private static int approve(Arguments arguments, ExternalSystems systems, PrintStream out) {
+		String digest = arguments.singleArgument("digest");
 		String operator = arguments.required("as");
-		BundleStore store = new BundleStore(surroundings.platform());
+		BundleStore store = new BundleStore(systems.platform());
 		store.bundle(digest);
 		byte[] signature = Approvals.sign(digest, privateKey(arguments.requiredFile("key")));
-		String publicKey = surroundings.operatorKeys().getOrDefault(operator, "");
+		String publicKey = systems.operatorKeys().getOrDefault(operator, "");
 		if (!Approvals.valid(digest, signature, publicKey)) {
 			throw CodedException.of(KEY_MISMATCH, operator);
 		}
 		store.approve(digest, operator, signature);
-		int counted = Approvals.counted(digest, store.approvals(digest), surroundings.operatorKeys()).size();
-		out.printf("approved by %d of %d%n", counted, surroundings.approvals());
+		int counted = Approvals.counted(digest, store.approvals(digest), systems.operatorKeys()).size();
+		out.printf("approved by %d of %d%n", counted, systems.requiredApprovals());
 		return ExitCodes.OK;
 	}
 
--- a/operator/src/main/java/org/wisteriapost/operator/bundle/Draft.java
+++ b/operator/src/main/java/org/wisteriapost/operator/bundle/BundleDraft.java
@@ -10,24 +10,25 @@
 import org.wisteriapost.policy.bundle.ServiceSpec;
 
 /**
- * A bundle as an operator wrote it, before the origin's chunk hashes are pinned.
+ * Parsed bundle file, before it is pinned to the chunk hashes of the origin.
  *
- * @param settings the file, for the locations of findings
- * @param name what operators call it
- * @param version the operators' version
+ * @param settings the file, to locate findings
+ * @param name the name of the bundle
+ * @param version the version assigned by the operators
  * @param weights the models and adapters
- * @param services what runs where
+ * @param services the services and where they run
  */
-public record Draft(Settings settings, String name, String version, List<DraftWeight> weights,
+public record BundleDraft(Settings settings, String name, String version, List<DraftWeight> weights,
 		List<ServiceSpec> services) {
 
 	private static final Code KEY_UNKNOWN = Code.error("bundle-key-unknown",
 			"A section or key of a bundle file is not one that a bundle has.");
 
 	/**
-	 * Returns the draft in a file; what cannot be read is a finding and left out.
+	 * Returns the content of a file; unreadable values are reported as findings and
+	 * skipped.
 	 */
-	public static Draft read(Settings settings, Findings findings) {
+	public static BundleDraft read(Settings settings, Findings findings) {
 		settings.sections().forEach((section) -> checkKeys(settings, section, findings));
 		List<DraftWeight> weights = new ArrayList<>();
 		for (String name : settings.named("weight")) {
@@ -37,7 +38,7 @@
 		}
 		List<ServiceSpec> services = new ArrayList<>();
 		settings.named("service").forEach((name) -> services.add(service(settings, name, findings)));
-		return new Draft(settings, text(BundleSettings.NAME, settings, "bundle", findings),
+		return new BundleDraft(settings, text(BundleSettings.NAME, settings, "bundle", findings),
 				text(BundleSettings.VERSION, settings, "bundle", findings), List.copyOf(weights),
 				List.copyOf(services));
 	}
@@ -45,12 +46,13 @@
 	private static ServiceSpec service(Settings settings, String name, Findings findings) {
 		String section = "service " + name;
 		BundleSettings.checkKind(settings, section, findings);
-		text(BundleSettings.PLACES, settings, section, findings);
+		text(BundleSettings.FAILURE_DOMAINS, settings, section, findings);
 		boolean plain = settings.text(section, BundleSettings.KIND.key()).filter("plain"::equals).isPresent();
 		return new ServiceSpec(name, plain ? ServiceSpec.Kind.PLAIN : ServiceSpec.Kind.MODEL,
 				text(BundleSettings.MODEL, settings, section, findings),
 				settings.items(section, BundleSettings.ADAPTERS.key()),
-				settings.items(section, BundleSettings.PLACES.key()), settings.items(section, BundleSettings.VMS.key()),
+				settings.items(section, BundleSettings.FAILURE_DOMAINS.key()),
+				settings.items(section, BundleSettings.VMS.key()),
 				BundleSettings.MIN_READY.read(settings, section, findings).orElse(1L).intValue());
 	}
 
@@ -59,7 +61,7 @@
 	}
 
 	private static void checkKeys(Settings settings, String section, Findings findings) {
-		List<Setting<?>> known = BundleSettings.of(section);
+		List<Setting<?>> known = BundleSettings.ofSection(section);
 		if (known.isEmpty()) {
 			findings.add(KEY_UNKNOWN, settings.locate(section, ""), "no such section",
 					"use [bundle], [weight NAME] or [service NAME]");
@@ -74,11 +76,11 @@
 	}
 
 	/**
-	 * One model or adapter as written.
+	 * Declaration of a model or adapter.
 	 *
-	 * @param name as services name it
-	 * @param version the publisher's
-	 * @param path at the origin
+	 * @param name the name that services refer to
+	 * @param version the version assigned by the publisher
+	 * @param path the path at the origin
 	 */
 	public record DraftWeight(String name, String version, String path) {
 	}
--- a/operator/src/main/java/org/wisteriapost/operator/bundle/BundleLint.java
+++ b/operator/src/main/java/org/wisteriapost/operator/bundle/BundleLint.java
@@ -8,7 +8,7 @@
 import org.wisteriapost.operator.check.BundleCheck;
 
 /**
- * Reads a bundle file and runs every registered check over it.
+ * Parses a bundle file and runs all registered checks.
  */
 final class BundleLint {
 
@@ -16,14 +16,14 @@
 	}
 
 	/**
-	 * Returns the draft; its mistakes are added to the findings.
+	 * Returns the parsed bundle; errors are added to the findings.
 	 */
-	static Draft run(Path file, Findings findings) {
+	static BundleDraft run(Path file, Findings findings) {
 		return run(Settings.read(file), findings);
 	}
 
-	static Draft run(Settings settings, Findings findings) {
-		Draft draft = Draft.read(settings, findings);
+	static BundleDraft run(Settings settings, Findings findings) {
+		BundleDraft draft = BundleDraft.read(settings, findings);
 		ServiceLoader.load(BundleCheck.class).forEach((check) -> check.check(draft, findings));
 		return draft;
 	}
--- a/operator/src/main/java/org/wisteriapost/operator/bundle/BundleSettings.java
+++ b/operator/src/main/java/org/wisteriapost/operator/bundle/BundleSettings.java
@@ -9,7 +9,8 @@
 import org.wisteriapost.kernel.settings.Settings;
 
 /**
- * The keys of a bundle file. Not a schema of the settings: a bundle is a file of its own.
+ * Keys of a bundle file. Not a {@link org.wisteriapost.kernel.settings.SettingsSchema},
+ * because bundles and settings are separate files.
  */
 final class BundleSettings {
 
@@ -32,7 +33,7 @@
 		.text("service NAME", "adapters", "The [weight NAME] adapters on top of the model, with commas between.")
 		.orElse("");
 
-	static final Setting<String> PLACES = Setting.text("service NAME", "places",
+	static final Setting<String> FAILURE_DOMAINS = Setting.text("service NAME", "places",
 			"Failure domains it runs in, with commas between.");
 
 	static final Setting<String> VMS = Setting
@@ -40,18 +41,19 @@
 		.orElse("");
 
 	static final Setting<Long> MIN_READY = Setting
-		.number("service NAME", "min-ready", 0, 100_000, "Runners in each place that keep serving while others switch.")
+		.number("service NAME", "min-ready", 0, 100_000,
+				"Runners in each failure domain that keep serving while others switch.")
 		.orElse("1");
 
 	private static final List<Setting<?>> ALL = List.of(NAME, VERSION, WEIGHT_VERSION, WEIGHT_PATH, KIND, MODEL,
-			ADAPTERS, PLACES, VMS, MIN_READY);
+			ADAPTERS, FAILURE_DOMAINS, VMS, MIN_READY);
 
 	private static final Set<String> KINDS = Set.of("model", "plain");
 
 	private BundleSettings() {
 	}
 
-	static List<Setting<?>> of(String section) {
+	static List<Setting<?>> ofSection(String section) {
 		String kind = section.contains(" ") ? section.substring(0, section.indexOf(' ')) + " NAME" : section;
 		return ALL.stream().filter((setting) -> setting.section().equals(kind)).toList();
 	}
--- a/operator/src/main/java/org/wisteriapost/operator/bundle/BundleStore.java
+++ b/operator/src/main/java/org/wisteriapost/operator/bundle/BundleStore.java
@@ -11,7 +11,7 @@
 
 import org.wisteriapost.kernel.Code;
 import org.wisteriapost.kernel.CodedException;
-import org.wisteriapost.operator.Surroundings;
+import org.wisteriapost.operator.ExternalSystems;
 import org.wisteriapost.policy.bundle.Bundle;
 import org.wisteriapost.policy.bundle.BundleCodec;
 import org.wisteriapost.policy.bundle.Digests;
@@ -24,8 +24,8 @@
 import org.wisteriapost.protocol.outside.Platform.Stored;
 
 /**
- * What operators read and write in the platform. A write whose confirmation was lost is
- * resolved by reading back, never by guessing.
+ * Access to bundles, approvals and the head in the platform. If the confirmation of a
+ * write is lost, its outcome is determined by reading the key back.
  */
 final class BundleStore {
 
@@ -43,15 +43,15 @@
 
 	private static final Logger LOG = System.getLogger(BundleStore.class.getName());
 
-	private static final String HEAD = "head";
+	private static final String HEAD_KEY = "head";
 
-	private static final String ROLLS = "rolls/";
+	private static final String ROLLS_PREFIX = "rolls/";
 
-	// A platform that is slow for seconds is ordinary; an operator waits longer than that
-	// before the command gives up and says what it does not know.
-	private static final int READ_BACK_TRIES = 20;
+	// Long enough for a platform that is slow for several seconds; after that the
+	// command reports an unknown outcome.
+	private static final int MAX_READ_BACK_ATTEMPTS = 20;
 
-	private static final long READ_BACK_PAUSE_MILLIS = 250;
+	private static final long READ_BACK_DELAY_MILLIS = 250;
 
 	private final Platform platform;
 
@@ -60,7 +60,7 @@
 	}
 
 	/**
-	 * Writes a bundle under its digest; the same bundle again changes nothing.
+	 * Stores a bundle under its digest; idempotent.
 	 */
 	String propose(Bundle bundle) {
 		byte[] bytes = BundleCodec.encode(bundle);
@@ -69,12 +69,12 @@
 					bytes.length + " bytes; publish the weights with larger chunks or split the bundle");
 		}
 		String digest = Digests.sha256(bytes);
-		writeOnce("bundles/" + digest, bytes);
+		putIfAbsent("bundles/" + digest, bytes);
 		return digest;
 	}
 
 	/**
-	 * Returns a proposed bundle, checked against its digest.
+	 * Returns a proposed bundle after verifying its digest.
 	 */
 	Bundle bundle(String digest) {
 		Stored stored = read("bundles/" + digest)
@@ -86,38 +86,38 @@
 	}
 
 	/**
-	 * Writes an operator's signature; the same one again changes nothing.
+	 * Stores the signature of an operator; idempotent for equal signatures.
 	 */
 	void approve(String digest, String operator, byte[] signature) {
-		if (!writeOnce("approvals/" + digest + "/" + operator, signature)) {
+		if (!putIfAbsent("approvals/" + digest + "/" + operator, signature)) {
 			throw CodedException.of(APPROVAL_CONFLICT, operator);
 		}
 	}
 
 	/**
-	 * Returns the signatures of a bundle by operator.
+	 * Returns the signatures of a bundle by operator name.
 	 */
 	Map<String, byte[]> approvals(String digest) {
 		String prefix = "approvals/" + digest + "/";
 		Map<String, byte[]> signatures = new HashMap<>();
-		Surroundings.await(this.platform.list(prefix))
+		ExternalSystems.await(this.platform.list(prefix))
 			.items()
 			.forEach((stored) -> signatures.put(stored.key().substring(prefix.length()), stored.value()));
 		return signatures;
 	}
 
 	/**
-	 * Returns the head in force.
+	 * Returns the active head, or {@link Head#NONE} before the first roll.
 	 */
 	Head head() {
-		return read(HEAD).map((stored) -> BundleCodec.head(stored.value())).orElse(Head.NONE);
+		return read(HEAD_KEY).map((stored) -> BundleCodec.head(stored.value())).orElse(Head.NONE);
 	}
 
 	/**
-	 * Returns every roll so far, oldest first.
+	 * Returns the heads of all rolls, oldest first.
 	 */
 	List<Head> history() {
-		return Surroundings.await(this.platform.list(ROLLS))
+		return ExternalSystems.await(this.platform.list(ROLLS_PREFIX))
 			.items()
 			.stream()
 			.map((stored) -> BundleCodec.head(stored.value()))
@@ -126,10 +126,10 @@
 	}
 
 	/**
-	 * Returns what every agent says of itself.
+	 * Returns the last status reported by each agent.
 	 */
 	List<VmStatus> statuses() {
-		return Surroundings.await(this.platform.list("status/"))
+		return ExternalSystems.await(this.platform.list("status/"))
 			.items()
 			.stream()
 			.map((stored) -> BundleCodec.status(stored.value()))
@@ -137,23 +137,23 @@
 	}
 
 	/**
-	 * Moves the head by one conditional update.
-	 * @return what stands now: the written head when this roll won, else the winner's
+	 * Replaces the head by a conditional update.
+	 * @return {@code next} if this roll won, else the head that won
 	 */
 	Head roll(Head next) {
-		Optional<Stored> before = read(HEAD);
+		Optional<Stored> before = read(HEAD_KEY);
 		Head current = before.map((stored) -> BundleCodec.head(stored.value())).orElse(Head.NONE);
 		if (current.generation() != next.generation() - 1) {
 			return current;
 		}
-		// Recorded first: should this write's confirmation be lost and another roll
-		// follow,
-		// the record of each generation still tells whose write it was.
+		// The current head is recorded before it is replaced. If the confirmation
+		// of this write is lost and another roll follows, the record of each
+		// generation still identifies the author of its write.
 		record(current);
 		Expected expected = before.<Expected>map((stored) -> new Expected.Version(stored.version()))
 			.orElseGet(Expected.Absent::new);
 		try {
-			PutResult result = Surroundings.await(this.platform.put(HEAD, BundleCodec.encode(next), expected));
+			PutResult result = ExternalSystems.await(this.platform.put(HEAD_KEY, BundleCodec.encode(next), expected));
 			if (result instanceof PutResult.Written) {
 				record(next);
 				return next;
@@ -164,12 +164,12 @@
 			if (!ex.code().equals(Platform.UNCONFIRMED)) {
 				throw ex;
 			}
-			return resolve(next, expected);
+			return resolveUnconfirmed(next, expected);
 		}
 	}
 
-	private Head resolve(Head written, Expected expected) {
-		for (int i = 0; i < READ_BACK_TRIES; i++) {
+	private Head resolveUnconfirmed(Head written, Expected expected) {
+		for (int i = 0; i < MAX_READ_BACK_ATTEMPTS; i++) {
 			pause();
 			try {
 				Head read = head();
@@ -183,7 +183,7 @@
 						return recorded.orElse(read);
 					}
 					case NOT_WRITTEN ->
-						Surroundings.await(this.platform.put(HEAD, BundleCodec.encode(written), expected));
+						ExternalSystems.await(this.platform.put(HEAD_KEY, BundleCodec.encode(written), expected));
 					case UNDECIDED -> {
 					}
 				}
@@ -193,24 +193,25 @@
 			}
 		}
 		throw CodedException.of(WRITE_UNRESOLVED, "the roll to generation " + written.generation()
-				+ " may be in force; look at bundle status before rolling again");
+				+ " may have taken effect; check bundle status before rolling again");
 	}
 
 	private void record(Head head) {
 		if (head.generation() > 0) {
-			writeOnce(recordKey(head.generation()), BundleCodec.encode(head));
+			putIfAbsent(recordKey(head.generation()), BundleCodec.encode(head));
 		}
 	}
 
 	private static String recordKey(long generation) {
-		return ROLLS + "%012d".formatted(generation);
+		return ROLLS_PREFIX + "%012d".formatted(generation);
 	}
 
-	// Returns whether this value stands there now; false means that another one does.
-	private boolean writeOnce(String key, byte[] value) {
-		for (int i = 0; i < READ_BACK_TRIES; i++) {
+	// Returns whether the key now holds this value; false if it holds a different
+	// one.
+	private boolean putIfAbsent(String key, byte[] value) {
+		for (int i = 0; i < MAX_READ_BACK_ATTEMPTS; i++) {
 			try {
-				Surroundings.await(this.platform.put(key, value, new Expected.Absent()));
+				ExternalSystems.await(this.platform.put(key, value, new Expected.Absent()));
 			}
 			catch (CodedException ex) {
 				if (!ex.code().equals(Platform.UNCONFIRMED)) {
@@ -227,12 +228,12 @@
 	}
 
 	private Optional<Stored> read(String key) {
-		return Surroundings.await(this.platform.get(key));
+		return ExternalSystems.await(this.platform.get(key));
 	}
 
 	private static void pause() {
 		try {
-			Thread.sleep(READ_BACK_PAUSE_MILLIS);
+			Thread.sleep(READ_BACK_DELAY_MILLIS);
 		}
 		catch (InterruptedException ex) {
 			Thread.currentThread().interrupt();
--- a/operator/src/main/java/org/wisteriapost/operator/bundle/HistoryCommand.java
+++ b/operator/src/main/java/org/wisteriapost/operator/bundle/HistoryCommand.java
@@ -8,7 +8,7 @@
 import org.wisteriapost.kernel.command.ExitCodes;
 
 /**
- * {@code bundle history}: lists every roll.
+ * {@code bundle history}: lists all rolls.
  */
 public final class HistoryCommand implements Command {
 
@@ -24,12 +24,13 @@
 
 	@Override
 	public int run(List<String> args, PrintStream out, PrintStream err) {
-		return OperatorOptions.with(name(), List.of(OperatorOptions.SETTINGS), args, out, (arguments, surroundings) -> {
-			new BundleStore(surroundings.platform()).history()
-				.forEach((head) -> out.printf("%d %s %s %s%n", head.generation(), Instant.ofEpochMilli(head.atMillis()),
-						head.author(), head.digest()));
-			return ExitCodes.OK;
-		});
+		return OperatorOptions.runWithSystems(name(), List.of(OperatorOptions.SETTINGS), args, out,
+				(arguments, systems) -> {
+					new BundleStore(systems.platform()).history()
+						.forEach((head) -> out.printf("%d %s %s %s%n", head.generation(),
+								Instant.ofEpochMilli(head.atMillis()), head.author(), head.digest()));
+					return ExitCodes.OK;
+				});
 	}
 
 }
--- a/operator/src/main/java/org/wisteriapost/operator/bundle/LintCommand.java
+++ b/operator/src/main/java/org/wisteriapost/operator/bundle/LintCommand.java
@@ -11,7 +11,7 @@
 import org.wisteriapost.operator.Arguments;
 
 /**
- * {@code bundle lint}: shows all findings of a bundle file.
+ * {@code bundle lint}: validates a bundle file and prints all findings.
  */
 public final class LintCommand implements Command {
 
@@ -27,12 +27,12 @@
 
 	@Override
 	public int run(List<String> args, PrintStream out, PrintStream err) {
-		Optional<Arguments> arguments = Arguments.read(name() + " FILE", List.of(), args, out);
+		Optional<Arguments> arguments = Arguments.parse(name() + " FILE", List.of(), args, out);
 		if (arguments.isEmpty()) {
 			return ExitCodes.OK;
 		}
 		Findings findings = new Findings();
-		BundleLint.run(Path.of(arguments.get().only("bundle file")), findings);
+		BundleLint.run(Path.of(arguments.get().singleArgument("bundle file")), findings);
 		findings.list().forEach(err::println);
 		return findings.isEmpty() ? ExitCodes.OK : ExitCodes.BAD_INPUT;
 	}
--- a/operator/src/main/java/org/wisteriapost/operator/bundle/OperatorOptions.java
+++ b/operator/src/main/java/org/wisteriapost/operator/bundle/OperatorOptions.java
@@ -6,40 +6,40 @@
 
 import org.apache.commons.cli.Option;
 import org.wisteriapost.operator.Arguments;
-import org.wisteriapost.operator.Surroundings;
+import org.wisteriapost.operator.ExternalSystems;
 
 /**
- * Options that several commands share.
+ * Options shared by several commands, and the set-up they need.
  */
 final class OperatorOptions {
 
-	static final Option SETTINGS = Arguments.value("settings", "FILE",
+	static final Option SETTINGS = Arguments.valueOption("settings", "FILE",
 			"settings that name the platform and the operators");
 
-	static final Option AS = Arguments.value("as", "OPERATOR", "your name, as in [operator NAME]");
+	static final Option AS = Arguments.valueOption("as", "OPERATOR", "your name, as in [operator NAME]");
 
 	private OperatorOptions() {
 	}
 
 	/**
-	 * Runs a command body with the surroundings of {@code --settings}.
+	 * Parses the arguments and runs an action with the systems of {@code --settings}.
 	 */
-	static int with(String usage, List<Option> options, List<String> args, PrintStream out, Body body) {
-		Optional<Arguments> read = Arguments.read(usage, options, args, out);
+	static int runWithSystems(String usage, List<Option> options, List<String> args, PrintStream out, Action action) {
+		Optional<Arguments> read = Arguments.parse(usage, options, args, out);
 		if (read.isEmpty()) {
 			return 0;
 		}
-		try (Surroundings surroundings = Surroundings.of(read.get().requiredFile("settings"))) {
-			return body.run(read.get(), surroundings);
+		try (ExternalSystems systems = ExternalSystems.of(read.get().requiredFile("settings"))) {
+			return action.run(read.get(), systems);
 		}
 	}
 
 	/**
-	 * What a command does.
+	 * Implementation of a command.
 	 */
-	interface Body {
+	interface Action {
 
-		int run(Arguments arguments, Surroundings surroundings);
+		int run(Arguments arguments, ExternalSystems systems);
 
 	}
 
--- a/operator/src/main/java/org/wisteriapost/operator/bundle/ProposeCommand.java
+++ b/operator/src/main/java/org/wisteriapost/operator/bundle/ProposeCommand.java
@@ -9,14 +9,14 @@
 import org.wisteriapost.kernel.command.Command;
 import org.wisteriapost.kernel.command.ExitCodes;
 import org.wisteriapost.operator.Arguments;
-import org.wisteriapost.operator.Surroundings;
+import org.wisteriapost.operator.ExternalSystems;
 import org.wisteriapost.policy.bundle.Bundle;
 import org.wisteriapost.policy.bundle.WeightFile;
 import org.wisteriapost.protocol.outside.Origin;
 
 /**
- * {@code bundle propose}: pins a bundle file to the origin's chunk hashes and writes it
- * to the platform.
+ * {@code bundle propose}: pins a bundle file to the chunk hashes of the origin and stores
+ * it in the platform.
  */
 public final class ProposeCommand implements Command {
 
@@ -32,27 +32,27 @@
 
 	@Override
 	public int run(List<String> args, PrintStream out, PrintStream err) {
-		return OperatorOptions.with(name() + " FILE", List.of(OperatorOptions.SETTINGS), args, out,
-				(arguments, surroundings) -> propose(arguments, surroundings, out, err));
+		return OperatorOptions.runWithSystems(name() + " FILE", List.of(OperatorOptions.SETTINGS), args, out,
+				(arguments, systems) -> propose(arguments, systems, out, err));
 	}
 
-	private int propose(Arguments arguments, Surroundings surroundings, PrintStream out, PrintStream err) {
+	private int propose(Arguments arguments, ExternalSystems systems, PrintStream out, PrintStream err) {
 		Findings findings = new Findings();
-		Draft draft = BundleLint.run(Path.of(arguments.only("bundle file")), findings);
+		BundleDraft draft = BundleLint.run(Path.of(arguments.singleArgument("bundle file")), findings);
 		if (!findings.isEmpty()) {
 			findings.list().forEach(err::println);
 			return ExitCodes.BAD_INPUT;
 		}
 		Bundle bundle = new Bundle(draft.name(), draft.version(), draft.services(),
-				pin(draft.weights(), surroundings.origin()));
-		out.println(new BundleStore(surroundings.platform()).propose(bundle));
+				pin(draft.weights(), systems.origin()));
+		out.println(new BundleStore(systems.platform()).propose(bundle));
 		return ExitCodes.OK;
 	}
 
-	private static List<WeightFile> pin(List<Draft.DraftWeight> weights, Origin origin) {
+	private static List<WeightFile> pin(List<BundleDraft.DraftWeight> weights, Origin origin) {
 		List<WeightFile> files = new ArrayList<>();
-		for (Draft.DraftWeight weight : weights) {
-			Origin.Manifest manifest = Surroundings.await(origin.manifest(weight.path()));
+		for (BundleDraft.DraftWeight weight : weights) {
+			Origin.Manifest manifest = ExternalSystems.await(origin.manifest(weight.path()));
 			files.add(new WeightFile(weight.name(), weight.version(), weight.path(), manifest.etag(), manifest.size(),
 					manifest.chunkBytes(), manifest.chunks()));
 		}
--- a/operator/src/main/java/org/wisteriapost/operator/bundle/RollCommand.java
+++ b/operator/src/main/java/org/wisteriapost/operator/bundle/RollCommand.java
@@ -11,14 +11,14 @@
 import org.wisteriapost.kernel.command.Command;
 import org.wisteriapost.kernel.command.ExitCodes;
 import org.wisteriapost.operator.Arguments;
-import org.wisteriapost.operator.Surroundings;
+import org.wisteriapost.operator.ExternalSystems;
 import org.wisteriapost.policy.bundle.Approvals;
 import org.wisteriapost.policy.bundle.Head;
 import org.wisteriapost.policy.bundle.HeadMove;
 
 /**
- * {@code bundle roll}: puts an approved bundle in force on top of the generation that the
- * operator has looked at. Of operators who race, one wins and the others are told who.
+ * {@code bundle roll}: activates an approved bundle as the successor of a given
+ * generation. Of concurrent rolls one wins; the others fail and report the winner.
  */
 public final class RollCommand implements Command {
 
@@ -35,40 +35,40 @@
 
 	@Override
 	public String summary() {
-		return "put an approved bundle in force on top of a generation";
+		return "activate an approved bundle on top of a generation";
 	}
 
 	@Override
 	public int run(List<String> args, PrintStream out, PrintStream err) {
-		return OperatorOptions.with(name() + " DIGEST",
+		return OperatorOptions.runWithSystems(name() + " DIGEST",
 				List.of(OperatorOptions.SETTINGS, OperatorOptions.AS,
-						Arguments.value("onto", "GENERATION",
-								"the generation in force that you looked at; 0 at first")),
-				args, out, (arguments, surroundings) -> roll(arguments, surroundings, out, err));
+						Arguments.valueOption("onto", "GENERATION",
+								"the active generation that you have reviewed; 0 for the first roll")),
+				args, out, (arguments, systems) -> roll(arguments, systems, out, err));
 	}
 
-	private static int roll(Arguments arguments, Surroundings surroundings, PrintStream out, PrintStream err) {
-		String digest = arguments.only("digest");
+	private static int roll(Arguments arguments, ExternalSystems systems, PrintStream out, PrintStream err) {
+		String digest = arguments.singleArgument("digest");
 		long onto = arguments.requiredNumber("onto");
-		BundleStore store = new BundleStore(surroundings.platform());
+		BundleStore store = new BundleStore(systems.platform());
 		store.bundle(digest);
-		Set<String> counted = Approvals.counted(digest, store.approvals(digest), surroundings.operatorKeys());
-		if (counted.size() < surroundings.approvals()) {
+		Set<String> counted = Approvals.counted(digest, store.approvals(digest), systems.operatorKeys());
+		if (counted.size() < systems.requiredApprovals()) {
 			err.printf("%s: approved by %s, %d operators are needed%n", NOT_APPROVED.name(), counted,
-					surroundings.approvals());
+					systems.requiredApprovals());
 			return ExitCodes.FAILED;
 		}
 		String nonce = UUID.randomUUID().toString();
 		Head current = store.head();
 		Optional<Head> next = HeadMove.next(current, onto, digest, arguments.required("as"), System.currentTimeMillis(),
 				nonce);
-		Head stands = next.map(store::roll).orElse(current);
-		if (stands.nonce().equals(nonce)) {
-			out.println("generation " + stands.generation());
+		Head winner = next.map(store::roll).orElse(current);
+		if (winner.nonce().equals(nonce)) {
+			out.println("generation " + winner.generation());
 			return ExitCodes.OK;
 		}
-		err.printf("%s: generation %d was rolled by %s at %s: %s%n", ROLL_LOST.name(), stands.generation(),
-				stands.author(), Instant.ofEpochMilli(stands.atMillis()), stands.digest());
+		err.printf("%s: generation %d was rolled by %s at %s: %s%n", ROLL_LOST.name(), winner.generation(),
+				winner.author(), Instant.ofEpochMilli(winner.atMillis()), winner.digest());
 		return ExitCodes.FAILED;
 	}
 
--- a/operator/src/main/java/org/wisteriapost/operator/bundle/StatusCommand.java
+++ b/operator/src/main/java/org/wisteriapost/operator/bundle/StatusCommand.java
@@ -9,17 +9,17 @@
 import org.wisteriapost.kernel.command.Command;
 import org.wisteriapost.kernel.command.ExitCodes;
 import org.wisteriapost.operator.Arguments;
-import org.wisteriapost.operator.Surroundings;
+import org.wisteriapost.operator.ExternalSystems;
 import org.wisteriapost.policy.bundle.Bundle;
 import org.wisteriapost.policy.bundle.Head;
 import org.wisteriapost.protocol.outside.VmList;
 
 /**
- * {@code bundle status}: shows the head and how far each place is with it.
+ * {@code bundle status}: prints the head and its rollout progress by failure domain.
  */
 public final class StatusCommand implements Command {
 
-	private static final long WATCH_PAUSE_MILLIS = 1000;
+	private static final long POLL_INTERVAL_MILLIS = 1000;
 
 	@Override
 	public String name() {
@@ -28,31 +28,31 @@
 
 	@Override
 	public String summary() {
-		return "show the bundle in force and how far each place is with it";
+		return "show the active bundle and its rollout progress by failure domain";
 	}
 
 	@Override
 	public int run(List<String> args, PrintStream out, PrintStream err) {
-		return OperatorOptions.with(name(),
+		return OperatorOptions.runWithSystems(name(),
 				List.of(OperatorOptions.SETTINGS,
-						Arguments.flag("watch", "show progress until every VM serves the bundle in force")),
-				args, out, (arguments, surroundings) -> status(arguments.has("watch"), surroundings, out));
+						Arguments.flagOption("watch", "show progress until every VM serves the active bundle")),
+				args, out, (arguments, systems) -> status(arguments.has("watch"), systems, out));
 	}
 
-	private static int status(boolean watch, Surroundings surroundings, PrintStream out) {
-		BundleStore store = new BundleStore(surroundings.platform());
+	private static int status(boolean watch, ExternalSystems systems, PrintStream out) {
+		BundleStore store = new BundleStore(systems.platform());
 		while (true) {
 			Head head = store.head();
 			if (head.generation() == 0) {
-				out.println("generation 0: nothing is in force yet");
+				out.println("generation 0: no bundle is active yet");
 				return ExitCodes.OK;
 			}
 			Bundle bundle = store.bundle(head.digest());
-			List<PlaceProgress> progress = PlaceProgress.of(head, bundle, store.statuses(), staying(surroundings));
+			List<RolloutProgress> progress = RolloutProgress.of(head, bundle, store.statuses(), activeVms(systems));
 			out.printf("generation %d %s %s by %s at %s%n", head.generation(), bundle.name(), bundle.version(),
 					head.author(), Instant.ofEpochMilli(head.atMillis()));
 			progress.forEach((one) -> out.println("  " + one));
-			boolean done = progress.stream().allMatch(PlaceProgress::done);
+			boolean done = progress.stream().allMatch(RolloutProgress::done);
 			if (!watch || done) {
 				return ExitCodes.OK;
 			}
@@ -62,10 +62,10 @@
 		}
 	}
 
-	// What a VM that is gone last said of itself stays in the platform; counted, it would
-	// keep a place from ever being done.
-	private static Set<String> staying(Surroundings surroundings) {
-		return Surroundings.await(surroundings.vmList().read())
+	// The last status of a removed VM stays in the platform; if counted, it would
+	// keep the rollout in its failure domain from ever completing.
+	private static Set<String> activeVms(ExternalSystems systems) {
+		return ExternalSystems.await(systems.vmList().read())
 			.stream()
 			.filter((vm) -> !vm.leaving())
 			.map(VmList.Vm::vm)
@@ -74,7 +74,7 @@
 
 	private static boolean pause() {
 		try {
-			Thread.sleep(WATCH_PAUSE_MILLIS);
+			Thread.sleep(POLL_INTERVAL_MILLIS);
 			return true;
 		}
 		catch (InterruptedException ex) {
--- a/operator/src/main/java/org/wisteriapost/operator/bundle/package-info.java
+++ b/operator/src/main/java/org/wisteriapost/operator/bundle/package-info.java
@@ -1,4 +1,4 @@
 /**
- * A bundle's way from a file to being in force: lint, propose, approve, roll, status.
+ * Commands for the life cycle of a bundle: lint, propose, approve, roll, status, history.
  */
 package org.wisteriapost.operator.bundle;
--- a/operator/src/main/java/org/wisteriapost/operator/check/BundleCheck.java
+++ b/operator/src/main/java/org/wisteriapost/operator/check/BundleCheck.java
@@ -1,16 +1,17 @@
 package org.wisteriapost.operator.check;
 
 import org.wisteriapost.kernel.Findings;
-import org.wisteriapost.operator.bundle.Draft;
+import org.wisteriapost.operator.bundle.BundleDraft;
 
 /**
- * Looks for one kind of mistake in a bundle; registers with the service loader.
+ * Detects one kind of error in a bundle; implementations are registered with the service
+ * loader.
  */
 public interface BundleCheck {
 
 	/**
-	 * Adds a finding for each mistake of this kind.
+	 * Adds a finding for each error.
 	 */
-	void check(Draft draft, Findings findings);
+	void check(BundleDraft draft, Findings findings);
 
 }
--- a/operator/src/main/java/org/wisteriapost/operator/check/DuplicateVm.java
+++ b/operator/src/main/java/org/wisteriapost/operator/check/DuplicateVm.java
@@ -5,12 +5,12 @@
 
 import org.wisteriapost.kernel.Code;
 import org.wisteriapost.kernel.Findings;
-import org.wisteriapost.operator.bundle.Draft;
+import org.wisteriapost.operator.bundle.BundleDraft;
 import org.wisteriapost.policy.bundle.ServiceSpec;
 
 /**
- * Finds a VM that is listed twice: it has one slot and one runner, so the two services
- * would order it in turns.
+ * Reports VMs that are listed more than once. A VM has one slot and one runner, so two
+ * services would reassign it back and forth.
  */
 public final class DuplicateVm implements BundleCheck {
 
@@ -18,14 +18,14 @@
 			"A VM is listed more than once in a bundle; it can serve one service.");
 
 	@Override
-	public void check(Draft draft, Findings findings) {
-		Map<String, String> owner = new HashMap<>();
+	public void check(BundleDraft draft, Findings findings) {
+		Map<String, String> serviceByVm = new HashMap<>();
 		for (ServiceSpec service : draft.services()) {
 			for (String vm : service.vms()) {
-				String other = owner.putIfAbsent(vm, service.name());
-				if (other != null) {
+				String otherService = serviceByVm.putIfAbsent(vm, service.name());
+				if (otherService != null) {
 					findings.add(CODE, draft.settings().locate("service " + service.name(), "vms"),
-							vm + " is listed already by " + other, "list it once");
+							vm + " is listed already by " + otherService, "list it once");
 				}
 			}
 		}
--- a/operator/src/main/java/org/wisteriapost/operator/check/UnusedWeight.java
+++ b/operator/src/main/java/org/wisteriapost/operator/check/UnusedWeight.java
@@ -2,12 +2,12 @@
 
 import org.wisteriapost.kernel.Code;
 import org.wisteriapost.kernel.Findings;
-import org.wisteriapost.operator.bundle.Draft;
+import org.wisteriapost.operator.bundle.BundleDraft;
 import org.wisteriapost.policy.bundle.ServiceSpec;
 
 /**
- * Finds a declared weight that no service names: most often a service names an older one
- * by mistake.
+ * Reports weights that no service uses. The usual cause is a service that still refers to
+ * an older weight.
  */
 public final class UnusedWeight implements BundleCheck {
 
@@ -15,16 +15,16 @@
 			"A bundle declares a model or adapter that no service names.");
 
 	@Override
-	public void check(Draft draft, Findings findings) {
-		for (Draft.DraftWeight weight : draft.weights()) {
-			if (draft.services().stream().noneMatch((service) -> names(service, weight.name()))) {
+	public void check(BundleDraft draft, Findings findings) {
+		for (BundleDraft.DraftWeight weight : draft.weights()) {
+			if (draft.services().stream().noneMatch((service) -> uses(service, weight.name()))) {
 				findings.add(CODE, draft.settings().locate("weight " + weight.name(), ""),
 						"no service names " + weight.name(), "name it in a service or remove it");
 			}
 		}
 	}
 
-	private static boolean names(ServiceSpec service, String weight) {
+	private static boolean uses(ServiceSpec service, String weight) {
 		return service.model().equals(weight) || service.adapters().contains(weight);
 	}
 
--- a/operator/src/main/java/org/wisteriapost/operator/check/package-info.java
+++ b/operator/src/main/java/org/wisteriapost/operator/check/package-info.java
@@ -1,4 +1,4 @@
 /**
- * What {@code bundle lint} looks for, one check a file; each registers itself.
+ * Checks of {@code bundle lint}, one per class.
  */
 package org.wisteriapost.operator.check;
--- a/operator/src/main/java/org/wisteriapost/operator/explain/Story.java
+++ b/operator/src/main/java/org/wisteriapost/operator/explain/AttemptTrace.java
@@ -15,32 +15,32 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 
 /**
- * Finds the lines that tell what became of one attempt.
+ * The log lines that explain the outcome of one attempt.
  *
- * These are its own lines, and around them what the same process learned of the runners
- * that had it and of the store: most failures are explained by what a process believed,
- * not by what it did.
+ * These are the lines of the attempt itself and, from the same processes and time, state
+ * changes of the runners involved and of the store. Most failures are explained by the
+ * local state of a process rather than by its actions.
  */
-final class Story {
+final class AttemptTrace {
 
 	private static final ObjectMapper MAPPER = new ObjectMapper();
 
-	// What was learned this long before the first own line is still part of the story.
-	private static final long BEFORE_MILLIS = 5000;
+	// Includes state changes shortly before the first line of the attempt.
+	private static final long LOOKBACK_MILLIS = 5000;
 
-	private static final Set<String> BELIEFS = Set.of("store", "table-in-force", "weights-named", "runners-read",
+	private static final Set<String> STATE_EVENTS = Set.of("store", "table-in-force", "weights-named", "runners-read",
 			"leaving", "started");
 
 	private final List<Line> lines;
 
-	private Story(List<Line> lines) {
+	private AttemptTrace(List<Line> lines) {
 		this.lines = lines;
 	}
 
 	/**
-	 * Returns the story of an attempt, in the order of time.
+	 * Returns the trace of an attempt in chronological order.
 	 */
-	static Story of(String attempt, List<Path> files) throws IOException {
+	static AttemptTrace of(String attempt, List<Path> files) throws IOException {
 		List<Line> all = new ArrayList<>();
 		for (Path file : files) {
 			for (String text : Files.readAllLines(file)) {
@@ -50,7 +50,7 @@
 		all.sort(Comparator.comparing(Line::time));
 		List<Line> own = all.stream().filter((line) -> line.field("attempt").equals(attempt)).toList();
 		if (own.isEmpty()) {
-			return new Story(List.of());
+			return new AttemptTrace(List.of());
 		}
 		Set<String> processes = new HashSet<>();
 		Set<String> runners = new HashSet<>();
@@ -60,12 +60,12 @@
 			runners.add(line.field("address"));
 		});
 		runners.remove("");
-		String from = java.time.Instant.parse(own.getFirst().time()).minusMillis(BEFORE_MILLIS).toString();
+		String from = java.time.Instant.parse(own.getFirst().time()).minusMillis(LOOKBACK_MILLIS).toString();
 		String until = own.getLast().time();
-		return new Story(all.stream()
+		return new AttemptTrace(all.stream()
 			.filter((line) -> own.contains(line) || (line.time().compareTo(from) >= 0
 					&& line.time().compareTo(until) <= 0 && processes.contains(line.field("process"))
-					&& (BELIEFS.contains(line.field("event")) || runners.contains(line.field("runner"))
+					&& (STATE_EVENTS.contains(line.field("event")) || runners.contains(line.field("runner"))
 							|| runners.contains(line.field("address")))
 					&& line.field("attempt").isEmpty()))
 			.toList());
@@ -76,13 +76,14 @@
 	}
 
 	/**
-	 * Returns one text for each line.
+	 * Returns the trace as text, one element per line.
 	 */
-	List<String> tell() {
-		return this.lines.stream().map(Line::tell).toList();
+	List<String> format() {
+		return this.lines.stream().map(Line::format).toList();
 	}
 
-	// Logs hold lines of other programs too; what is no JSON object is passed over.
+	// Skips lines of other programs, which are not JSON objects with a time and an
+	// event.
 	private static Optional<Line> parse(String text) {
 		int brace = text.indexOf('{');
 		if (brace < 0) {
@@ -104,7 +105,7 @@
 			return this.node.path(name).asText("");
 		}
 
-		private String tell() {
+		private String format() {
 			StringBuilder text = new StringBuilder(this.time).append(' ')
 				.append(field("process"))
 				.append(' ')
--- a/operator/src/main/java/org/wisteriapost/operator/explain/ExplainCommand.java
+++ b/operator/src/main/java/org/wisteriapost/operator/explain/ExplainCommand.java
@@ -10,7 +10,7 @@
 import org.wisteriapost.kernel.command.ExitCodes;
 
 /**
- * Prints what became of one attempt, from the logs of several processes.
+ * {@code explain}: traces one attempt through the logs of several processes.
  */
 public final class ExplainCommand implements Command {
 
@@ -23,7 +23,7 @@
 
 	@Override
 	public String summary() {
-		return "tells from log files what became of one request, and what each process believed";
+		return "trace one attempt through log files, with the related state of each process";
 	}
 
 	@Override
@@ -43,12 +43,12 @@
 			return ExitCodes.BAD_INPUT;
 		}
 		try {
-			Story story = Story.of(args.getFirst(), files);
-			if (story.isEmpty()) {
-				err.println("no line of these files names the attempt " + args.getFirst());
+			AttemptTrace trace = AttemptTrace.of(args.getFirst(), files);
+			if (trace.isEmpty()) {
+				err.println("no line of these files belongs to attempt " + args.getFirst());
 				return ExitCodes.FAILED;
 			}
-			story.tell().forEach(out::println);
+			trace.format().forEach(out::println);
 			return ExitCodes.OK;
 		}
 		catch (IOException ex) {
--- a/operator/src/main/java/org/wisteriapost/operator/explain/package-info.java
+++ b/operator/src/main/java/org/wisteriapost/operator/explain/package-info.java
@@ -1,4 +1,5 @@
 /**
- * The command {@code explain}: a request's story from the logs of several processes.
+ * The command {@code explain}, which traces an attempt through the logs of several
+ * processes.
  */
 package org.wisteriapost.operator.explain;
--- a/operator/src/main/java/org/wisteriapost/operator/keys/GenerateCommand.java
+++ b/operator/src/main/java/org/wisteriapost/operator/keys/GenerateCommand.java
@@ -20,8 +20,9 @@
 import org.wisteriapost.operator.Arguments;
 
 /**
- * {@code keys generate}: makes an operator's key pair. The private key is written to a
- * file that only its owner can read, and never over an existing one.
+ * {@code keys generate}: generates the key pair of an operator. The private key is
+ * written to a new file that only its owner can read; existing files are never
+ * overwritten.
  */
 public final class GenerateCommand implements Command {
 
@@ -42,9 +43,9 @@
 
 	@Override
 	public int run(List<String> args, PrintStream out, PrintStream err) {
-		Optional<Arguments> arguments = Arguments.read(name(),
-				List.of(Arguments.value("name", "OPERATOR", "the operator's name"),
-						Arguments.value("out", "DIR", "folder for OPERATOR.key")),
+		Optional<Arguments> arguments = Arguments.parse(name(),
+				List.of(Arguments.valueOption("name", "OPERATOR", "the operator's name"),
+						Arguments.valueOption("out", "DIR", "folder for OPERATOR.key")),
 				args, out);
 		if (arguments.isEmpty()) {
 			return ExitCodes.OK;
@@ -62,7 +63,7 @@
 			return KeyPairGenerator.getInstance("Ed25519").generateKeyPair();
 		}
 		catch (NoSuchAlgorithmException ex) {
-			throw new IllegalStateException("every Java since 15 has Ed25519", ex);
+			throw new IllegalStateException("Ed25519 is not available in this Java runtime", ex);
 		}
 	}
 
--- a/operator/src/main/java/org/wisteriapost/operator/keys/package-info.java
+++ b/operator/src/main/java/org/wisteriapost/operator/keys/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Operators' keys.
+ * Commands that manage the signing keys of operators.
  */
 package org.wisteriapost.operator.keys;
--- a/operator/src/main/java/org/wisteriapost/operator/package-info.java
+++ b/operator/src/main/java/org/wisteriapost/operator/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Operators' commands. They need the platform and the origin, no running wisteriapost
- * process.
+ * Command-line tools for operators. They access the platform and the origin directly and
+ * need no running wisteriapost process.
  */
 package org.wisteriapost.operator;
--- a/operator/src/main/java/org/wisteriapost/operator/report/BurnCommand.java
+++ b/operator/src/main/java/org/wisteriapost/operator/report/BurnCommand.java
@@ -14,15 +14,15 @@
 import org.wisteriapost.kernel.command.Command;
 import org.wisteriapost.kernel.command.ExitCodes;
 import org.wisteriapost.operator.Arguments;
-import org.wisteriapost.operator.Surroundings;
+import org.wisteriapost.operator.ExternalSystems;
 import org.wisteriapost.policy.burn.BurnReport;
 import org.wisteriapost.policy.burn.BurnSnapshot;
 import org.wisteriapost.policy.burn.ObjectiveSettings;
 import org.wisteriapost.protocol.outside.Platform;
 
 /**
- * {@code report burn}: shows how fast each objective's error budget is spent, from the
- * snapshots that entries write to the platform every minute.
+ * {@code report burn}: prints the burn rate of each objective's error budget, computed
+ * from the snapshots that entries write to the platform every minute.
  */
 public final class BurnCommand implements Command {
 
@@ -45,29 +45,29 @@
 
 	@Override
 	public int run(List<String> args, PrintStream out, PrintStream err) {
-		Optional<Arguments> arguments = Arguments.read(name(),
-				List.of(Arguments.value("settings", "FILE", "settings that name the platform and the objectives"),
-						Arguments.flag("json", "print JSON instead of text"),
-						Arguments.value("html", "FILE", "also write a page with plots")),
+		Optional<Arguments> arguments = Arguments.parse(name(),
+				List.of(Arguments.valueOption("settings", "FILE", "settings that name the platform and the objectives"),
+						Arguments.flagOption("json", "print JSON instead of text"),
+						Arguments.valueOption("html", "FILE", "also write a page with plots")),
 				args, out);
 		if (arguments.isEmpty()) {
 			return ExitCodes.OK;
 		}
-		try (Surroundings surroundings = Surroundings.of(arguments.get().requiredFile("settings"))) {
-			BurnReport report = report(surroundings);
+		try (ExternalSystems systems = ExternalSystems.of(arguments.get().requiredFile("settings"))) {
+			BurnReport report = report(systems);
 			out.print(arguments.get().has("json") ? json(report) + "\n" : BurnText.of(report));
 			arguments.get().option("html").ifPresent((file) -> write(Path.of(file), BurnPage.of(report)));
 			return ExitCodes.OK;
 		}
 	}
 
-	private static BurnReport report(Surroundings surroundings) {
-		List<BurnSnapshot> snapshots = Surroundings.await(surroundings.platform().list("burn/"))
+	private static BurnReport report(ExternalSystems systems) {
+		List<BurnSnapshot> snapshots = ExternalSystems.await(systems.platform().list("burn/"))
 			.items()
 			.stream()
 			.map(BurnCommand::snapshot)
 			.toList();
-		var objectives = ObjectiveSettings.read(surroundings.settings());
+		var objectives = ObjectiveSettings.read(systems.settings());
 		if (objectives.isEmpty()) {
 			throw CodedException.of(NO_OBJECTIVES, "write at least one");
 		}
@@ -79,7 +79,7 @@
 			return JSON.readValue(stored.value(), BurnSnapshot.class);
 		}
 		catch (IOException ex) {
-			throw CodedException.of(REPORT_NOT_WRITTEN, stored.key() + " is not a snapshot", ex);
+			throw CodedException.of(REPORT_NOT_WRITTEN, stored.key() + " is not a valid burn snapshot", ex);
 		}
 	}
 
--- a/operator/src/main/java/org/wisteriapost/operator/report/BurnPage.java
+++ b/operator/src/main/java/org/wisteriapost/operator/report/BurnPage.java
@@ -20,7 +20,7 @@
 import org.wisteriapost.policy.burn.Result;
 
 /**
- * Writes a burn report as one page that needs nothing but itself.
+ * Renders a burn report as a self-contained HTML page.
  */
 final class BurnPage {
 
@@ -30,7 +30,7 @@
 
 	private static final int MAX_ORGANISATIONS = 8;
 
-	private static final String HEAD = """
+	private static final String PAGE_HEAD = """
 			<!doctype html>
 			<html lang="en"><head><meta charset="utf-8"><title>Service-level burn</title>
 			<style>
@@ -48,7 +48,7 @@
 
 	static String of(BurnReport report) {
 		System.setProperty("java.awt.headless", "true");
-		StringBuilder page = new StringBuilder(HEAD);
+		StringBuilder page = new StringBuilder(PAGE_HEAD);
 		page.append(
 				"<p>Made %s from the figures of %d entries, the oldest %d s old. A burn of 1 spends exactly the budget.</p>\n"
 					.formatted(Instant.ofEpochMilli(report.atMillis()), report.entries(),
@@ -66,20 +66,20 @@
 							BurnText.percent(line.budgetSpent())));
 		table(line, page);
 		if (line.spans().getLast().counts().bad() > 0) {
-			page.append("<div class=\"charts\">").append(svg(burnChart(line))).append(svg(spenderChart(line)));
+			page.append("<div class=\"charts\">").append(svg(burnChart(line))).append(svg(organisationChart(line)));
 			page.append("</div>\n");
 		}
 	}
 
 	private static void table(BurnReport.Line line, StringBuilder page) {
 		page.append("<table><tr><th>window</th><th>requests</th><th>burn</th>");
-		bad().forEach((result) -> page.append("<th>").append(label(result)).append("</th>"));
+		badResults().forEach((result) -> page.append("<th>").append(label(result)).append("</th>"));
 		page.append("</tr>\n");
 		for (BurnReport.Span span : line.spans()) {
 			page.append(
 					"<tr><td>%s</td><td>%d</td><td class=\"%s\">%s</td>".formatted(span.window(), span.counts().total(),
 							(span.burn() > 1) ? "over" : "", String.format(Locale.ROOT, "%.2f", span.burn())));
-			bad().forEach((result) -> page.append("<td>").append(span.counts().of(result)).append("</td>"));
+			badResults().forEach((result) -> page.append("<td>").append(span.counts().of(result)).append("</td>"));
 			page.append("</tr>\n");
 		}
 		page.append("</table>\n");
@@ -93,7 +93,7 @@
 		return chart;
 	}
 
-	private static CategoryChart spenderChart(BurnReport.Line line) {
+	private static CategoryChart organisationChart(BurnReport.Line line) {
 		CategoryChart chart = chart("Who spends it, on what (3 d)", "organisation", "requests");
 		chart.getStyler().setStacked(true);
 		chart.getStyler().setLegendPosition(Styler.LegendPosition.InsideNE);
@@ -110,7 +110,7 @@
 				names.add(entry.getKey());
 				counts.add(entry.getValue());
 			});
-		bad().forEach((result) -> chart.addSeries(label(result), names,
+		badResults().forEach((result) -> chart.addSeries(label(result), names,
 				counts.stream().map((one) -> one.of(result)).toList()));
 		return chart;
 	}
@@ -127,7 +127,7 @@
 		return chart;
 	}
 
-	// Only the svg element: an XML declaration inside a page would be shown as text.
+	// Drops the XML declaration, which a browser would show as text inside a page.
 	private static String svg(CategoryChart chart) {
 		ByteArrayOutputStream bytes = new ByteArrayOutputStream();
 		try {
@@ -140,7 +140,7 @@
 		return text.substring(text.indexOf("<svg"));
 	}
 
-	private static List<Result> bad() {
+	private static List<Result> badResults() {
 		return Arrays.stream(Result.values()).filter((result) -> result != Result.GOOD).toList();
 	}
 
--- a/operator/src/main/java/org/wisteriapost/operator/report/BurnText.java
+++ b/operator/src/main/java/org/wisteriapost/operator/report/BurnText.java
@@ -9,11 +9,11 @@
 import org.wisteriapost.policy.burn.Result;
 
 /**
- * Writes a burn report for a terminal.
+ * Renders a burn report as plain text.
  */
 final class BurnText {
 
-	private static final int MAX_SPENDERS = 3;
+	private static final int MAX_ORGANISATIONS = 3;
 
 	private BurnText() {
 	}
@@ -36,7 +36,7 @@
 			text.append(String.format(Locale.ROOT, "  %-6s %9d %8.2f  %s%n", span.window(), span.counts().total(),
 					span.burn(), causes(span.counts())));
 		}
-		String spenders = spenders(line.spans().getLast());
+		String spenders = topOrganisations(line.spans().getLast());
 		if (!spenders.isEmpty()) {
 			text.append("  by whom (3d): ").append(spenders).append(System.lineSeparator());
 		}
@@ -49,13 +49,13 @@
 			.collect(Collectors.joining(", "));
 	}
 
-	private static String spenders(BurnReport.Span span) {
+	private static String topOrganisations(BurnReport.Span span) {
 		return span.spenders()
 			.entrySet()
 			.stream()
 			.filter((entry) -> entry.getValue().bad() > 0)
 			.sorted((one, two) -> Long.compare(two.getValue().bad(), one.getValue().bad()))
-			.limit(MAX_SPENDERS)
+			.limit(MAX_ORGANISATIONS)
 			.map((entry) -> entry.getKey() + " (" + causes(entry.getValue()) + ")")
 			.collect(Collectors.joining("; "));
 	}
--- a/operator/src/main/java/org/wisteriapost/operator/report/package-info.java
+++ b/operator/src/main/java/org/wisteriapost/operator/report/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Reports for people: the service-level burn as text, JSON and a page with plots.
+ * Reports for operators: error budget burn rates as text, JSON and HTML.
  */
 package org.wisteriapost.operator.report;
--- a/operator/src/test/java/org/wisteriapost/operator/bundle/BundleLintTests.java
+++ b/operator/src/test/java/org/wisteriapost/operator/bundle/BundleLintTests.java
@@ -14,7 +14,7 @@
 
 class BundleLintTests {
 
-	private static final String WHOLE = """
+	private static final String VALID = """
 			[bundle]
 			name = spring
 			version = 2
@@ -31,20 +31,19 @@
 			""";
 
 	static Stream<Arguments> bundles() {
-		return Stream.of(Arguments.of("nothing is wrong", WHOLE, List.of()),
-				Arguments.of("a service names an undeclared model", WHOLE.replace("model = notice-7b", "model = x"),
+		return Stream.of(Arguments.of("valid bundle", VALID, List.of()),
+				Arguments.of("undeclared model", VALID.replace("model = notice-7b", "model = x"),
 						List.of("f:8 bundle-weight-unknown", "f:4 bundle-weight-unused")),
-				Arguments.of("a service names an undeclared adapter",
-						WHOLE.replace("model = notice-7b", "model = notice-7b\nadapters = fr"),
+				Arguments.of("undeclared adapter",
+						VALID.replace("model = notice-7b", "model = notice-7b\nadapters = fr"),
 						List.of("f:9 bundle-weight-unknown")),
-				Arguments.of("a VM stands twice in one service", WHOLE.replace("vm-2", "vm-1"),
+				Arguments.of("VM listed twice by one service", VALID.replace("vm-2", "vm-1"),
 						List.of("f:10 bundle-vm-duplicated")),
-				Arguments.of("a VM stands in two services", WHOLE + "vms = vm-1\n",
-						List.of("f:14 bundle-vm-duplicated")),
-				Arguments.of("a key is unknown", WHOLE + "place = x\n", List.of("f:14 bundle-key-unknown")),
-				Arguments.of("a kind is unknown", WHOLE.replace("plain", "simple"),
+				Arguments.of("VM listed by two services", VALID + "vms = vm-1\n", List.of("f:14 bundle-vm-duplicated")),
+				Arguments.of("unknown key", VALID + "place = x\n", List.of("f:14 bundle-key-unknown")),
+				Arguments.of("unknown kind", VALID.replace("plain", "simple"),
 						List.of("f:12 setting-invalid", "f:11 bundle-weight-unknown")),
-				Arguments.of("there is no service", "[bundle]\nname = a\nversion = 1\n", List.of("f:1 bundle-empty")));
+				Arguments.of("no service", "[bundle]\nname = a\nversion = 1\n", List.of("f:1 bundle-empty")));
 	}
 
 	@ParameterizedTest(name = "{0}")
--- a/operator/src/test/java/org/wisteriapost/operator/bundle/BundleStoreTests.java
+++ b/operator/src/test/java/org/wisteriapost/operator/bundle/BundleStoreTests.java
@@ -28,23 +28,22 @@
 	private final BundleStore store = new BundleStore(this.platform);
 
 	@Test
-	void rollOntoTheGenerationInForceWins() {
+	void rollOntoActiveGenerationSucceeds() {
 		assertThat(this.store.roll(MINE), is(MINE));
 		assertThat(this.store.roll(head(2, "mine")), is(head(2, "mine")));
 		assertThat(this.store.history(), contains(MINE, head(2, "mine")));
 	}
 
 	@Test
-	void rollOntoAnOlderGenerationIsToldWhatWon() {
+	void rollOntoStaleGenerationReturnsActiveHead() {
 		this.store.roll(head(1, "other"));
 		assertThat(this.store.roll(MINE), is(head(1, "other")));
 	}
 
-	// The operator sees that another roll won. Both had read generation 0; the other's
-	// conditional update came first; ours expects a version that is gone, so it changes
-	// nothing.
+	// Both rolls read generation 0. The later conditional update expects a version
+	// that no longer exists, so it must fail and return the head of the other roll.
 	@Test
-	void ofTwoRollsInARaceExactlyOneWins() {
+	void exactlyOneOfTwoConcurrentRollsWins() {
 		BundleStore other = new BundleStore(this.platform);
 		this.platform.beforeCall(2, () -> other.roll(head(1, "other")));
 		assertThat(this.store.roll(MINE), is(head(1, "other")));
@@ -52,13 +51,13 @@
 	}
 
 	static Stream<Arguments> lostConfirmations() {
-		return Stream.of(Arguments.of("the write had taken effect", Fault.LOST_AFTER),
-				Arguments.of("the write had no effect and is sent again", Fault.LOST_BEFORE));
+		return Stream.of(Arguments.of("write took effect", Fault.LOST_AFTER),
+				Arguments.of("write had no effect and is repeated", Fault.LOST_BEFORE));
 	}
 
-	// The operator sees the roll succeed. The confirmation of the head's write is lost;
-	// reading back shows our own nonce, or that nothing was written and the same
-	// conditional update may be sent again.
+	// If the confirmation of the head's write is lost, reading back must find our
+	// own nonce, or find that nothing was written, so that the conditional update
+	// can be repeated.
 	@ParameterizedTest(name = "{0}")
 	@MethodSource("lostConfirmations")
 	void lostConfirmationIsResolvedByReadingBack(String name, Fault fault) {
@@ -67,11 +66,11 @@
 		assertThat(this.store.head(), is(MINE));
 	}
 
-	// The operator is told that the roll won, although another has rolled over it since.
-	// The write took effect, its confirmation was lost, and before the read back another
-	// operator moved the head on; the record of our generation still shows our nonce.
+	// The write took effect, but its confirmation was lost and another roll
+	// replaced the head before the read-back. The record of our generation must
+	// still identify us as the winner.
 	@Test
-	void lostConfirmationOfARollThatWasRolledOverIsStillWon() {
+	void rollWithLostConfirmationSucceedsAfterALaterRoll() {
 		this.platform.next(Fault.NONE, Fault.LOST_AFTER);
 		BundleStore other = new BundleStore(this.platform);
 		this.platform.beforeCall(3, () -> other.roll(head(2, "other")));
@@ -81,7 +80,7 @@
 
 	@ParameterizedTest
 	@EnumSource(names = { "LOST_AFTER", "LOST_BEFORE" })
-	void approvalWithALostConfirmationStandsOnce(Fault fault) {
+	void approvalWithLostConfirmationIsStoredOnce(Fault fault) {
 		this.platform.next(fault);
 		this.store.approve("d", "aminata", new byte[] { 1 });
 		this.store.approve("d", "aminata", new byte[] { 1 });
@@ -89,7 +88,7 @@
 	}
 
 	@Test
-	void secondSignatureOfAnOperatorIsRefused() {
+	void conflictingApprovalBySameOperatorIsRejected() {
 		this.store.approve("d", "aminata", new byte[] { 1 });
 		CodedException ex = assertThrows(CodedException.class,
 				() -> this.store.approve("d", "aminata", new byte[] { 2 }));
@@ -100,12 +99,11 @@
 		return Stream.of(0, 1).map(Arguments::of);
 	}
 
-	// The operator sees the command fail with the platform's code, and nothing is in
-	// force.
-	// The platform is down at one step of the roll; no later step is tried.
+	// If the platform is unavailable at one step of a roll, the command fails with
+	// the platform's code, later steps are not executed and no head becomes active.
 	@ParameterizedTest
 	@MethodSource("steps")
-	void platformDownAtAnyStepOfARollChangesNothing(int step) {
+	void rollWithPlatformUnavailableChangesNothing(int step) {
 		this.platform.next(Stream.concat(Stream.generate(() -> Fault.NONE).limit(step), Stream.of(Fault.DOWN))
 			.toArray(Fault[]::new));
 		CodedException ex = assertThrows(CodedException.class, () -> this.store.roll(MINE));
--- a/operator/src/test/java/org/wisteriapost/operator/bundle/PlaceProgressTests.java
+++ b/operator/src/test/java/org/wisteriapost/operator/bundle/RolloutProgressTests.java
@@ -13,7 +13,7 @@
 import static org.hamcrest.MatcherAssert.assertThat;
 import static org.hamcrest.Matchers.is;
 
-class PlaceProgressTests {
+class RolloutProgressTests {
 
 	private static final Head HEAD = new Head(2, "digest", "awa", 0, "nonce");
 
@@ -34,17 +34,18 @@
 		assertThat(progress(Set.of("vm-1"), status("vm-1", 1, "older")).adopted(), is(0));
 	}
 
-	// A VM was drained or replaced; what it last said of itself stays in the platform.
+	// The status of a drained or replaced VM stays in the platform and must not be
+	// counted.
 	@Test
-	void vmThatIsGoneIsNotWaitedFor() {
-		PlaceProgress progress = progress(Set.of("vm-1"), status("vm-1", 2, BUNDLE.weightsDigest(SPEC)),
-				status("gone", 1, "older"));
+	void statusOfRemovedVmIsIgnored() {
+		RolloutProgress progress = progress(Set.of("vm-1"), status("vm-1", 2, BUNDLE.weightsDigest(SPEC)),
+				status("removed", 1, "older"));
 		assertThat(progress.vms(), is(1));
 		assertThat(progress.done(), is(true));
 	}
 
-	private static PlaceProgress progress(Set<String> staying, VmStatus... statuses) {
-		return PlaceProgress.of(HEAD, BUNDLE, List.of(statuses), staying).getFirst();
+	private static RolloutProgress progress(Set<String> activeVms, VmStatus... statuses) {
+		return RolloutProgress.of(HEAD, BUNDLE, List.of(statuses), activeVms).getFirst();
 	}
 
 	private static VmStatus status(String vm, long generation, String serving) {
--- a/operator/src/test/java/org/wisteriapost/operator/explain/StoryTests.java
+++ b/operator/src/test/java/org/wisteriapost/operator/explain/AttemptTraceTests.java
@@ -10,7 +10,7 @@
 
 import static org.hamcrest.MatcherAssert.assertThat;
 
-class StoryTests {
+class AttemptTraceTests {
 
 	private static final String LOG = """
 			{"time":"2026-01-01T00:00:01.000Z","process":"edge-1","event":"store","kind":"RUNNERS","reachable":false}
@@ -25,22 +25,21 @@
 	@TempDir
 	private Path folder;
 
-	// A request was cut because its runner had gone, while the entry was cut off from the
-	// store. The story holds its own lines, what was learned of its runner, and the
-	// store; not other requests, other runners or other processes.
+	// A trace contains the lines of its attempt and the state changes of its runner
+	// and of the store, but no lines of other attempts, runners or processes.
 	@Test
-	void tellsOwnLinesAndWhatTheProcessBelieved() throws Exception {
+	void containsAttemptLinesAndRelatedStateChanges() throws Exception {
 		Path file = Files.writeString(this.folder.resolve("edge.log"), LOG);
-		List<String> story = Story.of("a1", List.of(file)).tell();
-		assertThat(story, Matchers.contains(Matchers.containsString("store kind=RUNNERS reachable=false"),
+		List<String> trace = AttemptTrace.of("a1", List.of(file)).format();
+		assertThat(trace, Matchers.contains(Matchers.containsString("store kind=RUNNERS reachable=false"),
 				Matchers.containsString("dispatched attempt=a1 runner=r1"),
 				Matchers.containsString("runner-removed runner=r1"), Matchers.containsString("code=run-broken")));
 	}
 
 	@Test
-	void anUnknownAttemptHasNoStory() throws Exception {
+	void traceOfUnknownAttemptIsEmpty() throws Exception {
 		Path file = Files.writeString(this.folder.resolve("edge.log"), LOG);
-		assertThat(Story.of("none", List.of(file)).isEmpty(), Matchers.equalTo(true));
+		assertThat(AttemptTrace.of("none", List.of(file)).isEmpty(), Matchers.equalTo(true));
 	}
 
 }
--- a/operator/src/test/java/org/wisteriapost/operator/report/BurnPageTests.java
+++ b/operator/src/test/java/org/wisteriapost/operator/report/BurnPageTests.java
@@ -20,7 +20,7 @@
 	private static final Objective OBJECTIVE = new Objective("urgent <checks>", "lm", "*", 0.9, 740);
 
 	@Test
-	void pageHoldsItsPlotsAndNamesOnlyAsText() {
+	void pageEmbedsChartsAndEscapesNames() {
 		String page = BurnPage.of(report(Result.REFUSED, 5));
 		assertThat(page, containsString("urgent &lt;checks&gt;"));
 		assertThat(page, containsString("<svg"));
@@ -28,13 +28,13 @@
 	}
 
 	@Test
-	void objectiveThatNothingWasSpentOnHasNoPlots() {
+	void objectiveWithoutBadRequestsHasNoCharts() {
 		assertThat(BurnPage.of(report(Result.GOOD, 0)), not(containsString("<svg")));
 		assertThat(BurnPage.of(report(Result.GOOD, 5)), not(containsString("<svg")));
 	}
 
 	@Test
-	void textNamesWindowsSpendersAndCauses() {
+	void textListsBudgetOrganisationsAndCauses() {
 		String text = BurnText.of(report(Result.REFUSED, 5));
 		assertThat(text, containsString("1000 % of the 3 d budget spent"));
 		assertThat(text, containsString("by whom (3d): press (refused 5)"));
