--- a/standin/src/main/java/org/wisteriapost/standin/CollectedAnswer.java
+++ b/standin/src/main/java/org/wisteriapost/standin/BufferedResponse.java
@@ -12,11 +12,11 @@
 import org.wisteriapost.protocol.http.HttpListener;
 
 /**
- * What came back of one call, whole or not.
+ * Buffers the response to one call, complete or not.
  */
-final class CollectedAnswer implements HttpListener {
+final class BufferedResponse implements HttpListener {
 
-	private final CountDownLatch over = new CountDownLatch(1);
+	private final CountDownLatch completed = new CountDownLatch(1);
 
 	private final ByteArrayOutputStream body = new ByteArrayOutputStream();
 
@@ -26,16 +26,16 @@
 
 	private boolean failed;
 
-	private boolean sent = true;
+	private boolean possiblySent = true;
 
 	/**
-	 * Returns the answer once it has ended, well or not.
+	 * Sends the call and waits until the response has ended or failed.
 	 */
-	static CollectedAnswer of(HttpCaller caller, HttpCall call) throws InterruptedException {
-		CollectedAnswer answer = new CollectedAnswer();
-		caller.stream(call, answer);
-		answer.over.await();
-		return answer;
+	static BufferedResponse of(HttpCaller caller, HttpCall call) throws InterruptedException {
+		BufferedResponse response = new BufferedResponse();
+		caller.stream(call, response);
+		response.completed.await();
+		return response;
 	}
 
 	@Override
@@ -51,28 +51,28 @@
 
 	@Override
 	public void onEnd() {
-		this.over.countDown();
+		this.completed.countDown();
 	}
 
 	@Override
-	public void onFailure(boolean mayBeSent, Throwable cause) {
+	public void onFailure(boolean requestPossiblySent, Throwable cause) {
 		this.failed = true;
-		this.sent = mayBeSent;
-		this.over.countDown();
+		this.possiblySent = requestPossiblySent;
+		this.completed.countDown();
 	}
 
 	int status() {
 		return this.status;
 	}
 
-	/** Returns whether the connection ended before the answer did. */
+	/** Returns whether the connection failed before the response ended. */
 	boolean failed() {
 		return this.failed;
 	}
 
-	/** Returns whether any byte of the request may have left. */
-	boolean sent() {
-		return this.sent;
+	/** Returns whether any byte of the request may have been sent. */
+	boolean possiblySent() {
+		return this.possiblySent;
 	}
 
 	Optional<String> header(String name) {
--- a/standin/src/main/java/org/wisteriapost/standin/CompletionAnswer.java
+++ b/standin/src/main/java/org/wisteriapost/standin/ChatCompletion.java
@@ -3,19 +3,19 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * What a caller has of one chat completion.
+ * The part of a chat completion that a client has received.
  *
- * @param text the tokens so far
- * @param whole whether the answer's own end has come
+ * @param text the tokens received so far
+ * @param complete whether the end of the completion was received
  */
-public record CompletionAnswer(String text, boolean whole) {
+public record ChatCompletion(String text, boolean complete) {
 
 	private static final String DATA = "data: ";
 
 	/**
-	 * Returns the answer in some server-sent events; the last may be cut.
+	 * Parses server-sent events; the last one may be truncated.
 	 */
-	public static CompletionAnswer ofEvents(String events) {
+	public static ChatCompletion ofEvents(String events) {
 		StringBuilder text = new StringBuilder();
 		int end;
 		for (int at = 0; (end = events.indexOf("\n\n", at)) >= 0; at = end + 2) {
@@ -25,18 +25,18 @@
 			}
 			String data = event.substring(DATA.length());
 			if (data.equals("[DONE]")) {
-				return new CompletionAnswer(text.toString(), true);
+				return new ChatCompletion(text.toString(), true);
 			}
 			text.append(content(data, "delta"));
 		}
-		return new CompletionAnswer(text.toString(), false);
+		return new ChatCompletion(text.toString(), false);
 	}
 
 	/**
-	 * Returns the answer in a whole body.
+	 * Parses a complete response body.
 	 */
-	public static CompletionAnswer ofBody(String body) {
-		return new CompletionAnswer(content(body, "message"), true);
+	public static ChatCompletion ofBody(String body) {
+		return new ChatCompletion(content(body, "message"), true);
 	}
 
 	private static String content(String json, String member) {
--- a/standin/src/main/java/org/wisteriapost/standin/CloseWatch.java
+++ b/standin/src/main/java/org/wisteriapost/standin/DisconnectDetector.java
@@ -12,36 +12,37 @@
 import org.xnio.conduits.StreamSourceConduit;
 
 /**
- * Notices that a caller has gone while its answer is still being worked out. Undertow
- * reads nothing from a connection while a request is in progress, so it would notice only
- * at the next write.
+ * Detects that the client has closed the connection while its response is still being
+ * computed. Undertow reads nothing from a connection while a request is in progress, so
+ * without this a disconnect is seen only at the next write.
  */
-final class CloseWatch {
+final class DisconnectDetector {
 
 	private final HttpServerConnection connection;
 
-	private final AtomicBoolean over = new AtomicBoolean();
+	private final AtomicBoolean stopped = new AtomicBoolean();
 
-	private final Runnable gone;
+	private final Runnable onDisconnect;
 
-	private CloseWatch(HttpServerConnection connection, Runnable gone) {
+	private DisconnectDetector(HttpServerConnection connection, Runnable onDisconnect) {
 		this.connection = connection;
-		this.gone = gone;
+		this.onDisconnect = onDisconnect;
 	}
 
 	/**
-	 * Returns what ends the watch; it must run before the answer ends.
+	 * Starts detection and returns a task that stops it; the task must run before the
+	 * response ends.
 	 */
-	static Runnable start(HttpServerExchange exchange, Runnable gone) {
+	static Runnable start(HttpServerExchange exchange, Runnable onDisconnect) {
 		HttpServerConnection connection = (HttpServerConnection) exchange.getConnection();
-		CloseWatch watch = new CloseWatch(connection, gone);
-		connection.addCloseListener((same) -> watch.closed());
-		connection.getIoThread().execute(watch::arm);
-		return watch::stop;
+		DisconnectDetector detector = new DisconnectDetector(connection, onDisconnect);
+		connection.addCloseListener((same) -> detector.connectionClosed());
+		connection.getIoThread().execute(detector::arm);
+		return detector::stop;
 	}
 
 	private void arm() {
-		if (this.over.get()) {
+		if (this.stopped.get()) {
 			return;
 		}
 		StreamSourceConduit source = this.connection.getOriginalSourceConduit();
@@ -51,7 +52,7 @@
 
 	private void stop() {
 		this.connection.getIoThread().execute(() -> {
-			if (this.over.compareAndSet(false, true)) {
+			if (this.stopped.compareAndSet(false, true)) {
 				restore();
 			}
 		});
@@ -64,9 +65,9 @@
 		source.setReadReadyHandler(new ReadReadyHandler.ChannelListenerHandler<>(channel));
 	}
 
-	private void closed() {
-		if (this.over.compareAndSet(false, true)) {
-			this.gone.run();
+	private void connectionClosed() {
+		if (this.stopped.compareAndSet(false, true)) {
+			this.onDisconnect.run();
 		}
 	}
 
@@ -75,26 +76,25 @@
 		@Override
 		public void readReady() {
 			try {
-				if (CloseWatch.this.connection.getOriginalSourceConduit().read(ByteBuffer.allocate(1)) == 0) {
+				if (DisconnectDetector.this.connection.getOriginalSourceConduit().read(ByteBuffer.allocate(1)) == 0) {
 					return;
 				}
 			}
 			catch (IOException ex) {
-				// A reset is a close as well.
+				// A connection reset counts as a disconnect.
 			}
-			// An end, or bytes of a next request before the answer: neither can be
-			// served.
-			IoUtils.safeClose(CloseWatch.this.connection);
+			// End of stream, or bytes of a pipelined request, which is not supported.
+			IoUtils.safeClose(DisconnectDetector.this.connection);
 		}
 
 		@Override
 		public void forceTermination() {
-			IoUtils.safeClose(CloseWatch.this.connection);
+			IoUtils.safeClose(DisconnectDetector.this.connection);
 		}
 
 		@Override
 		public void terminated() {
-			closed();
+			connectionClosed();
 		}
 
 	}
--- a/standin/src/main/java/org/wisteriapost/standin/EngineBatch.java
+++ b/standin/src/main/java/org/wisteriapost/standin/EngineBatch.java
@@ -5,8 +5,8 @@
 import java.util.function.Supplier;
 
 /**
- * A simple continuous batch: each of its slots works on one call, a token at a time, and
- * takes the most urgent waiting call when it has ended.
+ * A simple continuous batch: each slot decodes one call, token by token, and then takes
+ * the queued call of the highest priority.
  */
 final class EngineBatch {
 
@@ -14,8 +14,8 @@
 
 	private final Supplier<String> weights;
 
-	private final PriorityQueue<Waiting> queue = new PriorityQueue<>(
-			Comparator.comparingInt((Waiting one) -> one.call.priority()).thenComparingLong(Waiting::sequence));
+	private final PriorityQueue<QueuedCall> queue = new PriorityQueue<>(
+			Comparator.comparingInt((QueuedCall one) -> one.call.priority()).thenComparingLong(QueuedCall::sequence));
 
 	private long sequence;
 
@@ -40,49 +40,49 @@
 		return this.cancelled;
 	}
 
-	synchronized void add(EngineCall call, Runnable begins) {
-		Waiting waiting = new Waiting(call, begins, this.sequence++);
-		this.queue.add(waiting);
-		call.watch(() -> gone(waiting));
-		fill();
+	synchronized void add(EngineCall call, Runnable onStart) {
+		QueuedCall queued = new QueuedCall(call, onStart, this.sequence++);
+		this.queue.add(queued);
+		call.onDisconnect(() -> cancel(queued));
+		fillSlots();
 	}
 
-	private void fill() {
+	private void fillSlots() {
 		while (this.running < this.options.slots() && !this.queue.isEmpty()) {
-			Waiting next = this.queue.remove();
+			QueuedCall next = this.queue.remove();
 			this.running++;
-			next.begins.run();
-			long prefill = this.options.prefillPerChar().toNanos() * next.call.prompt().length();
-			StandinThreads.after(prefill + this.options.token().toNanos(), () -> step(next.call, 0));
+			next.onStart.run();
+			long prefill = this.options.prefillTimePerChar().toNanos() * next.call.prompt().length();
+			StandinThreads.schedule(prefill + this.options.timePerToken().toNanos(), () -> step(next.call, 0));
 		}
 	}
 
 	private void step(EngineCall call, int index) {
 		if (call.cancelled()) {
-			ended();
+			releaseSlot();
 			return;
 		}
 		call.token(EngineTokens.token(this.weights.get(), call.prompt(), index), index);
 		if (index + 1 == call.tokens()) {
 			call.end();
-			ended();
+			releaseSlot();
 			return;
 		}
-		StandinThreads.after(this.options.token().toNanos(), () -> step(call, index + 1));
+		StandinThreads.schedule(this.options.timePerToken().toNanos(), () -> step(call, index + 1));
 	}
 
-	private synchronized void ended() {
+	private synchronized void releaseSlot() {
 		this.running--;
-		fill();
+		fillSlots();
 	}
 
-	private synchronized void gone(Waiting waiting) {
+	private synchronized void cancel(QueuedCall queued) {
 		this.cancelled++;
-		waiting.call.cancel();
-		this.queue.remove(waiting);
+		queued.call.cancel();
+		this.queue.remove(queued);
 	}
 
-	private record Waiting(EngineCall call, Runnable begins, long sequence) {
+	private record QueuedCall(EngineCall call, Runnable onStart, long sequence) {
 	}
 
 }
--- a/standin/src/main/java/org/wisteriapost/standin/EngineCall.java
+++ b/standin/src/main/java/org/wisteriapost/standin/EngineCall.java
@@ -9,7 +9,7 @@
 import org.wisteriapost.protocol.CallerHeaders;
 
 /**
- * One chat completion in the engine.
+ * One chat completion that the engine serves.
  */
 final class EngineCall {
 
@@ -31,11 +31,11 @@
 
 	private final StringBuilder text = new StringBuilder();
 
-	private String label = "";
+	private String weightsLabel = "";
 
-	private BodyStream body;
+	private ResponseBodyStream body;
 
-	private Runnable unwatch = () -> {
+	private Runnable stopDisconnectDetection = () -> {
 	};
 
 	private volatile boolean cancelled;
@@ -48,7 +48,7 @@
 		this.prompt = EngineTokens.prompt(request.body());
 		this.tokens = Math.max(1, json.path("max_tokens").asInt(DEFAULT_TOKENS));
 		this.stream = json.path("stream").asBoolean();
-		this.priority = rank(request.header(CallerHeaders.PRIORITY).orElse("normal"));
+		this.priority = queueRank(request.header(CallerHeaders.PRIORITY).orElse("normal"));
 	}
 
 	static EngineCall of(Request request, Responder responder) {
@@ -63,17 +63,17 @@
 		return this.tokens;
 	}
 
-	/** Returns the order in the queue, lowest first. */
+	/** Returns the rank in the queue, lowest first. */
 	int priority() {
 		return this.priority;
 	}
 
-	void labelled(String weightsDigest) {
-		this.label = weightsDigest;
+	void setWeightsLabel(String weightsDigest) {
+		this.weightsLabel = weightsDigest;
 	}
 
-	void watch(Runnable gone) {
-		this.unwatch = this.responder.onGone(gone);
+	void onDisconnect(Runnable action) {
+		this.stopDisconnectDetection = this.responder.onDisconnect(action);
 	}
 
 	void cancel() {
@@ -96,7 +96,7 @@
 	}
 
 	void end() {
-		this.unwatch.run();
+		this.stopDisconnectDetection.run();
 		if (this.stream) {
 			this.body.push(event(Map.of(), "stop"));
 			this.body.push("data: [DONE]\n\n".getBytes(StandardCharsets.UTF_8));
@@ -104,13 +104,14 @@
 			return;
 		}
 		Choice choice = new Choice(0, new Message("assistant", this.text.toString()), "stop");
-		Whole whole = new Whole("chatcmpl-" + this.id, "chat.completion", this.model, List.of(choice),
-				Map.of("completion_tokens", this.tokens));
-		this.responder.whole(200, headers("application/json"), Json.write(whole));
+		CompletionBody completion = new CompletionBody("chatcmpl-" + this.id, "chat.completion", this.model,
+				List.of(choice), Map.of("completion_tokens", this.tokens));
+		this.responder.bytes(200, headers("application/json"), Json.write(completion));
 	}
 
 	private Map<String, String> headers(String type) {
-		return Map.of("Content-Type", type, CallerHeaders.WEIGHTS, this.label, CallerHeaders.REQUEST_ID, this.id);
+		return Map.of("Content-Type", type, CallerHeaders.WEIGHTS, this.weightsLabel, CallerHeaders.REQUEST_ID,
+				this.id);
 	}
 
 	private byte[] event(Map<String, String> delta, String finish) {
@@ -120,7 +121,7 @@
 		return ("data: " + data + "\n\n").getBytes(StandardCharsets.UTF_8);
 	}
 
-	private static int rank(String priority) {
+	private static int queueRank(String priority) {
 		return switch (priority.toLowerCase(Locale.ROOT)) {
 			case "urgent" -> 0;
 			case "bulk" -> 2;
@@ -128,7 +129,8 @@
 		};
 	}
 
-	private record Whole(String id, String object, String model, List<Choice> choices, Map<String, Integer> usage) {
+	private record CompletionBody(String id, String object, String model, List<Choice> choices,
+			Map<String, Integer> usage) {
 	}
 
 	private record Choice(int index, Message message, String finish_reason) {
--- a/standin/src/main/java/org/wisteriapost/standin/EngineOptions.java
+++ b/standin/src/main/java/org/wisteriapost/standin/EngineOptions.java
@@ -3,21 +3,21 @@
 import java.time.Duration;
 
 /**
- * How a stand-in engine behaves.
+ * Behaviour of a stand-in engine.
  *
- * @param fencing whether it refuses an order below the highest it has taken
- * @param load how long it takes to load weights
- * @param token how long each token takes
- * @param prefillPerChar how long each character of a prompt takes
- * @param slots calls at once
- * @param stateLag how old the load that it reports may be
- * @param keepBytes false to forget the bytes of chunks
+ * @param fencing whether it rejects orders older than the latest accepted one
+ * @param loadTime time to load weights
+ * @param timePerToken time to decode one token
+ * @param prefillTimePerChar prefill time per character of the prompt
+ * @param slots number of concurrent calls
+ * @param maxStateAge maximum age of the reported load
+ * @param retainChunkBytes false to keep only the hashes of chunks
  */
-public record EngineOptions(boolean fencing, Duration load, Duration token, Duration prefillPerChar, int slots,
-		Duration stateLag, boolean keepBytes) {
+public record EngineOptions(boolean fencing, Duration loadTime, Duration timePerToken, Duration prefillTimePerChar,
+		int slots, Duration maxStateAge, boolean retainChunkBytes) {
 
 	/**
-	 * Returns a quick engine that checks fencing.
+	 * Returns a fast engine that checks fencing.
 	 */
 	public static EngineOptions quick() {
 		return new EngineOptions(true, Duration.ofMillis(50), Duration.ofMillis(2), Duration.ofNanos(1000), 8,
@@ -25,19 +25,19 @@
 	}
 
 	/**
-	 * Returns this with fencing on or off.
+	 * Returns a copy with fencing on or off.
 	 */
 	public EngineOptions fencing(boolean on) {
-		return new EngineOptions(on, this.load, this.token, this.prefillPerChar, this.slots, this.stateLag,
-				this.keepBytes);
+		return new EngineOptions(on, this.loadTime, this.timePerToken, this.prefillTimePerChar, this.slots,
+				this.maxStateAge, this.retainChunkBytes);
 	}
 
 	/**
-	 * Returns this with other times for loading and for a token.
+	 * Returns a copy with other times for loading and decoding.
 	 */
 	public EngineOptions times(Duration newLoad, Duration newToken) {
-		return new EngineOptions(this.fencing, newLoad, newToken, this.prefillPerChar, this.slots, this.stateLag,
-				this.keepBytes);
+		return new EngineOptions(this.fencing, newLoad, newToken, this.prefillTimePerChar, this.slots, this.maxStateAge,
+				this.retainChunkBytes);
 	}
 
 }
--- a/standin/src/main/java/org/wisteriapost/standin/EngineServer.java
+++ b/standin/src/main/java/org/wisteriapost/standin/EngineServer.java
@@ -19,16 +19,17 @@
 import org.wisteriapost.protocol.outside.Engine;
 
 /**
- * A model engine and its VM's weight store. It does what it is told, also what a careful
- * agent would not tell it: weights that change under a running call change its tokens.
+ * A model engine together with the weight store of its VM. It accepts an order even while
+ * calls are running, which a correct agent would not send: changing the weights during a
+ * call changes its remaining tokens.
  */
 public final class EngineServer implements AutoCloseable {
 
-	private static final int PREFIXES_REPORTED = 64;
+	private static final int MAX_CACHED_PREFIXES = 64;
 
-	private static final long GAP_SEED = 7;
+	private static final long OMISSION_SEED = 7;
 
-	private static final double GAP_SHARE = 0.2;
+	private static final double OMITTED_PREFIX_SHARE = 0.2;
 
 	private final EngineOptions options;
 
@@ -44,9 +45,9 @@
 
 	private final Set<Long> cached = new LinkedHashSet<>();
 
-	private final Random gaps = new Random(GAP_SEED);
+	private final Random omissions = new Random(OMISSION_SEED);
 
-	private Engine.Order taken = new Engine.Order("", List.of(), 0, 0);
+	private Engine.Order acceptedOrder = new Engine.Order("", List.of(), 0, 0);
 
 	private String serving = "";
 
@@ -63,21 +64,21 @@
 	private EngineServer(String host, int port, EngineOptions options, Optional<Path> journal) {
 		this.options = options;
 		this.journal = journal;
-		this.store = new EngineStore(options.keepBytes());
+		this.store = new EngineStore(options.retainChunkBytes());
 		this.batch = new EngineBatch(options, this::serving);
 		this.server = StandinServer.start(host, port, this::handle);
 	}
 
 	/**
-	 * Returns an engine that has loaded nothing.
+	 * Starts an engine without weights.
 	 */
 	public static EngineServer start(String host, int port, EngineOptions options) {
 		return new EngineServer(host, port, options, Optional.empty());
 	}
 
 	/**
-	 * Returns an engine that also writes the request id of each call to a file before the
-	 * call begins to run, so that what ran is known after it was killed.
+	 * Starts an engine that also appends the request id of each call to a file before the
+	 * call runs, so that a test can tell which calls ran after the engine was killed.
 	 */
 	public static EngineServer start(String host, int port, EngineOptions options, Path journal) {
 		return new EngineServer(host, port, options, Optional.of(journal));
@@ -88,21 +89,21 @@
 	}
 
 	/**
-	 * Arms a fault, or clears all with {@link Fault.Kind#NONE}.
+	 * Injects a fault, or clears all with {@link Fault.Kind#NONE}.
 	 */
 	public void fault(Fault fault) {
 		this.server.fault(fault);
 	}
 
 	/**
-	 * Returns how often calls of each request id began to run.
+	 * Returns how often calls of each request id were started.
 	 */
 	public Map<String, Long> executed() {
 		return new TreeMap<>(this.executed);
 	}
 
 	/**
-	 * Returns the digest of what is loaded; empty for nothing.
+	 * Returns the digest of the loaded weights, or an empty string.
 	 */
 	public synchronized String serving() {
 		return this.serving;
@@ -130,40 +131,41 @@
 
 	private synchronized Engine.State state() {
 		long now = System.nanoTime();
-		if (now - this.sampledAt >= this.options.stateLag().toNanos()) {
+		if (now - this.sampledAt >= this.options.maxStateAge().toNanos()) {
 			this.sampledAt = now;
 			this.sampledRunning = this.batch.running();
 			this.sampledQueued = this.batch.queued();
 			this.sampledPrefixes = List.copyOf(this.cached);
 		}
 		List<Long> prefixes = new ArrayList<>(this.sampledPrefixes);
-		prefixes.removeIf((prefix) -> this.gaps.nextDouble() < GAP_SHARE);
+		prefixes.removeIf((prefix) -> this.omissions.nextDouble() < OMITTED_PREFIX_SHARE);
 		return new Engine.State(this.serving, this.loading, this.sampledRunning, this.sampledQueued,
-				this.options.slots(), this.taken.generation(), this.taken.epoch(), prefixes);
+				this.options.slots(), this.acceptedOrder.generation(), this.acceptedOrder.epoch(), prefixes);
 	}
 
 	private synchronized void order(Engine.Order order, Responder responder) {
-		if (this.options.fencing() && lower(order, this.taken)) {
-			responder.text(409, "an order of " + this.taken.generation() + "/" + this.taken.epoch() + " was taken");
+		if (this.options.fencing() && isOlder(order, this.acceptedOrder)) {
+			responder.text(409,
+					"an order of " + this.acceptedOrder.generation() + "/" + this.acceptedOrder.epoch() + " was taken");
 			return;
 		}
 		for (String file : order.files()) {
-			if (!this.store.whole(file)) {
+			if (!this.store.isComplete(file)) {
 				responder.text(422, "not all chunks are held of " + file);
 				return;
 			}
 		}
-		this.taken = order;
+		this.acceptedOrder = order;
 		responder.status(200);
 		if (order.weightsDigest().equals(this.serving) && !this.loading) {
 			return;
 		}
 		this.loading = true;
-		StandinThreads.after(this.options.load().toNanos(), () -> loaded(order));
+		StandinThreads.schedule(this.options.loadTime().toNanos(), () -> loaded(order));
 	}
 
 	private synchronized void loaded(Engine.Order order) {
-		if (order == this.taken) {
+		if (order == this.acceptedOrder) {
 			this.serving = order.weightsDigest();
 			this.loading = false;
 			this.cached.clear();
@@ -177,14 +179,14 @@
 				responder.text(503, "loading");
 				return;
 			}
-			call.labelled(this.serving);
-			remember(EngineTokens.prefix(call.prompt()));
+			call.setWeightsLabel(this.serving);
+			cachePrefix(EngineTokens.prefix(call.prompt()));
 		}
 		String id = request.header(CallerHeaders.REQUEST_ID).orElse("");
-		this.batch.add(call, () -> begins(id));
+		this.batch.add(call, () -> recordStart(id));
 	}
 
-	private void begins(String id) {
+	private void recordStart(String id) {
 		this.executed.merge(id, 1L, Long::sum);
 		this.journal.ifPresent((file) -> {
 			try {
@@ -196,15 +198,15 @@
 		});
 	}
 
-	private void remember(long prefix) {
+	private void cachePrefix(long prefix) {
 		this.cached.remove(prefix);
 		this.cached.add(prefix);
-		if (this.cached.size() > PREFIXES_REPORTED) {
+		if (this.cached.size() > MAX_CACHED_PREFIXES) {
 			this.cached.remove(this.cached.iterator().next());
 		}
 	}
 
-	private static boolean lower(Engine.Order one, Engine.Order other) {
+	private static boolean isOlder(Engine.Order one, Engine.Order other) {
 		if (one.generation() != other.generation()) {
 			return one.generation() < other.generation();
 		}
--- a/standin/src/main/java/org/wisteriapost/standin/EngineStore.java
+++ b/standin/src/main/java/org/wisteriapost/standin/EngineStore.java
@@ -10,7 +10,7 @@
 import org.wisteriapost.policy.bundle.WeightFile;
 
 /**
- * The memory for weights on an endpoint VM.
+ * The in-memory weight store of an endpoint VM.
  */
 final class EngineStore {
 
@@ -18,15 +18,17 @@
 
 	private final Map<String, Map<Integer, Chunk>> files = new ConcurrentHashMap<>();
 
-	private final boolean keepBytes;
+	private final boolean retainChunkBytes;
 
-	/** Keeps only hashes when told so, for a bench in which nobody reads back. */
+	/**
+	 * Retains only hashes if so configured, for benchmarks that never read chunks back.
+	 */
 	EngineStore(boolean keepBytes) {
-		this.keepBytes = keepBytes;
+		this.retainChunkBytes = keepBytes;
 	}
 
 	void handle(Request request, Responder responder) {
-		String[] parts = request.after(STORE).split("/", 2);
+		String[] parts = request.pathAfter(STORE).split("/", 2);
 		String file = parts[0];
 		if (request.method().equals("DELETE")) {
 			this.files.remove(file);
@@ -45,9 +47,9 @@
 	}
 
 	/**
-	 * Returns whether every chunk of the file with this digest is held.
+	 * Returns whether every chunk of the file with this digest is stored.
 	 */
-	boolean whole(String digest) {
+	boolean isComplete(String digest) {
 		List<String> hashes = new ArrayList<>();
 		long size = 0;
 		int chunkBytes = 0;
@@ -59,23 +61,24 @@
 			size += held.getValue().length;
 			chunkBytes = Math.max(chunkBytes, held.getValue().length);
 		}
-		// The digest does not tell the chunk size of a file of one short chunk.
+		// The chunk size of a file of a single short chunk cannot be derived, so its
+		// digest is not compared.
 		return hashes.size() == 1 || !hashes.isEmpty()
 				&& new WeightFile("", "", "", "", size, chunkBytes, hashes).digest().equals(digest);
 	}
 
 	private void put(String file, int index, byte[] bytes) {
 		this.files.computeIfAbsent(file, (key) -> new ConcurrentHashMap<>())
-			.put(index, new Chunk(Digests.sha256(bytes), bytes.length, this.keepBytes ? bytes : new byte[0]));
+			.put(index, new Chunk(Digests.sha256(bytes), bytes.length, this.retainChunkBytes ? bytes : new byte[0]));
 	}
 
 	private void get(String file, int index, Responder responder) {
 		Chunk chunk = this.files.getOrDefault(file, Map.of()).get(index);
-		if (chunk == null || !this.keepBytes) {
+		if (chunk == null || !this.retainChunkBytes) {
 			responder.status(404);
 			return;
 		}
-		responder.whole(200, Map.of(), chunk.bytes);
+		responder.bytes(200, Map.of(), chunk.bytes);
 	}
 
 	private Map<Integer, Chunk> chunks(String file) {
--- a/standin/src/main/java/org/wisteriapost/standin/EngineTokens.java
+++ b/standin/src/main/java/org/wisteriapost/standin/EngineTokens.java
@@ -8,8 +8,8 @@
 import org.wisteriapost.policy.bundle.Digests;
 
 /**
- * What the stand-in engine answers: tokens that depend on the weights, the prompt and
- * their index, so that a caller can tell a whole answer of its own from any other.
+ * The tokens that the stand-in engine generates. They depend on the weights, the prompt
+ * and the index, so that a client can detect truncated, mixed or foreign completions.
  */
 public final class EngineTokens {
 
@@ -21,14 +21,14 @@
 	}
 
 	/**
-	 * Returns one token, with a space in front.
+	 * Returns one token, with a leading space.
 	 */
 	public static String token(String weightsDigest, String prompt, int index) {
 		return " " + Digests.sha256(weightsDigest + "\n" + index + "\n" + prompt).substring(0, TOKEN_CHARS);
 	}
 
 	/**
-	 * Returns the whole answer of some tokens.
+	 * Returns the completion with the given number of tokens.
 	 */
 	public static String answer(String weightsDigest, String prompt, int tokens) {
 		StringBuilder text = new StringBuilder();
@@ -39,9 +39,9 @@
 	}
 
 	/**
-	 * Returns how many leading tokens of an answer come from these weights.
+	 * Returns how many leading tokens of a completion were generated with these weights.
 	 */
-	public static int matching(String weightsDigest, String prompt, String answer) {
+	public static int countMatching(String weightsDigest, String prompt, String answer) {
 		int count = 0;
 		int length = TOKEN_CHARS + 1;
 		while ((count + 1) * length <= answer.length()
@@ -52,7 +52,8 @@
 	}
 
 	/**
-	 * Returns the prompt of a request body: the contents of its messages, a line each.
+	 * Returns the prompt of a request body: the contents of its messages, joined by line
+	 * breaks.
 	 */
 	public static String prompt(byte[] body) {
 		List<String> contents = new ArrayList<>();
--- a/standin/src/main/java/org/wisteriapost/standin/Fault.java
+++ b/standin/src/main/java/org/wisteriapost/standin/Fault.java
@@ -1,12 +1,12 @@
 package org.wisteriapost.standin;
 
 /**
- * How a stand-in is to misbehave.
+ * A fault to inject into a stand-in.
  *
  * @param kind what goes wrong
- * @param path only calls whose path starts so; empty for all
- * @param millis how long a slow call is held
- * @param calls for how many calls; 0 until cleared
+ * @param path prefix of the paths of affected calls; empty for all calls
+ * @param millis delay of a slow call
+ * @param calls number of affected calls; 0 for no limit
  */
 public record Fault(Kind kind, String path, long millis, long calls) {
 
@@ -15,32 +15,32 @@
 	}
 
 	/**
-	 * Returns a fault of all calls until it is cleared.
+	 * Returns a fault that affects all calls until it is cleared.
 	 */
 	public static Fault of(Kind kind) {
 		return new Fault(kind, "", 0, 0);
 	}
 
 	/**
-	 * What goes wrong.
+	 * The kinds of faults.
 	 */
 	public enum Kind {
 
 		/** Clears all faults. */
 		NONE,
-		/** 503 before anything is done. */
+		/** Responds 503 without executing the call. */
 		DOWN,
-		/** The connection is closed before anything is done. */
+		/** Closes the connection without executing the call. */
 		REFUSE,
-		/** Held for some milliseconds first. */
+		/** Delays the call before executing it. */
 		SLOW,
-		/** The work is done, then the connection is closed without an answer. */
+		/** Executes the call, then closes the connection without a response. */
 		LOSE_ANSWERS,
-		/** Half the answer, then nothing more, the connection open. */
+		/** Sends half of the response, then nothing more on the open connection. */
 		STALL,
-		/** One byte of the answer is another. */
+		/** Changes one byte of the response. */
 		CORRUPT,
-		/** Half the answer, then the connection is closed. */
+		/** Sends half of the response, then closes the connection. */
 		CUT
 
 	}
--- a/standin/src/main/java/org/wisteriapost/standin/Faults.java
+++ b/standin/src/main/java/org/wisteriapost/standin/FaultInjector.java
@@ -6,9 +6,9 @@
 import java.util.Optional;
 
 /**
- * The faults that a stand-in has been told to show, first match first.
+ * The active faults of a stand-in; the first one that matches a call applies.
  */
-final class Faults {
+final class FaultInjector {
 
 	private final List<Armed> armed = new ArrayList<>();
 
@@ -20,15 +20,15 @@
 		this.armed.add(new Armed(fault));
 	}
 
-	synchronized Optional<Fault> take(String path) {
+	synchronized Optional<Fault> next(String path) {
 		Iterator<Armed> all = this.armed.iterator();
 		while (all.hasNext()) {
-			Armed one = all.next();
-			if (path.startsWith(one.fault.path())) {
-				if (one.lastCall()) {
+			Armed candidate = all.next();
+			if (path.startsWith(candidate.fault.path())) {
+				if (candidate.consumeCall()) {
 					all.remove();
 				}
-				return Optional.of(one.fault);
+				return Optional.of(candidate.fault);
 			}
 		}
 		return Optional.empty();
@@ -38,15 +38,15 @@
 
 		private final Fault fault;
 
-		private long left;
+		private long remainingCalls;
 
 		private Armed(Fault fault) {
 			this.fault = fault;
-			this.left = fault.calls();
+			this.remainingCalls = fault.calls();
 		}
 
-		private boolean lastCall() {
-			return this.fault.calls() > 0 && --this.left == 0;
+		private boolean consumeCall() {
+			return this.fault.calls() > 0 && --this.remainingCalls == 0;
 		}
 
 	}
--- a/standin/src/main/java/org/wisteriapost/standin/Json.java
+++ b/standin/src/main/java/org/wisteriapost/standin/Json.java
@@ -10,7 +10,7 @@
 import com.fasterxml.jackson.databind.json.JsonMapper;
 
 /**
- * JSON of the stand-ins and their tools.
+ * JSON encoding and decoding for the stand-ins and their tools.
  */
 final class Json {
 
@@ -27,7 +27,7 @@
 			return MAPPER.writeValueAsBytes(value);
 		}
 		catch (JsonProcessingException ex) {
-			throw new IllegalArgumentException("not encodable: " + value, ex);
+			throw new IllegalArgumentException("cannot encode as JSON: " + value, ex);
 		}
 	}
 
@@ -36,7 +36,7 @@
 			return MAPPER.readValue(bytes, type);
 		}
 		catch (IOException ex) {
-			throw new IllegalArgumentException("no " + type.getSimpleName() + ": " + ex.getMessage(), ex);
+			throw new IllegalArgumentException("cannot parse " + type.getSimpleName() + ": " + ex.getMessage(), ex);
 		}
 	}
 
--- a/standin/src/main/java/org/wisteriapost/standin/OriginContent.java
+++ b/standin/src/main/java/org/wisteriapost/standin/OriginContent.java
@@ -8,14 +8,16 @@
 import org.wisteriapost.protocol.outside.Origin;
 
 /**
- * One published file, whose bytes are made from its path, version and chunk number, so
- * that any range of any size needs no memory.
+ * A published file. Its bytes are generated from path, version and chunk index, so that
+ * ranges of files of any size can be served without storing them.
+ *
+ * The ETag hashes {@link #toString()}, so renaming a component changes it.
  *
  * @param path where it is served
- * @param version the publisher's
+ * @param version set by the publisher
  * @param size in bytes
  * @param chunkBytes size of every chunk but the last
- * @param samePercent of the chunks, the first ones, that do not depend on the version
+ * @param samePercent percentage of leading chunks that are the same in all versions
  */
 record OriginContent(String path, String version, long size, int chunkBytes, int samePercent) {
 
@@ -23,7 +25,7 @@
 
 	OriginContent {
 		if (size <= 0 || chunkBytes <= 0) {
-			throw new IllegalArgumentException("size and chunk must be above 0");
+			throw new IllegalArgumentException("size and chunk size must be positive");
 		}
 	}
 
--- a/standin/src/main/java/org/wisteriapost/standin/OriginServer.java
+++ b/standin/src/main/java/org/wisteriapost/standin/OriginServer.java
@@ -11,7 +11,7 @@
 import org.wisteriapost.protocol.outside.Origin;
 
 /**
- * The origin of weights, with one rate limit over all its connections.
+ * The origin of weights, with one rate limit for all connections.
  */
 public final class OriginServer implements AutoCloseable {
 
@@ -25,29 +25,28 @@
 
 	private static final int DEFAULT_CHUNK_BYTES = 1 << 20;
 
-	private final Map<String, File> files = new ConcurrentHashMap<>();
+	private final Map<String, PublishedFile> files = new ConcurrentHashMap<>();
 
 	private final Map<String, AtomicLong> served = new ConcurrentHashMap<>();
 
-	private final RateLimit link;
+	private final TokenBucket bandwidth;
 
 	private final StandinServer server;
 
 	private OriginServer(String host, int port, long bytesPerSecond) {
-		this.link = RateLimit.perSecond(bytesPerSecond);
+		this.bandwidth = TokenBucket.perSecond(bytesPerSecond);
 		this.server = StandinServer.start(host, port, this::handle);
 	}
 
 	/**
-	 * Returns an origin without a rate limit.
+	 * Starts an origin without a rate limit.
 	 */
 	public static OriginServer start(String host, int port) {
 		return start(host, port, 0);
 	}
 
 	/**
-	 * Returns an origin whose answers together take up to so many bytes a second; 0 for
-	 * no limit.
+	 * Starts an origin with a total bandwidth in bytes per second; 0 for no limit.
 	 */
 	public static OriginServer start(String host, int port, long bytesPerSecond) {
 		return new OriginServer(host, port, bytesPerSecond);
@@ -58,21 +57,21 @@
 	}
 
 	/**
-	 * Arms a fault, or clears all with {@link Fault.Kind#NONE}.
+	 * Injects a fault, or clears all with {@link Fault.Kind#NONE}.
 	 */
 	public void fault(Fault fault) {
 		this.server.fault(fault);
 	}
 
 	/**
-	 * Publishes a version of a file in place of any before it.
+	 * Publishes a version of a file, replacing any previous one.
 	 */
 	public Origin.Manifest publish(String path, String version, long size, int chunkBytes) {
 		return publish(new OriginContent(path, version, size, chunkBytes, 0));
 	}
 
 	/**
-	 * Publishes a version of which some percent of the chunks are those of any other
+	 * Publishes a version that shares the given percentage of its chunks with every other
 	 * version of the same path and size.
 	 */
 	public Origin.Manifest publish(String path, String version, long size, int chunkBytes, int samePercent) {
@@ -80,7 +79,7 @@
 	}
 
 	/**
-	 * Returns the bytes of chunks sent, by path.
+	 * Returns the number of content bytes sent, by path.
 	 */
 	public Map<String, Long> counts() {
 		Map<String, Long> counts = new TreeMap<>();
@@ -95,22 +94,22 @@
 
 	private Origin.Manifest publish(OriginContent content) {
 		Origin.Manifest manifest = content.manifest();
-		this.files.put(content.path(), new File(content, manifest));
+		this.files.put(content.path(), new PublishedFile(content, manifest));
 		return manifest;
 	}
 
 	private void handle(Request request, Responder responder) {
-		if (request.is("GET", "/counts")) {
+		if (request.matches("GET", "/counts")) {
 			responder.json(200, counts());
 		}
-		else if (request.is("PUT", WEIGHTS)) {
+		else if (request.matches("PUT", WEIGHTS)) {
 			responder.json(200, publish(content(request)));
 		}
-		else if (request.is("GET", WEIGHTS) && request.path().endsWith(MANIFEST)) {
-			String path = request.after(WEIGHTS);
+		else if (request.matches("GET", WEIGHTS) && request.path().endsWith(MANIFEST)) {
+			String path = request.pathAfter(WEIGHTS);
 			manifest(path.substring(0, path.length() - MANIFEST.length()), responder);
 		}
-		else if (request.is("GET", WEIGHTS)) {
+		else if (request.matches("GET", WEIGHTS)) {
 			read(request, responder);
 		}
 		else {
@@ -122,11 +121,12 @@
 		long size = request.parameter("size").map(Long::parseLong).orElse(0L);
 		int chunk = request.parameter("chunk").map(Integer::parseInt).orElse(DEFAULT_CHUNK_BYTES);
 		int same = request.parameter("same").map(Integer::parseInt).orElse(0);
-		return new OriginContent(request.after(WEIGHTS), request.parameter("version").orElse("1"), size, chunk, same);
+		return new OriginContent(request.pathAfter(WEIGHTS), request.parameter("version").orElse("1"), size, chunk,
+				same);
 	}
 
 	private void manifest(String path, Responder responder) {
-		File file = this.files.get(path);
+		PublishedFile file = this.files.get(path);
 		if (file == null) {
 			responder.status(404);
 			return;
@@ -135,20 +135,20 @@
 	}
 
 	private void read(Request request, Responder responder) {
-		File file = this.files.get(request.after(WEIGHTS));
+		PublishedFile file = this.files.get(request.pathAfter(WEIGHTS));
 		if (file == null) {
 			responder.status(404);
 			return;
 		}
 		String etag = "\"" + file.manifest.etag() + "\"";
-		if (request.header("If-Match").filter((wanted) -> !wanted.equals(etag)).isPresent()) {
-			responder.whole(412, Map.of("ETag", etag), new byte[0]);
+		if (request.header("If-Match").filter((requested) -> !requested.equals(etag)).isPresent()) {
+			responder.bytes(412, Map.of("ETag", etag), new byte[0]);
 			return;
 		}
-		String wanted = request.header("Range").orElse("bytes=0-" + (file.content.size() - 1));
-		Matcher range = RANGE.matcher(wanted);
+		String requested = request.header("Range").orElse("bytes=0-" + (file.content.size() - 1));
+		Matcher range = RANGE.matcher(requested);
 		if (!range.matches()) {
-			throw new IllegalArgumentException("not understood: " + wanted);
+			throw new IllegalArgumentException("unsupported Range header: " + requested);
 		}
 		long first = Long.parseLong(range.group(1));
 		long last = Math.min(Long.parseLong(range.group(2)), file.content.size() - 1);
@@ -157,27 +157,27 @@
 			return;
 		}
 		byte[] bytes = file.content.range(first, Math.toIntExact(last - first + 1));
-		BodyStream body = responder.stream(206, Map.of("ETag", etag), bytes.length);
+		ResponseBodyStream body = responder.stream(206, Map.of("ETag", etag), bytes.length);
 		send(file.content.path(), bytes, 0, body);
 	}
 
-	private void send(String path, byte[] bytes, int from, BodyStream body) {
+	private void send(String path, byte[] bytes, int from, ResponseBodyStream body) {
 		if (from == bytes.length) {
 			body.end();
 			return;
 		}
-		if (body.gone()) {
+		if (body.isDisconnected()) {
 			return;
 		}
 		int to = Math.min(bytes.length, from + SLICE_BYTES);
-		StandinThreads.after(this.link.reserve(to - from), () -> {
+		StandinThreads.schedule(this.bandwidth.reserve(to - from), () -> {
 			body.push(Arrays.copyOfRange(bytes, from, to));
 			this.served.computeIfAbsent(path, (key) -> new AtomicLong()).addAndGet(to - from);
 			send(path, bytes, to, body);
 		});
 	}
 
-	private record File(OriginContent content, Origin.Manifest manifest) {
+	private record PublishedFile(OriginContent content, Origin.Manifest manifest) {
 	}
 
 }
--- a/standin/src/main/java/org/wisteriapost/standin/PlainServer.java
+++ b/standin/src/main/java/org/wisteriapost/standin/PlainServer.java
@@ -10,8 +10,8 @@
 import org.wisteriapost.protocol.CallerHeaders;
 
 /**
- * A plain service: lookups that may be repeated, and allocations that may not and are
- * recorded each time.
+ * A plain service with idempotent lookups and non-idempotent allocations; it records
+ * every allocation.
  */
 public final class PlainServer implements AutoCloseable {
 
@@ -34,14 +34,14 @@
 	}
 
 	/**
-	 * Returns a service that takes some time for each answer.
+	 * Starts a service with the given response delay.
 	 */
 	public static PlainServer start(String host, int port, Duration delay) {
 		return new PlainServer(host, port, delay);
 	}
 
 	/**
-	 * Returns what a lookup answers.
+	 * Returns the expected result of a lookup.
 	 */
 	public static String lookup(String key) {
 		return Digests.sha256("lookup\n" + key);
@@ -52,21 +52,21 @@
 	}
 
 	/**
-	 * Arms a fault, or clears all with {@link Fault.Kind#NONE}.
+	 * Injects a fault, or clears all with {@link Fault.Kind#NONE}.
 	 */
 	public void fault(Fault fault) {
 		this.server.fault(fault);
 	}
 
 	/**
-	 * Returns every allocation made, in order.
+	 * Returns all allocations in order of execution.
 	 */
 	public synchronized List<Execution> executions() {
 		return List.copyOf(this.executions);
 	}
 
 	/**
-	 * Returns how often calls of each request id ran.
+	 * Returns how often calls of each request id were executed.
 	 */
 	public synchronized Map<String, Long> executed() {
 		return new TreeMap<>(this.executed);
@@ -78,35 +78,35 @@
 	}
 
 	private void handle(Request request, Responder responder) {
-		if (request.is("GET", "/counts")) {
+		if (request.matches("GET", "/counts")) {
 			responder.json(200, Map.of("executed", executed()));
 		}
-		else if (request.is("GET", "/executions")) {
+		else if (request.matches("GET", "/executions")) {
 			responder.json(200, executions());
 		}
 		else if (request.path().startsWith(LOOKUP)) {
-			run(request);
-			String key = request.after(LOOKUP);
-			later(responder, new Found(key, lookup(key)));
+			recordExecution(request);
+			String key = request.pathAfter(LOOKUP);
+			respondAfterDelay(responder, new LookupResult(key, lookup(key)));
 		}
 		else if (request.method().equals("POST") && request.path().equals("/allocate")) {
-			later(responder, allocate(request));
+			respondAfterDelay(responder, allocate(request));
 		}
 		else {
 			responder.status(404);
 		}
 	}
 
-	private void later(Responder responder, Object answer) {
-		StandinThreads.after(this.delay.toNanos(), () -> responder.json(200, answer));
+	private void respondAfterDelay(Responder responder, Object answer) {
+		StandinThreads.schedule(this.delay.toNanos(), () -> responder.json(200, answer));
 	}
 
-	private synchronized void run(Request request) {
+	private synchronized void recordExecution(Request request) {
 		this.executed.merge(request.header(CallerHeaders.REQUEST_ID).orElse(""), 1L, Long::sum);
 	}
 
 	private synchronized Execution allocate(Request request) {
-		run(request);
+		recordExecution(request);
 		Execution execution = new Execution(this.host + ":" + this.server.port() + "-" + this.executions.size(),
 				request.header(CallerHeaders.IDEMPOTENCY_KEY).orElse(""),
 				request.header(CallerHeaders.REQUEST_ID).orElse(""));
@@ -115,22 +115,22 @@
 	}
 
 	/**
-	 * One allocation.
+	 * One executed allocation.
 	 *
-	 * @param number what was allocated
-	 * @param key the caller's idempotency key
-	 * @param requestId the request that made it
+	 * @param number the allocated number
+	 * @param key the idempotency key of the client
+	 * @param requestId the request that was executed
 	 */
 	public record Execution(String number, String key, String requestId) {
 	}
 
 	/**
-	 * What a lookup answers.
+	 * The result of a lookup.
 	 *
-	 * @param key what was looked up
-	 * @param answer what was found
+	 * @param key the key that was looked up
+	 * @param answer the value found
 	 */
-	public record Found(String key, String answer) {
+	public record LookupResult(String key, String answer) {
 	}
 
 }
--- a/standin/src/main/java/org/wisteriapost/standin/PlatformServer.java
+++ b/standin/src/main/java/org/wisteriapost/standin/PlatformServer.java
@@ -11,41 +11,41 @@
 import org.wisteriapost.protocol.outside.Platform;
 
 /**
- * The platform's object API in memory.
+ * An in-memory implementation of the platform's object API.
  */
 public final class PlatformServer implements AutoCloseable {
 
 	private static final String OBJECTS = "/objects";
 
-	private final Map<String, Held> objects = new TreeMap<>();
+	private final Map<String, VersionedObject> objects = new TreeMap<>();
 
 	private final List<Watch> watches = new ArrayList<>();
 
 	private final Map<String, Long> counts = new TreeMap<>();
 
-	private final RateLimit reads;
+	private final TokenBucket reads;
 
-	private final RateLimit writes;
+	private final TokenBucket writes;
 
 	private final StandinServer server;
 
 	private long revision;
 
 	private PlatformServer(String host, int port, long readsPerSecond, long writesPerSecond) {
-		this.reads = RateLimit.perSecond(readsPerSecond);
-		this.writes = RateLimit.perSecond(writesPerSecond);
+		this.reads = TokenBucket.perSecond(readsPerSecond);
+		this.writes = TokenBucket.perSecond(writesPerSecond);
 		this.server = StandinServer.start(host, port, this::handle);
 	}
 
 	/**
-	 * Returns a platform without limits.
+	 * Starts a platform without rate limits.
 	 */
 	public static PlatformServer start(String host, int port) {
 		return start(host, port, 0, 0);
 	}
 
 	/**
-	 * Returns a platform that answers 429 beyond its limits; 0 for none.
+	 * Starts a platform that responds 429 above the given rates; 0 for no limit.
 	 */
 	public static PlatformServer start(String host, int port, long readsPerSecond, long writesPerSecond) {
 		return new PlatformServer(host, port, readsPerSecond, writesPerSecond);
@@ -56,14 +56,14 @@
 	}
 
 	/**
-	 * Arms a fault, or clears all with {@link Fault.Kind#NONE}.
+	 * Injects a fault, or clears all with {@link Fault.Kind#NONE}.
 	 */
 	public void fault(Fault fault) {
 		this.server.fault(fault);
 	}
 
 	/**
-	 * Returns how often each kind of call came.
+	 * Returns the number of calls by kind.
 	 */
 	public synchronized Map<String, Long> counts() {
 		return new TreeMap<>(this.counts);
@@ -75,20 +75,20 @@
 	}
 
 	private synchronized void handle(Request request, Responder responder) {
-		if (request.is("GET", "/counts")) {
+		if (request.matches("GET", "/counts")) {
 			responder.json(200, this.counts);
 			return;
 		}
 		boolean write = request.method().equals("PUT");
-		if (!(write ? this.writes : this.reads).allows(1)) {
+		if (!(write ? this.writes : this.reads).tryAcquire(1)) {
 			count("refused");
 			responder.status(429);
 			return;
 		}
-		if (request.is("PUT", OBJECTS + "/")) {
+		if (request.matches("PUT", OBJECTS + "/")) {
 			put(request, responder);
 		}
-		else if (request.is("GET", OBJECTS + "/")) {
+		else if (request.matches("GET", OBJECTS + "/")) {
 			get(request, responder);
 		}
 		else if (request.method().equals("GET") && request.path().equals(OBJECTS)) {
@@ -101,12 +101,12 @@
 
 	private void get(Request request, Responder responder) {
 		count("get");
-		Held held = this.objects.get(request.after(OBJECTS + "/"));
+		VersionedObject held = this.objects.get(request.pathAfter(OBJECTS + "/"));
 		if (held == null) {
 			responder.status(404);
 			return;
 		}
-		responder.whole(200, etag(held), held.stored.value());
+		responder.bytes(200, etag(held), held.stored.value());
 	}
 
 	private void put(Request request, Responder responder) {
@@ -115,23 +115,23 @@
 			responder.status(413);
 			return;
 		}
-		String key = request.after(OBJECTS + "/");
-		Optional<Held> held = Optional.ofNullable(this.objects.get(key));
-		if (!expected(request, held)) {
+		String key = request.pathAfter(OBJECTS + "/");
+		Optional<VersionedObject> held = Optional.ofNullable(this.objects.get(key));
+		if (!preconditionHolds(request, held)) {
 			count("conflict");
-			responder.whole(412, held.map(PlatformServer::etag).orElse(Map.of()),
+			responder.bytes(412, held.map(PlatformServer::etag).orElse(Map.of()),
 					held.map((one) -> one.stored.value()).orElse(new byte[0]));
 			return;
 		}
 		this.revision++;
 		long version = held.map((one) -> one.stored.version()).orElse(0L) + 1;
-		Held next = new Held(new Platform.Stored(key, request.body(), version), this.revision);
+		VersionedObject next = new VersionedObject(new Platform.Stored(key, request.body(), version), this.revision);
 		this.objects.put(key, next);
-		wake();
-		responder.whole(200, etag(next), new byte[0]);
+		answerChangedWatches();
+		responder.bytes(200, etag(next), new byte[0]);
 	}
 
-	private static boolean expected(Request request, Optional<Held> held) {
+	private static boolean preconditionHolds(Request request, Optional<VersionedObject> held) {
 		if (request.header("If-None-Match").isPresent()) {
 			return held.isEmpty();
 		}
@@ -145,40 +145,40 @@
 		long wait = request.parameter("wait").map(Long::parseLong).orElse(0L);
 		count((after < 0) ? "list" : "watch");
 		Watch watch = new Watch(prefix, after, responder);
-		if (wait == 0 || !changed(watch).isEmpty()) {
-			answer(watch);
+		if (wait == 0 || !changedObjects(watch).isEmpty()) {
+			respond(watch);
 			return;
 		}
 		this.watches.add(watch);
-		StandinThreads.after(TimeUnit.MILLISECONDS.toNanos(wait), () -> expire(watch));
+		StandinThreads.schedule(TimeUnit.MILLISECONDS.toNanos(wait), () -> expire(watch));
 	}
 
 	private synchronized void expire(Watch watch) {
 		if (this.watches.remove(watch)) {
-			answer(watch);
+			respond(watch);
 		}
 	}
 
-	private void wake() {
+	private void answerChangedWatches() {
 		Iterator<Watch> all = this.watches.iterator();
 		while (all.hasNext()) {
 			Watch watch = all.next();
-			if (!changed(watch).isEmpty()) {
+			if (!changedObjects(watch).isEmpty()) {
 				all.remove();
-				answer(watch);
+				respond(watch);
 			}
 		}
 	}
 
-	private void answer(Watch watch) {
-		watch.responder.json(200, new Platform.Listing(changed(watch), this.revision));
+	private void respond(Watch watch) {
+		watch.responder.json(200, new Platform.Listing(changedObjects(watch), this.revision));
 	}
 
-	private List<Platform.Stored> changed(Watch watch) {
+	private List<Platform.Stored> changedObjects(Watch watch) {
 		return this.objects.values()
 			.stream()
 			.filter((held) -> held.revision > watch.after && held.stored.key().startsWith(watch.prefix))
-			.map(Held::stored)
+			.map(VersionedObject::stored)
 			.toList();
 	}
 
@@ -186,11 +186,11 @@
 		this.counts.merge(kind, 1L, Long::sum);
 	}
 
-	private static Map<String, String> etag(Held held) {
+	private static Map<String, String> etag(VersionedObject held) {
 		return Map.of("ETag", "\"" + held.stored.version() + "\"");
 	}
 
-	private record Held(Platform.Stored stored, long revision) {
+	private record VersionedObject(Platform.Stored stored, long revision) {
 	}
 
 	private record Watch(String prefix, long after, Responder responder) {
--- a/standin/src/main/java/org/wisteriapost/standin/Request.java
+++ b/standin/src/main/java/org/wisteriapost/standin/Request.java
@@ -7,13 +7,13 @@
 import io.undertow.util.HeaderMap;
 
 /**
- * One whole request to a stand-in.
+ * A fully received request.
  *
  * @param method GET, PUT, ...
- * @param path decoded, from the first slash
- * @param query parameters, decoded
- * @param headers in any case
- * @param body all of it
+ * @param path decoded, with the leading slash
+ * @param query decoded parameters
+ * @param headers case-insensitive
+ * @param body the complete body
  */
 record Request(String method, String path, Map<String, Deque<String>> query, HeaderMap headers, byte[] body) {
 
@@ -25,12 +25,12 @@
 		return Optional.ofNullable(this.query.get(name)).map(Deque::peekFirst);
 	}
 
-	String after(String prefix) {
+	String pathAfter(String prefix) {
 		return this.path.substring(prefix.length());
 	}
 
-	boolean is(String wanted, String prefix) {
-		return this.method.equals(wanted) && this.path.startsWith(prefix);
+	boolean matches(String expectedMethod, String prefix) {
+		return this.method.equals(expectedMethod) && this.path.startsWith(prefix);
 	}
 
 }
--- a/standin/src/main/java/org/wisteriapost/standin/Responder.java
+++ b/standin/src/main/java/org/wisteriapost/standin/Responder.java
@@ -10,11 +10,11 @@
 import org.xnio.IoUtils;
 
 /**
- * Answers one request, from any thread, as its fault says.
+ * Sends the response to one request, from any thread, subject to an injected fault.
  */
 final class Responder {
 
-	private static final byte[] NOTHING = new byte[0];
+	private static final byte[] EMPTY_BODY = new byte[0];
 
 	private final HttpServerExchange exchange;
 
@@ -30,45 +30,45 @@
 	}
 
 	void status(int status) {
-		whole(status, Map.of(), NOTHING);
+		bytes(status, Map.of(), EMPTY_BODY);
 	}
 
 	void text(int status, String text) {
-		whole(status, Map.of("Content-Type", "text/plain"), text.getBytes(StandardCharsets.UTF_8));
+		bytes(status, Map.of("Content-Type", "text/plain"), text.getBytes(StandardCharsets.UTF_8));
 	}
 
 	void json(int status, Object value) {
-		whole(status, Map.of("Content-Type", "application/json"), Json.write(value));
+		bytes(status, Map.of("Content-Type", "application/json"), Json.write(value));
 	}
 
-	void whole(int status, Map<String, String> headers, byte[] body) {
-		BodyStream stream = stream(status, headers, body.length);
+	void bytes(int status, Map<String, String> headers, byte[] body) {
+		ResponseBodyStream stream = stream(status, headers, body.length);
 		stream.push(body);
 		stream.end();
 	}
 
 	/**
-	 * Returns the body of an answer that is written piece by piece.
-	 * @param length of the body, or -1 when it is not known
+	 * Starts a response whose body is written in chunks.
+	 * @param length of the body, or -1 if it is unknown
 	 */
-	BodyStream stream(int status, Map<String, String> headers, long length) {
-		this.exchange.getIoThread().execute(() -> head(status, headers, length));
-		return BodyStream.of(this.exchange, length, this.fault);
+	ResponseBodyStream stream(int status, Map<String, String> headers, long length) {
+		this.exchange.getIoThread().execute(() -> startResponse(status, headers, length));
+		return ResponseBodyStream.of(this.exchange, length, this.fault);
 	}
 
-	/** Closes the connection without an answer. */
-	void cut() {
+	/** Closes the connection without a response. */
+	void closeConnection() {
 		IoUtils.safeClose(this.exchange.getConnection());
 	}
 
-	/** Runs a task when the caller closes the connection before the answer has ended. */
-	Runnable onGone(Runnable gone) {
-		return CloseWatch.start(this.exchange, gone);
+	/** Runs a task if the client closes the connection before the response has ended. */
+	Runnable onDisconnect(Runnable action) {
+		return DisconnectDetector.start(this.exchange, action);
 	}
 
-	private void head(int status, Map<String, String> headers, long length) {
+	private void startResponse(int status, Map<String, String> headers, long length) {
 		if (this.fault == Fault.Kind.LOSE_ANSWERS) {
-			cut();
+			closeConnection();
 			return;
 		}
 		this.exchange.setStatusCode(status);
--- a/standin/src/main/java/org/wisteriapost/standin/BodyStream.java
+++ b/standin/src/main/java/org/wisteriapost/standin/ResponseBodyStream.java
@@ -12,13 +12,14 @@
 import org.xnio.channels.StreamSinkChannel;
 
 /**
- * The body of one answer; pieces may be pushed from any thread and are written, flushed,
- * by the connection's own.
+ * Writes the body of one response. Chunks may be pushed from any thread; they are written
+ * and flushed on the I/O thread of the connection.
  */
-final class BodyStream {
+final class ResponseBodyStream {
 
-	// A streamed answer of unknown length counts as half sent after this many pieces.
-	private static final int HALF_OF_A_STREAM = 3;
+	// The chunk, counted from 1, within which a response of unknown length is cut or
+	// stalled by an injected fault.
+	private static final int FAULT_CHUNK_NUMBER = 3;
 
 	private final HttpServerExchange exchange;
 
@@ -26,37 +27,37 @@
 
 	private final Fault.Kind fault;
 
-	private final Deque<ByteBuffer> waiting = new ArrayDeque<>();
+	private final Deque<ByteBuffer> pendingWrites = new ArrayDeque<>();
 
 	private StreamSinkChannel channel;
 
 	private boolean ended;
 
-	private boolean broken;
+	private boolean writesStopped;
 
 	private boolean corrupted;
 
 	private long pushedBytes;
 
-	private int pushedPieces;
+	private int pushedChunks;
 
-	private BodyStream(HttpServerExchange exchange, long length, Fault.Kind fault) {
+	private ResponseBodyStream(HttpServerExchange exchange, long length, Fault.Kind fault) {
 		this.exchange = exchange;
 		this.length = length;
 		this.fault = fault;
 	}
 
-	static BodyStream of(HttpServerExchange exchange, long length, Fault.Kind fault) {
-		return new BodyStream(exchange, length, fault);
+	static ResponseBodyStream of(HttpServerExchange exchange, long length, Fault.Kind fault) {
+		return new ResponseBodyStream(exchange, length, fault);
 	}
 
-	/** Returns whether nobody is there to read the rest. */
-	boolean gone() {
+	/** Returns whether the client has closed the connection. */
+	boolean isDisconnected() {
 		return !this.exchange.getConnection().isOpen();
 	}
 
-	void push(byte[] piece) {
-		this.exchange.getIoThread().execute(() -> add(piece));
+	void push(byte[] chunk) {
+		this.exchange.getIoThread().execute(() -> add(chunk));
 	}
 
 	void end() {
@@ -66,42 +67,42 @@
 		});
 	}
 
-	private void add(byte[] piece) {
-		if (this.broken) {
+	private void add(byte[] chunk) {
+		if (this.writesStopped) {
 			return;
 		}
-		byte[] sent = piece;
-		if (this.fault == Fault.Kind.CORRUPT && !this.corrupted && piece.length > 0) {
+		byte[] sent = chunk;
+		if (this.fault == Fault.Kind.CORRUPT && !this.corrupted && chunk.length > 0) {
 			this.corrupted = true;
-			sent = Responder.corrupted(piece);
+			sent = Responder.corrupted(chunk);
 		}
-		if (breaksHere(sent.length)) {
-			this.waiting.add(ByteBuffer.wrap(Arrays.copyOf(sent, sent.length / 2)));
+		if (isFaultPoint(sent.length)) {
+			this.pendingWrites.add(ByteBuffer.wrap(Arrays.copyOf(sent, sent.length / 2)));
 			write();
-			this.broken = true;
+			this.writesStopped = true;
 			if (this.fault == Fault.Kind.CUT) {
 				IoUtils.safeClose(this.exchange.getConnection());
 			}
 			return;
 		}
 		this.pushedBytes += sent.length;
-		this.pushedPieces++;
-		this.waiting.add(ByteBuffer.wrap(sent));
+		this.pushedChunks++;
+		this.pendingWrites.add(ByteBuffer.wrap(sent));
 		write();
 	}
 
-	private boolean breaksHere(int bytes) {
+	private boolean isFaultPoint(int bytes) {
 		if (this.fault != Fault.Kind.CUT && this.fault != Fault.Kind.STALL) {
 			return false;
 		}
 		if (this.length >= 0) {
 			return this.pushedBytes + bytes > this.length / 2;
 		}
-		return this.pushedPieces + 1 == HALF_OF_A_STREAM;
+		return this.pushedChunks + 1 == FAULT_CHUNK_NUMBER;
 	}
 
 	private void write() {
-		if (this.broken || !this.exchange.getConnection().isOpen()) {
+		if (this.writesStopped || !this.exchange.getConnection().isOpen()) {
 			return;
 		}
 		try {
@@ -111,25 +112,25 @@
 					return;
 				}
 			}
-			while (!this.waiting.isEmpty()) {
-				ByteBuffer next = this.waiting.peekFirst();
+			while (!this.pendingWrites.isEmpty()) {
+				ByteBuffer next = this.pendingWrites.peekFirst();
 				while (next.hasRemaining()) {
 					if (this.channel.write(next) == 0) {
-						onceWritable();
+						awaitWritable();
 						return;
 					}
 				}
-				this.waiting.removeFirst();
+				this.pendingWrites.removeFirst();
 			}
 			if (!this.channel.flush()) {
-				onceWritable();
+				awaitWritable();
 				return;
 			}
 			this.channel.suspendWrites();
 			finish();
 		}
 		catch (IOException ex) {
-			this.broken = true;
+			this.writesStopped = true;
 			IoUtils.safeClose(this.exchange.getConnection());
 		}
 	}
@@ -138,7 +139,7 @@
 		if (!this.ended) {
 			return;
 		}
-		this.broken = true;
+		this.writesStopped = true;
 		this.channel.shutdownWrites();
 		if (!this.channel.flush()) {
 			this.channel.getWriteSetter().set((ChannelListener<StreamSinkChannel>) this::flush);
@@ -160,7 +161,7 @@
 		}
 	}
 
-	private void onceWritable() {
+	private void awaitWritable() {
 		this.channel.getWriteSetter().set((ChannelListener<StreamSinkChannel>) (same) -> write());
 		this.channel.resumeWrites();
 	}
--- a/standin/src/main/java/org/wisteriapost/standin/Standin.java
+++ b/standin/src/main/java/org/wisteriapost/standin/Standin.java
@@ -17,7 +17,8 @@
 
 /**
  * Starts stand-ins: {@code ROLE OPTIONS [+ ROLE OPTIONS ...]}. Each prints one line of
- * JSON with its port when it answers. {@code traffic OPTIONS} sends requests instead.
+ * JSON with its port once it accepts connections. {@code traffic OPTIONS} runs a load
+ * generator instead.
  */
 public final class Standin {
 
@@ -27,7 +28,7 @@
 	}
 
 	/**
-	 * Starts what the arguments name and goes on until it is ended.
+	 * Starts the stand-ins given by the arguments and runs until the process is stopped.
 	 */
 	public static void main(String[] args) throws InterruptedException {
 		try {
@@ -58,7 +59,8 @@
 
 	private static void start(String[] args) {
 		if (args.length == 0) {
-			throw new IllegalArgumentException("platform, vm-list, origin, engine or plain, then --host IP --port N");
+			throw new IllegalArgumentException(
+					"usage: platform, vm-list, origin, engine or plain, then --host IP --port N");
 		}
 		CommandLine line = parse(args);
 		String host = line.getOptionValue("host", "127.0.0.1");
@@ -71,7 +73,7 @@
 			case "origin" -> origin(host, port, line).port();
 			case "engine" -> engine(host, port, line).port();
 			case "plain" -> PlainServer.start(host, port, Duration.ofMillis(number(line, "delay-ms", 2))).port();
-			default -> throw new IllegalArgumentException("no such stand-in: " + args[0]);
+			default -> throw new IllegalArgumentException("unknown stand-in: " + args[0]);
 		};
 		System.out.println("{\"ready\":\"" + args[0] + "\",\"host\":\"" + host + "\",\"port\":" + ready + "}");
 	}
@@ -101,7 +103,7 @@
 			return Files.readAllBytes(Path.of(file));
 		}
 		catch (IOException ex) {
-			throw new IllegalArgumentException("not readable: " + file, ex);
+			throw new IllegalArgumentException("cannot read " + file, ex);
 		}
 	}
 
@@ -115,11 +117,11 @@
 	private static EngineOptions engine(CommandLine line) {
 		EngineOptions quick = EngineOptions.quick();
 		return new EngineOptions(!line.getOptionValue("fencing", "on").equals("off"),
-				Duration.ofMillis(number(line, "load-ms", quick.load().toMillis())),
-				Duration.ofMillis(number(line, "token-ms", quick.token().toMillis())),
+				Duration.ofMillis(number(line, "load-ms", quick.loadTime().toMillis())),
+				Duration.ofMillis(number(line, "token-ms", quick.timePerToken().toMillis())),
 				Duration.ofNanos(1000 * number(line, "prefill-us-per-char", 1)),
 				(int) number(line, "slots", quick.slots()),
-				Duration.ofMillis(number(line, "lag-ms", quick.stateLag().toMillis())), true);
+				Duration.ofMillis(number(line, "lag-ms", quick.maxStateAge().toMillis())), true);
 	}
 
 	private static CommandLine parse(String[] args) {
@@ -131,8 +133,8 @@
 		}
 	}
 
-	private static long number(CommandLine line, String name, long otherwise) {
-		return Long.parseLong(line.getOptionValue(name, String.valueOf(otherwise)));
+	private static long number(CommandLine line, String name, long fallback) {
+		return Long.parseLong(line.getOptionValue(name, String.valueOf(fallback)));
 	}
 
 	private static Options options() {
--- a/standin/src/main/java/org/wisteriapost/standin/StandinServer.java
+++ b/standin/src/main/java/org/wisteriapost/standin/StandinServer.java
@@ -13,7 +13,7 @@
 import org.xnio.IoUtils;
 
 /**
- * The HTTP server of one stand-in, with its faults; {@code POST /faults} sets them.
+ * The HTTP server of one stand-in; {@code POST /faults} injects faults.
  */
 final class StandinServer implements AutoCloseable {
 
@@ -21,7 +21,7 @@
 
 	private final BiConsumer<Request, Responder> handler;
 
-	private final Faults faults = new Faults();
+	private final FaultInjector faults = new FaultInjector();
 
 	private final Set<ServerConnection> connections = ConcurrentHashMap.newKeySet();
 
@@ -39,8 +39,8 @@
 	}
 
 	/**
-	 * Returns a server that answers.
-	 * @param port 0 for a free one
+	 * Starts a server.
+	 * @param port the port, or 0 for any free one
 	 */
 	static StandinServer start(String host, int port, BiConsumer<Request, Responder> handler) {
 		StandinServer server = new StandinServer(host, port, handler);
@@ -60,7 +60,8 @@
 	public void close() {
 		this.closed = true;
 		this.undertow.stop();
-		// Stopping ends only the listener; open connections would go on being answered.
+		// Undertow only closes its listener; requests on open connections would still
+		// be served.
 		this.connections.forEach(IoUtils::safeClose);
 	}
 
@@ -80,22 +81,22 @@
 	private void route(HttpServerExchange exchange, byte[] body) {
 		Request request = new Request(exchange.getRequestMethod().toString(), exchange.getRequestPath(),
 				exchange.getQueryParameters(), exchange.getRequestHeaders(), body);
-		if (request.is("POST", "/faults")) {
+		if (request.matches("POST", "/faults")) {
 			setFault(request, Responder.of(exchange, Fault.Kind.NONE));
 			return;
 		}
 		if (ADMIN.contains(request.path())) {
-			answer(request, Responder.of(exchange, Fault.Kind.NONE));
+			handle(request, Responder.of(exchange, Fault.Kind.NONE));
 			return;
 		}
-		Fault fault = this.faults.take(request.path()).orElse(Fault.of(Fault.Kind.NONE));
+		Fault fault = this.faults.next(request.path()).orElse(Fault.of(Fault.Kind.NONE));
 		Responder responder = Responder.of(exchange, fault.kind());
 		switch (fault.kind()) {
 			case DOWN -> responder.status(503);
 			case REFUSE -> IoUtils.safeClose(exchange.getConnection());
-			case SLOW -> StandinThreads.after(TimeUnit.MILLISECONDS.toNanos(fault.millis()),
-					() -> exchange.getIoThread().execute(() -> answer(request, responder)));
-			default -> answer(request, responder);
+			case SLOW -> StandinThreads.schedule(TimeUnit.MILLISECONDS.toNanos(fault.millis()),
+					() -> exchange.getIoThread().execute(() -> handle(request, responder)));
+			default -> handle(request, responder);
 		}
 	}
 
@@ -109,7 +110,7 @@
 		}
 	}
 
-	private void answer(Request request, Responder responder) {
+	private void handle(Request request, Responder responder) {
 		try {
 			this.handler.accept(request, responder);
 		}
--- a/standin/src/main/java/org/wisteriapost/standin/StandinThreads.java
+++ b/standin/src/main/java/org/wisteriapost/standin/StandinThreads.java
@@ -10,7 +10,8 @@
 import org.xnio.XnioWorker;
 
 /**
- * The threads that all stand-ins of a process share, so that 48 engines fit in one.
+ * The threads that all stand-ins of a process share, so that 48 engines fit into one
+ * process.
  */
 final class StandinThreads {
 
@@ -27,7 +28,7 @@
 		return WORKER;
 	}
 
-	static void after(long nanos, Runnable task) {
+	static void schedule(long nanos, Runnable task) {
 		TIMER.schedule(task, Math.max(0, nanos), TimeUnit.NANOSECONDS);
 	}
 
@@ -44,7 +45,7 @@
 					.getMap());
 		}
 		catch (IOException ex) {
-			throw new IllegalStateException("no I/O threads", ex);
+			throw new IllegalStateException("cannot create I/O threads", ex);
 		}
 	}
 
--- a/standin/src/main/java/org/wisteriapost/standin/Traffic.java
+++ b/standin/src/main/java/org/wisteriapost/standin/Traffic.java
@@ -21,11 +21,12 @@
 import org.wisteriapost.protocol.http.HttpCaller;
 import org.wisteriapost.protocol.outside.Platform;
 import org.wisteriapost.protocol.outside.http.HttpPlatform;
-import org.wisteriapost.standin.TrafficLedger.Count;
+import org.wisteriapost.standin.TrafficRecorder.Count;
 
 /**
- * Callers of both services, until a file says stop; prints what came of their requests,
- * checked against the stand-ins' own counts, as one line of JSON.
+ * Load generator for both kinds of services. Runs until a stop file exists or the time is
+ * over, checks the results against the counts of the stand-ins and prints the totals as
+ * one line of JSON.
  */
 final class Traffic {
 
@@ -36,13 +37,13 @@
 
 	private static final int MAX_TOKENS = 30;
 
-	private static final int READ_TRIES = 5;
+	private static final int MAX_READ_ATTEMPTS = 5;
 
 	private final CommandLine line;
 
 	private final HttpCaller http = HttpCaller.create(2);
 
-	private final TrafficLedger ledger = new TrafficLedger();
+	private final TrafficRecorder recorder = new TrafficRecorder();
 
 	private final String token;
 
@@ -57,23 +58,23 @@
 
 	static void run(CommandLine line) throws InterruptedException {
 		Traffic traffic = new Traffic(line);
-		traffic.send();
-		traffic.check();
-		traffic.ledger.problems().forEach((problem) -> System.err.println("traffic: " + problem));
-		System.out.println(new String(Json.write(traffic.ledger.figures()), java.nio.charset.StandardCharsets.UTF_8));
+		traffic.runClients();
+		traffic.verifyResults();
+		traffic.recorder.problems().forEach((problem) -> System.err.println("traffic: " + problem));
+		System.out.println(new String(Json.write(traffic.recorder.totals()), java.nio.charset.StandardCharsets.UTF_8));
 		System.exit(0);
 	}
 
-	private void send() throws InterruptedException {
-		EntryAddresses entries = new EntryAddresses(this.http, this.token, addresses("entries"), 1);
-		int callers = Integer.parseInt(this.line.getOptionValue("callers", "12"));
+	private void runClients() throws InterruptedException {
+		EntryAddressCache entries = new EntryAddressCache(this.http, this.token, addresses("entries"), 1);
+		int clients = Integer.parseInt(this.line.getOptionValue("callers", "12"));
 		long think = Long.parseLong(this.line.getOptionValue("think-ms", "20"));
 		List<Thread> threads = new ArrayList<>();
-		for (int i = 0; i < callers; i++) {
+		for (int i = 0; i < clients; i++) {
 			String name = Long.toString(System.currentTimeMillis(), 36) + "-" + i;
-			TrafficCaller caller = new TrafficCaller(name, this.http, entries, this.token, this.ledger, i);
+			TrafficClient client = new TrafficClient(name, this.http, entries, this.token, this.recorder, i);
 			LongFunction<TrafficCall> calls = calls(i, name);
-			threads.add(Thread.startVirtualThread(() -> caller.run(calls, this::stopped, think)));
+			threads.add(Thread.startVirtualThread(() -> client.run(calls, this::stopped, think)));
 		}
 		for (Thread thread : threads) {
 			while (!thread.join(Duration.ofSeconds(1))) {
@@ -82,10 +83,10 @@
 		}
 	}
 
-	private LongFunction<TrafficCall> calls(int caller, String name) {
+	private LongFunction<TrafficCall> calls(int client, String name) {
 		String model = this.line.getOptionValue("model", "lm-notice");
 		String plain = this.line.getOptionValue("plain", "registry-api");
-		return switch (caller % 4) {
+		return switch (client % 4) {
 			case 0 -> (i) -> new TrafficCall.Lookup(plain, name + "-" + i);
 			case 1 -> (i) -> new TrafficCall.Allocation(plain, System.currentTimeMillis() + "-" + name + "-" + i);
 			default -> (i) -> new TrafficCall.Completion(model, "title " + name + " " + i,
@@ -102,11 +103,12 @@
 
 	private void progress() {
 		System.err.printf("traffic: %d requests, %d answered, %d attempts repeated, %d cut, %d wrong%n",
-				this.ledger.of(Count.REQUESTS), this.ledger.of(Count.ANSWERED), this.ledger.of(Count.RETRIED),
-				this.ledger.of(Count.CUT), this.ledger.of(Count.WRONG) + this.ledger.of(Count.MIXED));
+				this.recorder.total(Count.REQUESTS), this.recorder.total(Count.ANSWERED),
+				this.recorder.total(Count.RETRIED), this.recorder.total(Count.CUT),
+				this.recorder.total(Count.WRONG) + this.recorder.total(Count.MIXED));
 	}
 
-	private void check() {
+	private void verifyResults() {
 		Map<String, Long> executed = new HashMap<>();
 		List<PlainServer.Execution> executions = new ArrayList<>();
 		List<URI> runners = new ArrayList<>(addresses("engines"));
@@ -121,14 +123,14 @@
 			executions
 				.addAll(Arrays.asList(Json.read(read(plain.resolve("/executions")), PlainServer.Execution[].class)));
 		}
-		this.ledger.checkExecuted(executed);
-		this.ledger.checkAllocations(executions);
+		this.recorder.checkExecuted(executed);
+		this.recorder.checkAllocations(executions);
 		if (this.line.hasOption("platform")) {
-			this.ledger.checkLabels(accepted());
+			this.recorder.checkLabels(acceptedWeights());
 		}
 	}
 
-	private Set<String> accepted() {
+	private Set<String> acceptedWeights() {
 		Set<String> digests = new HashSet<>();
 		Platform platform = HttpPlatform.at(this.http, URI.create(this.line.getOptionValue("platform")));
 		for (Platform.Stored stored : platform.list("bundles/").join().items()) {
@@ -140,7 +142,7 @@
 
 	private byte[] read(URI target) {
 		RuntimeException last = null;
-		for (int i = 0; i < READ_TRIES; i++) {
+		for (int i = 0; i < MAX_READ_ATTEMPTS; i++) {
 			try {
 				return this.http.call(HttpCall.of("GET", target, TIMEOUT)).join().body();
 			}
--- a/standin/src/main/java/org/wisteriapost/standin/TrafficCall.java
+++ b/standin/src/main/java/org/wisteriapost/standin/TrafficCall.java
@@ -8,41 +8,40 @@
 import org.wisteriapost.protocol.http.HttpCall;
 
 /**
- * One request of a caller, which may take several attempts, and how its answer is
- * checked.
+ * A request that may take several attempts, and the check of its response.
  */
 sealed interface TrafficCall {
 
-	/** How an answer compares with what was asked for. */
+	/** Result of the check of a response. */
 	enum Verdict {
 
-		/** Whole and right. */
-		RIGHT,
-		/** Ended early, and says so; what came is right. */
-		CUT,
-		/** From two sets of weights. */
+		/** Complete and correct. */
+		CORRECT,
+		/** Visibly truncated; the part received is correct. */
+		TRUNCATED,
+		/** Generated with more than one set of weights. */
 		MIXED,
-		/** Anything else. */
+		/** Any other deviation. */
 		WRONG
 
 	}
 
-	HttpCall at(URI entry, Duration timeout);
+	HttpCall httpCall(URI entry, Duration timeout);
 
-	Verdict judge(CollectedAnswer answer);
+	Verdict evaluate(BufferedResponse response);
 
 	/**
 	 * A chat completion.
 	 *
-	 * @param service as the caller names it
-	 * @param prompt of this request alone
-	 * @param tokens to be answered
-	 * @param stream whether as server-sent events
+	 * @param service the name that the client uses
+	 * @param prompt unique to this request
+	 * @param tokens number of tokens to generate
+	 * @param stream whether to use server-sent events
 	 */
 	record Completion(String service, String prompt, int tokens, boolean stream) implements TrafficCall {
 
 		@Override
-		public HttpCall at(URI entry, Duration timeout) {
+		public HttpCall httpCall(URI entry, Duration timeout) {
 			String body = "{\"model\":\"%s\",\"stream\":%s,\"max_tokens\":%d,\"messages\":[{\"role\":\"user\",\"content\":\"%s\"}]}"
 				.formatted(this.service, this.stream, this.tokens, this.prompt);
 			return HttpCall.of("POST", entry.resolve("/v1/chat/completions"), timeout)
@@ -51,72 +50,73 @@
 		}
 
 		@Override
-		public Verdict judge(CollectedAnswer answer) {
-			if (answer.failed() && !this.stream) {
-				return Verdict.CUT;
+		public Verdict evaluate(BufferedResponse response) {
+			if (response.failed() && !this.stream) {
+				return Verdict.TRUNCATED;
 			}
-			CompletionAnswer said = this.stream ? CompletionAnswer.ofEvents(answer.text())
-					: CompletionAnswer.ofBody(answer.text());
-			String weights = answer.header(CallerHeaders.WEIGHTS).orElse("");
-			int right = EngineTokens.matching(weights, this.prompt, said.text());
-			if (!said.text().equals(EngineTokens.answer(weights, this.prompt, right))) {
-				return (right > 0) ? Verdict.MIXED : Verdict.WRONG;
+			ChatCompletion received = this.stream ? ChatCompletion.ofEvents(response.text())
+					: ChatCompletion.ofBody(response.text());
+			String weights = response.header(CallerHeaders.WEIGHTS).orElse("");
+			int matching = EngineTokens.countMatching(weights, this.prompt, received.text());
+			if (!received.text().equals(EngineTokens.answer(weights, this.prompt, matching))) {
+				return (matching > 0) ? Verdict.MIXED : Verdict.WRONG;
 			}
-			if (said.whole()) {
-				return (right == this.tokens) ? Verdict.RIGHT : Verdict.WRONG;
+			if (received.complete()) {
+				return (matching == this.tokens) ? Verdict.CORRECT : Verdict.WRONG;
 			}
-			// An answer that is short but ends as if it were whole would be believed.
-			return answer.failed() ? Verdict.CUT : Verdict.WRONG;
+			// A short completion with a proper end would be taken for complete.
+			return response.failed() ? Verdict.TRUNCATED : Verdict.WRONG;
 		}
 
 	}
 
 	/**
-	 * A lookup, which may be repeated.
+	 * An idempotent lookup.
 	 *
-	 * @param service as the caller names it
-	 * @param key what is looked up
+	 * @param service the name that the client uses
+	 * @param key the key to look up
 	 */
 	record Lookup(String service, String key) implements TrafficCall {
 
 		@Override
-		public HttpCall at(URI entry, Duration timeout) {
+		public HttpCall httpCall(URI entry, Duration timeout) {
 			return HttpCall.of("GET", entry.resolve("/services/" + this.service + "/lookup/" + this.key), timeout);
 		}
 
 		@Override
-		public Verdict judge(CollectedAnswer answer) {
-			if (answer.failed()) {
-				return Verdict.CUT;
+		public Verdict evaluate(BufferedResponse response) {
+			if (response.failed()) {
+				return Verdict.TRUNCATED;
 			}
-			PlainServer.Found found = Json.read(answer.body(), PlainServer.Found.class);
-			boolean right = found.equals(new PlainServer.Found(this.key, PlainServer.lookup(this.key)));
-			return right ? Verdict.RIGHT : Verdict.WRONG;
+			PlainServer.LookupResult found = Json.read(response.body(), PlainServer.LookupResult.class);
+			boolean matching = found.equals(new PlainServer.LookupResult(this.key, PlainServer.lookup(this.key)));
+			return matching ? Verdict.CORRECT : Verdict.WRONG;
 		}
 
 	}
 
 	/**
-	 * An allocation, which must not run twice; it is repeated only with its key.
+	 * An allocation, which must not run twice and is retried only with its idempotency
+	 * key.
 	 *
-	 * @param service as the caller names it
-	 * @param key of this allocation
+	 * @param service the name that the client uses
+	 * @param key the idempotency key
 	 */
 	record Allocation(String service, String key) implements TrafficCall {
 
 		@Override
-		public HttpCall at(URI entry, Duration timeout) {
+		public HttpCall httpCall(URI entry, Duration timeout) {
 			return HttpCall.of("POST", entry.resolve("/services/" + this.service + "/allocate"), timeout)
 				.header(CallerHeaders.IDEMPOTENCY_KEY, this.key);
 		}
 
 		@Override
-		public Verdict judge(CollectedAnswer answer) {
-			if (answer.failed()) {
-				return Verdict.CUT;
+		public Verdict evaluate(BufferedResponse response) {
+			if (response.failed()) {
+				return Verdict.TRUNCATED;
 			}
-			PlainServer.Execution made = Json.read(answer.body(), PlainServer.Execution.class);
-			return made.key().equals(this.key) ? Verdict.RIGHT : Verdict.WRONG;
+			PlainServer.Execution made = Json.read(response.body(), PlainServer.Execution.class);
+			return made.key().equals(this.key) ? Verdict.CORRECT : Verdict.WRONG;
 		}
 
 	}
--- a/standin/src/main/java/org/wisteriapost/standin/TrafficLedger.java
+++ b/standin/src/main/java/org/wisteriapost/standin/TrafficRecorder.java
@@ -10,11 +10,11 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * What the callers were told, to be held against what truly ran.
+ * Records what the clients observed, to be compared with what the runners executed.
  */
-final class TrafficLedger {
+final class TrafficRecorder {
 
-	private static final int PROBLEMS_KEPT = 20;
+	private static final int MAX_PROBLEMS = 20;
 
 	private final Map<Count, AtomicLong> counts = new ConcurrentHashMap<>();
 
@@ -28,24 +28,24 @@
 		this.counts.computeIfAbsent(kind, (key) -> new AtomicLong()).incrementAndGet();
 	}
 
-	void problem(Count kind, String detail) {
+	void recordProblem(Count kind, String detail) {
 		count(kind);
 		synchronized (this.problems) {
-			if (this.problems.size() < PROBLEMS_KEPT) {
+			if (this.problems.size() < MAX_PROBLEMS) {
 				this.problems.add(kind + ": " + detail);
 			}
 		}
 	}
 
-	void toldNotRun(String requestId) {
+	void recordNotRun(String requestId) {
 		this.notRun.add(requestId);
 	}
 
-	void labelled(String weightsDigest) {
+	void recordWeightsLabel(String weightsDigest) {
 		this.labels.add(weightsDigest);
 	}
 
-	long of(Count kind) {
+	long total(Count kind) {
 		AtomicLong count = this.counts.get(kind);
 		return (count != null) ? count.get() : 0;
 	}
@@ -57,47 +57,49 @@
 	}
 
 	/**
-	 * Counts the requests that ran although a caller was told that they had not.
+	 * Counts the requests that were executed although a client was told that they were
+	 * not.
 	 */
 	void checkExecuted(Map<String, Long> executed) {
 		executed.keySet()
 			.stream()
 			.filter(this.notRun::contains)
-			.forEach((id) -> problem(Count.NOT_RUN_THAT_RAN, "request " + id + " ran"));
+			.forEach((id) -> recordProblem(Count.NOT_RUN_THAT_RAN, "request " + id + " was executed"));
 	}
 
 	/**
-	 * Counts the keys whose allocation ran more than once, over all plain services.
+	 * Counts the idempotency keys whose allocation was executed more than once, over all
+	 * plain services.
 	 */
 	void checkAllocations(List<PlainServer.Execution> executions) {
 		Map<String, List<String>> byKey = new HashMap<>();
 		executions.forEach((one) -> byKey.computeIfAbsent(one.key(), (key) -> new ArrayList<>()).add(one.requestId()));
 		byKey.forEach((key, ids) -> {
 			if (ids.size() > 1) {
-				problem(Count.DUPLICATED, "key " + key + " ran for " + ids);
+				recordProblem(Count.DUPLICATED, "key " + key + " was executed for requests " + ids);
 			}
 		});
 	}
 
 	/**
-	 * Counts the weights that answers were labelled with but that no bundle names.
+	 * Counts the weights in response labels that belong to no accepted bundle.
 	 */
 	void checkLabels(Set<String> accepted) {
 		this.labels.stream()
 			.filter((label) -> !accepted.contains(label))
-			.forEach((label) -> problem(Count.WRONG, "weights " + label + " are of no accepted bundle"));
+			.forEach((label) -> recordProblem(Count.WRONG, "weights " + label + " belong to no accepted bundle"));
 	}
 
-	Map<String, Long> figures() {
+	Map<String, Long> totals() {
 		Map<String, Long> figures = new TreeMap<>();
 		for (Count kind : Count.values()) {
-			figures.put(kind.text, of(kind));
+			figures.put(kind.text, total(kind));
 		}
 		return figures;
 	}
 
 	/**
-	 * What is counted.
+	 * The recorded counts.
 	 */
 	enum Count {
 
--- a/standin/src/main/java/org/wisteriapost/standin/VmListServer.java
+++ b/standin/src/main/java/org/wisteriapost/standin/VmListServer.java
@@ -11,7 +11,7 @@
 import org.wisteriapost.protocol.outside.VmList;
 
 /**
- * The VM list; changes show only after its lag.
+ * The VM list. Changes become visible after a configured lag.
  */
 public final class VmListServer implements AutoCloseable {
 
@@ -23,9 +23,9 @@
 
 	private final Map<String, VmList.Vm> actual = new TreeMap<>();
 
-	private final Map<String, VmList.Vm> shown = new TreeMap<>();
+	private final Map<String, VmList.Vm> published = new TreeMap<>();
 
-	private final Deque<Change> late = new ArrayDeque<>();
+	private final Deque<Change> pendingChanges = new ArrayDeque<>();
 
 	private final StandinServer server;
 
@@ -35,14 +35,14 @@
 	}
 
 	/**
-	 * Returns a list without lag.
+	 * Starts a list without lag.
 	 */
 	public static VmListServer start(String host, int port) {
 		return start(host, port, 0);
 	}
 
 	/**
-	 * Returns a list whose changes show after a lag.
+	 * Starts a list with the given lag.
 	 */
 	public static VmListServer start(String host, int port, long lagMillis) {
 		return new VmListServer(host, port, lagMillis);
@@ -53,21 +53,21 @@
 	}
 
 	/**
-	 * Arms a fault, or clears all with {@link Fault.Kind#NONE}.
+	 * Injects a fault, or clears all with {@link Fault.Kind#NONE}.
 	 */
 	public void fault(Fault fault) {
 		this.server.fault(fault);
 	}
 
 	/**
-	 * Adds a VM or changes it.
+	 * Adds or replaces a VM.
 	 */
 	public synchronized void put(VmList.Vm vm) {
 		change(vm.vm(), Optional.of(vm));
 	}
 
 	/**
-	 * Takes a VM off the list.
+	 * Removes a VM.
 	 */
 	public synchronized void remove(String name) {
 		change(name, Optional.empty());
@@ -76,10 +76,10 @@
 	/**
 	 * Marks a VM as leaving.
 	 */
-	public synchronized void leave(String name) {
+	public synchronized void markLeaving(String name) {
 		VmList.Vm vm = this.actual.get(name);
 		if (vm == null) {
-			throw new IllegalArgumentException("no VM " + name);
+			throw new IllegalArgumentException("unknown VM " + name);
 		}
 		put(new VmList.Vm(vm.vm(), vm.place(), vm.region(), vm.role(), vm.service(), vm.host(), vm.linkPort(),
 				vm.httpPort(), true));
@@ -92,19 +92,19 @@
 
 	private synchronized void handle(Request request, Responder responder) {
 		if (request.method().equals("GET") && request.path().equals(VMS)) {
-			responder.json(200, read());
+			responder.json(200, currentVms());
 		}
-		else if (request.is("PUT", VMS + "/")) {
+		else if (request.matches("PUT", VMS + "/")) {
 			put(Json.read(request.body(), VmList.Vm.class));
 			responder.status(200);
 		}
-		else if (request.is("DELETE", VMS + "/")) {
-			remove(request.after(VMS + "/"));
+		else if (request.matches("DELETE", VMS + "/")) {
+			remove(request.pathAfter(VMS + "/"));
 			responder.status(200);
 		}
-		else if (request.is("POST", VMS + "/") && request.path().endsWith(LEAVING)) {
-			String name = request.after(VMS + "/");
-			leave(name.substring(0, name.length() - LEAVING.length()));
+		else if (request.matches("POST", VMS + "/") && request.path().endsWith(LEAVING)) {
+			String name = request.pathAfter(VMS + "/");
+			markLeaving(name.substring(0, name.length() - LEAVING.length()));
 			responder.status(200);
 		}
 		else {
@@ -112,18 +112,18 @@
 		}
 	}
 
-	private List<VmList.Vm> read() {
+	private List<VmList.Vm> currentVms() {
 		long now = System.nanoTime();
-		while (!this.late.isEmpty() && now - this.late.peekFirst().atNanos - this.lagNanos >= 0) {
-			Change change = this.late.removeFirst();
-			apply(this.shown, change.name, change.vm);
+		while (!this.pendingChanges.isEmpty() && now - this.pendingChanges.peekFirst().atNanos - this.lagNanos >= 0) {
+			Change change = this.pendingChanges.removeFirst();
+			apply(this.published, change.name, change.vm);
 		}
-		return List.copyOf(this.shown.values());
+		return List.copyOf(this.published.values());
 	}
 
 	private void change(String name, Optional<VmList.Vm> vm) {
 		apply(this.actual, name, vm);
-		this.late.addLast(new Change(System.nanoTime(), name, vm));
+		this.pendingChanges.addLast(new Change(System.nanoTime(), name, vm));
 	}
 
 	private static void apply(Map<String, VmList.Vm> vms, String name, Optional<VmList.Vm> vm) {
--- a/standin/src/main/java/org/wisteriapost/standin/package-info.java
+++ b/standin/src/main/java/org/wisteriapost/standin/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Small stand-ins for the outside systems, and the callers that check answers against
- * them. Never part of the binary.
+ * Small stand-ins for external systems, and a load generator that checks the responses.
+ * Not part of the product binary.
  */
 package org.wisteriapost.standin;
--- a/standin/src/test/java/org/wisteriapost/standin/EngineServerTests.java
+++ b/standin/src/test/java/org/wisteriapost/standin/EngineServerTests.java
@@ -58,7 +58,7 @@
 	}
 
 	@Test
-	void orderIsCarriedOutOnlyWithEveryChunk() throws Exception {
+	void weightsAreLoadedOnlyWithEveryChunk() throws Exception {
 		URI address = address(start(EngineOptions.quick()));
 		WeightFile file = file("a", "b", "c");
 		WeightStore store = HttpWeightStore.at(this.caller, address);
@@ -76,7 +76,7 @@
 
 	@ParameterizedTest
 	@ValueSource(booleans = { true, false })
-	void lowerOrderIsRefusedOnlyByAnEngineThatChecksFencing(boolean fencing) throws Exception {
+	void staleOrderIsRejectedOnlyByAnEngineThatChecksFencing(boolean fencing) throws Exception {
 		Engine engine = HttpEngine.at(this.caller, address(start(EngineOptions.quick().fencing(fencing))));
 		done(engine.load(new Engine.Order("w2", List.of(), 2, 5)));
 		CompletableFuture<Void> lower = engine.load(new Engine.Order("w1", List.of(), 2, 4));
@@ -90,14 +90,14 @@
 	}
 
 	@Test
-	void callIsRefusedUntilWeightsAreLoaded() throws Exception {
+	void callIsRejectedUntilWeightsAreLoaded() throws Exception {
 		EngineServer server = start(EngineOptions.quick());
 		assertThat(complete(server, "r1", "hello", false).status(), is(503));
 		load(server, "w1");
-		HttpReply whole = complete(server, "r2", "hello", false);
-		assertThat(whole.status(), is(200));
-		assertThat(whole.header(CallerHeaders.WEIGHTS), is(Optional.of("w1")));
-		assertThat(text(whole), containsString(EngineTokens.answer("w1", "hello", 5)));
+		HttpReply reply = complete(server, "r2", "hello", false);
+		assertThat(reply.status(), is(200));
+		assertThat(reply.header(CallerHeaders.WEIGHTS), is(Optional.of("w1")));
+		assertThat(text(reply), containsString(EngineTokens.answer("w1", "hello", 5)));
 		assertThat(server.executed(), is(Map.of("r2", 1L)));
 	}
 
@@ -107,29 +107,29 @@
 		load(server, "w1");
 		for (int i = 0; i < 3; i++) {
 			HttpReply reply = complete(server, "r" + i, "prompt " + i, true);
-			assertThat(CompletionAnswer.ofEvents(text(reply)),
-					is(new CompletionAnswer(EngineTokens.answer("w1", "prompt " + i, 5), true)));
+			assertThat(ChatCompletion.ofEvents(text(reply)),
+					is(new ChatCompletion(EngineTokens.answer("w1", "prompt " + i, 5), true)));
 			assertThat(text(reply), endsWith("data: [DONE]\n\n"));
 		}
 	}
 
-	// The caller closes its connection while the engine works. The slot must become free,
-	// else callers that gave up would hold the engine until nobody else is served.
+	// The client disconnects during a call. Its slot must be released, or calls of
+	// disconnected clients would occupy the engine.
 	@ParameterizedTest
 	@ValueSource(booleans = { true, false })
-	void callOfACallerThatHasGoneIsCancelled(boolean stream) throws Exception {
+	void callIsCancelledWhenItsCallerDisconnects(boolean stream) throws Exception {
 		EngineOptions slow = new EngineOptions(true, Duration.ZERO, Duration.ofMillis(20), Duration.ZERO, 1,
 				Duration.ZERO, true);
 		EngineServer server = start(slow);
 		load(server, "w1");
-		CompletableFuture<HttpReply> gone = this.caller.call(call(server, "gone", "p", stream, 1_000_000));
+		CompletableFuture<HttpReply> disconnected = this.caller.call(call(server, "gone", "p", stream, 1_000_000));
 		await(() -> server.executed().containsKey("gone"));
-		gone.cancel(true);
+		disconnected.cancel(true);
 		assertThat(complete(server, "next", "q", stream).status(), is(200));
 	}
 
 	@Test
-	void urgentCallGoesBeforeOthersThatWait() throws Exception {
+	void urgentCallRunsBeforeQueuedCalls() throws Exception {
 		EngineOptions slow = new EngineOptions(true, Duration.ZERO, Duration.ofMillis(100), Duration.ZERO, 1,
 				Duration.ZERO, true);
 		EngineServer server = start(slow);
@@ -204,7 +204,7 @@
 	private static void await(java.util.function.BooleanSupplier condition) throws Exception {
 		long limit = System.nanoTime() + LIMIT.toNanos();
 		while (!condition.getAsBoolean()) {
-			assertThat("within the limit", System.nanoTime() < limit);
+			assertThat("condition met within the time limit", System.nanoTime() < limit);
 			Thread.sleep(5);
 		}
 	}
--- a/standin/src/test/java/org/wisteriapost/standin/HttpOriginTests.java
+++ b/standin/src/test/java/org/wisteriapost/standin/HttpOriginTests.java
@@ -60,11 +60,10 @@
 		assertThat(one.chunks().get(2), is(not(two.chunks().get(2))));
 	}
 
-	// The publisher replaces a file while a VM fetches it. A read of the pinned version
-	// must fail as changed: bytes of the new one would be hashed in vain or, worse,
-	// mixed.
+	// The publisher replaces a file during a fetch. A read of the pinned version must
+	// fail as changed, or chunks of both versions could be mixed.
 	@Test
-	void readOfAReplacedVersionIsRefused() throws Exception {
+	void readOfAReplacedVersionIsRejected() throws Exception {
 		this.server.publish("a", "1", SIZE, CHUNK);
 		Origin.Manifest pinned = this.origin.manifest("a").get(LIMIT_SECONDS, TimeUnit.SECONDS);
 		Origin.Manifest next = this.server.publish("a", "2", SIZE, CHUNK);
@@ -72,8 +71,7 @@
 		assertThat(this.origin.read("a", next.etag(), 0, 10).get(LIMIT_SECONDS, TimeUnit.SECONDS).length, is(10));
 	}
 
-	// The origin ends an answer halfway, refuses, or knows no such file: never a short
-	// chunk.
+	// A truncated or failed response must never produce a short chunk.
 	@ParameterizedTest
 	@CsvSource({ "CUT, 0, 100000", "DOWN, 0, 100000", "REFUSE, 0, 100000", "SLOW, 200000, 100000" })
 	void shortOrFailedAnswerIsUnavailable(Fault.Kind kind, long offset, int length) {
--- a/standin/src/test/java/org/wisteriapost/standin/HttpPlatformTests.java
+++ b/standin/src/test/java/org/wisteriapost/standin/HttpPlatformTests.java
@@ -58,7 +58,7 @@
 	}
 
 	@Test
-	void unexpectedValueIsAConflictThatShowsWhatIsThere() throws Exception {
+	void failedPreconditionReturnsTheCurrentValue() throws Exception {
 		put("head", bytes("one"), new Expected.Anything());
 		PutResult.Conflict absent = (PutResult.Conflict) put("head", bytes("two"), new Expected.Absent());
 		PutResult.Conflict version = (PutResult.Conflict) put("head", bytes("two"), new Expected.Version(7));
@@ -69,7 +69,7 @@
 	}
 
 	@Test
-	void watchEndsAtTheFirstChangeUnderItsPrefixAndShowsOnlyThat() throws Exception {
+	void watchReturnsOnlyChangesUnderItsPrefix() throws Exception {
 		put("bundles/a", bytes("1"), new Expected.Absent());
 		Platform.Listing before = this.platform.list("bundles/").get(LIMIT_SECONDS, TimeUnit.SECONDS);
 		CompletableFuture<Platform.Listing> watch = this.platform.watch("bundles/", before.revision(),
@@ -90,16 +90,16 @@
 		assertThat(listing.items(), is(empty()));
 	}
 
-	// The writer sees no answer to a write that the platform has applied. It must be told
-	// "may have taken effect", or it would write again or report a failed roll that in
-	// truth is in force. Only a call that cannot have had an effect may be told as such.
+	// A write whose response is lost must be reported as unconfirmed: the caller would
+	// otherwise repeat it or report a rollout as failed that has taken effect. Only
+	// calls that cannot have taken effect may be reported as failed.
 	@ParameterizedTest
 	@CsvSource({ "LOSE_ANSWERS, platform-unconfirmed, true", "CUT, platform-unconfirmed, false",
 			"REFUSE, platform-unconfirmed, false", "DOWN, platform-unavailable, false" })
-	void failedWriteSaysWhetherItMayHaveTakenEffect(Fault.Kind kind, String code, boolean written) throws Exception {
+	void failedWriteReportsWhetherItMayHaveTakenEffect(Fault.Kind kind, String code, boolean written) throws Exception {
 		put("head", bytes("old"), new Expected.Absent());
 		this.server.fault(new Fault(kind, "", 0, 1));
-		// Only the answer of a conflict has a body that can be cut.
+		// Only the response to a conflict has a body that can be truncated.
 		Expected expected = (kind == Fault.Kind.CUT) ? new Expected.Version(9) : new Expected.Version(1);
 		assertThat(code(this.platform.put("head", bytes("new"), expected)), is(code));
 		boolean changed = get("head").orElseThrow().version() == 2;
--- a/standin/src/test/java/org/wisteriapost/standin/ProcessFaultTests.java
+++ b/standin/src/test/java/org/wisteriapost/standin/ProcessFaultTests.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
-import org.wisteriapost.standin.TrafficLedger.Count;
+import org.wisteriapost.standin.TrafficRecorder.Count;
 
 import static org.hamcrest.MatcherAssert.assertThat;
 import static org.hamcrest.Matchers.empty;
@@ -22,25 +22,25 @@
 import static org.hamcrest.Matchers.is;
 
 /**
- * Kills, freezes and cuts real processes while completions, lookups, allocations and a
- * roll are in progress.
+ * Kills, suspends and disconnects real processes during completions, lookups, allocations
+ * and a rollout.
  */
 class ProcessFaultTests {
 
-	private static final int CALLERS = 8;
+	private static final int CLIENTS = 8;
 
 	private static final long THINK_MILLIS = 10;
 
-	// At 5 ms a token each takes longer than an engine takes to load: an engine that was
-	// ordered too early changes weights under it.
+	// At 5 ms per token a call takes longer than loading weights, so that an engine
+	// that is ordered to load too early changes the weights of a running call.
 	private static final int MIN_TOKENS = 40;
 
-	// Long enough for links and leases to be taken for dead on the other side.
-	private static final long FROZEN_MILLIS = 2500;
+	// Long enough for links and leases to expire at the peers.
+	private static final long FREEZE_MILLIS = 2500;
 
-	private static final long CUTS = 3;
+	private static final long DISCONNECT_COUNT = 3;
 
-	private static final long CUT_EVERY_MILLIS = 300;
+	private static final long DISCONNECT_INTERVAL_MILLIS = 300;
 
 	private static final List<String> ENGINES = List.of("engine-1", "engine-2");
 
@@ -48,14 +48,14 @@
 
 	private static int generation;
 
-	// The weights of each generation, oldest first.
-	private static final List<String> HISTORY = new ArrayList<>(List.of(""));
+	// Index is the generation.
+	private static final List<String> WEIGHTS_BY_GENERATION = new ArrayList<>(List.of(""));
 
 	@BeforeAll
 	static void start() throws Exception {
 		fleet = TestFleet.start(Path.of("target", "process-faults"));
-		rollNext();
-		OneProcess.await("the first bundle is served", ProcessFaultTests::allServeLatest);
+		rollOutNext();
+		TestProcess.await("all engines serve the first bundle", ProcessFaultTests::allServeLatest);
 	}
 
 	@AfterAll
@@ -67,57 +67,57 @@
 
 	static Stream<Arguments> faults() {
 		Stream<Arguments> processes = Stream.of("entry-1", "lm-1", "reg-1", "engine-1")
-			.flatMap((target) -> Stream.of(Blow.values()).map((blow) -> Arguments.of(target, blow)));
-		// The plain service is in the test's own process: only its connections are cut.
-		return Stream.concat(processes, Stream.of(Arguments.of("plain-1", Blow.CUT)));
+			.flatMap((target) -> Stream.of(ProcessFault.values()).map((fault) -> Arguments.of(target, fault)));
+		// The plain service runs in the test process: only its connections can be
+		// closed.
+		return Stream.concat(processes, Stream.of(Arguments.of("plain-1", ProcessFault.CUT)));
 	}
 
-	// A caller sees at worst a refusal, a visible cut or "unknown" while one process is
-	// killed, frozen or cut off in the middle of its requests and of a roll. Then the
-	// process comes back. Each answer must be whole, its own and from one set of weights;
-	// each key must have run at most once; what was told "not run" must not stand in any
-	// runner's journal; and no engine may go back to weights that it served before.
+	// A fault of one process during requests and a rollout may cause rejections,
+	// visible truncation or unknown outcomes. It must not cause incomplete, foreign or
+	// mixed responses, duplicate execution of a key, execution of a request reported as
+	// not run, or an engine that returns to earlier weights.
 	@ParameterizedTest(name = "{0} {1}")
 	@MethodSource("faults")
-	void everyPromiseHoldsWhen(String target, Blow blow) throws Exception {
-		TrafficLedger ledger = new TrafficLedger();
+	void guaranteesHoldDuring(String target, ProcessFault fault) throws Exception {
+		TrafficRecorder recorder = new TrafficRecorder();
 		AtomicBoolean stop = new AtomicBoolean();
 		Map<String, Integer> highest = new ConcurrentHashMap<>();
 		Set<String> reverted = ConcurrentHashMap.newKeySet();
 		Thread sampler = Thread.startVirtualThread(() -> sample(stop, highest, reverted));
-		List<Thread> callers = callers(ledger, stop);
-		OneProcess.await("requests flow", () -> ledger.of(Count.ANSWERED) > CALLERS);
+		List<Thread> clients = clients(recorder, stop);
+		TestProcess.await("requests are answered", () -> recorder.total(Count.ANSWERED) > CLIENTS);
 
 		String digest = fleet.accept(generation + 1);
-		Thread roll = Thread.startVirtualThread(() -> rollAccepted(digest));
-		blow.strike(fleet, target);
-		roll.join();
-		OneProcess.await("the bundle is served again", ProcessFaultTests::allServeLatest);
-		long answered = ledger.of(Count.ANSWERED);
-		OneProcess.await("requests flow again", () -> ledger.of(Count.ANSWERED) > answered + CALLERS);
+		Thread rollout = Thread.startVirtualThread(() -> rollOutAccepted(digest));
+		fault.inject(fleet, target);
+		rollout.join();
+		TestProcess.await("all engines serve the latest bundle again", ProcessFaultTests::allServeLatest);
+		long answered = recorder.total(Count.ANSWERED);
+		TestProcess.await("requests are answered again", () -> recorder.total(Count.ANSWERED) > answered + CLIENTS);
 
 		stop.set(true);
 		sampler.join();
-		for (Thread caller : callers) {
-			caller.join();
+		for (Thread client : clients) {
+			client.join();
 		}
-		ledger.checkExecuted(fleet.executed());
-		ledger.checkAllocations(fleet.plain.executions());
-		ledger.checkLabels(Set.copyOf(HISTORY.subList(1, HISTORY.size())));
-		assertThat(ledger.problems(), is(empty()));
+		recorder.checkExecuted(fleet.executed());
+		recorder.checkAllocations(fleet.plain.executions());
+		recorder.checkLabels(Set.copyOf(WEIGHTS_BY_GENERATION.subList(1, WEIGHTS_BY_GENERATION.size())));
+		assertThat(recorder.problems(), is(empty()));
 		assertThat(reverted, is(empty()));
-		assertThat(ledger.of(Count.ANSWERED), is(greaterThan((long) CALLERS)));
+		assertThat(recorder.total(Count.ANSWERED), is(greaterThan((long) CLIENTS)));
 	}
 
-	private static List<Thread> callers(TrafficLedger ledger, AtomicBoolean stop) {
-		EntryAddresses entries = new EntryAddresses(fleet.caller, TestFleet.TOKEN, fleet.entries(), generation);
+	private static List<Thread> clients(TrafficRecorder recorder, AtomicBoolean stop) {
+		EntryAddressCache entries = new EntryAddressCache(fleet.caller, TestFleet.TOKEN, fleet.entries(), generation);
 		List<Thread> threads = new ArrayList<>();
-		for (int i = 0; i < CALLERS; i++) {
+		for (int i = 0; i < CLIENTS; i++) {
 			String name = "g" + generation + "-c" + i;
-			TrafficCaller caller = new TrafficCaller(name, fleet.caller, entries, TestFleet.TOKEN, ledger, i);
+			TrafficClient client = new TrafficClient(name, fleet.caller, entries, TestFleet.TOKEN, recorder, i);
 			int kind = i;
 			threads
-				.add(Thread.startVirtualThread(() -> caller.run((n) -> call(kind, name, n), stop::get, THINK_MILLIS)));
+				.add(Thread.startVirtualThread(() -> client.run((n) -> call(kind, name, n), stop::get, THINK_MILLIS)));
 		}
 		return threads;
 	}
@@ -131,21 +131,21 @@
 		};
 	}
 
-	private static void rollNext() throws Exception {
-		rollAccepted(fleet.accept(generation + 1));
+	private static void rollOutNext() throws Exception {
+		rollOutAccepted(fleet.accept(generation + 1));
 	}
 
-	private static void rollAccepted(String digest) {
+	private static void rollOutAccepted(String digest) {
 		String weights = fleet.weights(digest);
-		synchronized (HISTORY) {
-			HISTORY.add(weights);
+		synchronized (WEIGHTS_BY_GENERATION) {
+			WEIGHTS_BY_GENERATION.add(weights);
 		}
 		fleet.roll(digest, generation);
 		generation++;
 	}
 
 	private static boolean allServeLatest() {
-		String latest = HISTORY.getLast();
+		String latest = WEIGHTS_BY_GENERATION.getLast();
 		return ENGINES.stream().allMatch((engine) -> fleet.serving(engine).equals(latest));
 	}
 
@@ -154,12 +154,11 @@
 			for (String engine : ENGINES) {
 				String serving = fleet.serving(engine);
 				int now;
-				synchronized (HISTORY) {
-					now = HISTORY.indexOf(serving);
+				synchronized (WEIGHTS_BY_GENERATION) {
+					now = WEIGHTS_BY_GENERATION.indexOf(serving);
 				}
 				int before = highest.merge(engine, now, Math::max);
-				// An engine that was killed serves nothing at first; that is no old
-				// bundle.
+				// A restarted engine has no weights at first; that is no reversal.
 				if (now < before && !serving.isEmpty()) {
 					reverted.add(engine + " went from generation " + before + " to " + now);
 				}
@@ -167,35 +166,35 @@
 		}
 	}
 
-	/** What happens to a process. */
-	enum Blow {
+	/** A fault that is injected into a process. */
+	enum ProcessFault {
 
 		KILL {
 			@Override
-			void strike(TestFleet fleet, String target) throws Exception {
+			void inject(TestFleet fleet, String target) throws Exception {
 				fleet.process(target).kill();
 				fleet.process(target).start();
 			}
 		},
 		FREEZE {
 			@Override
-			void strike(TestFleet fleet, String target) throws Exception {
+			void inject(TestFleet fleet, String target) throws Exception {
 				fleet.process(target).signal("STOP");
-				Thread.sleep(FROZEN_MILLIS);
+				Thread.sleep(FREEZE_MILLIS);
 				fleet.process(target).signal("CONT");
 			}
 		},
 		CUT {
 			@Override
-			void strike(TestFleet fleet, String target) throws Exception {
-				for (int i = 0; i < CUTS; i++) {
+			void inject(TestFleet fleet, String target) throws Exception {
+				for (int i = 0; i < DISCONNECT_COUNT; i++) {
 					fleet.cut(target);
-					Thread.sleep(CUT_EVERY_MILLIS);
+					Thread.sleep(DISCONNECT_INTERVAL_MILLIS);
 				}
 			}
 		};
 
-		abstract void strike(TestFleet fleet, String target) throws Exception;
+		abstract void inject(TestFleet fleet, String target) throws Exception;
 
 	}
 
--- a/standin/src/test/java/org/wisteriapost/standin/CuttableRelay.java
+++ b/standin/src/test/java/org/wisteriapost/standin/TcpProxy.java
@@ -9,10 +9,10 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * Passes connections on to a process, so that a test can cut all of them at once; the
- * process may come back at another port.
+ * TCP proxy in front of a process that can close all connections at once. The target may
+ * move to another port.
  */
-final class CuttableRelay implements AutoCloseable {
+final class TcpProxy implements AutoCloseable {
 
 	private static final int BUFFER_BYTES = 16 * 1024;
 
@@ -20,19 +20,19 @@
 
 	private final ServerSocket server;
 
-	private final Set<Socket> open = ConcurrentHashMap.newKeySet();
+	private final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
 
 	private volatile int target;
 
-	private CuttableRelay(String host, ServerSocket server) {
+	private TcpProxy(String host, ServerSocket server) {
 		this.host = host;
 		this.server = server;
 	}
 
-	static CuttableRelay start(String host) throws IOException {
-		CuttableRelay relay = new CuttableRelay(host, new ServerSocket(0, 100, InetAddress.getByName(host)));
-		Thread.startVirtualThread(relay::accept);
-		return relay;
+	static TcpProxy start(String host) throws IOException {
+		TcpProxy proxy = new TcpProxy(host, new ServerSocket(0, 100, InetAddress.getByName(host)));
+		Thread.startVirtualThread(proxy::accept);
+		return proxy;
 	}
 
 	int port() {
@@ -43,15 +43,15 @@
 		this.target = port;
 	}
 
-	void cut() {
-		this.open.forEach(CuttableRelay::close);
-		this.open.clear();
+	void closeConnections() {
+		this.sockets.forEach(TcpProxy::close);
+		this.sockets.clear();
 	}
 
 	@Override
 	public void close() throws IOException {
 		this.server.close();
-		cut();
+		closeConnections();
 	}
 
 	private void accept() {
@@ -71,17 +71,17 @@
 			Socket to = new Socket(this.host, this.target);
 			from.setTcpNoDelay(true);
 			to.setTcpNoDelay(true);
-			this.open.add(from);
-			this.open.add(to);
-			Thread.startVirtualThread(() -> pass(from, to));
-			pass(to, from);
+			this.sockets.add(from);
+			this.sockets.add(to);
+			Thread.startVirtualThread(() -> forward(from, to));
+			forward(to, from);
 		}
 		catch (IOException ex) {
 			close(from);
 		}
 	}
 
-	private void pass(Socket from, Socket to) {
+	private void forward(Socket from, Socket to) {
 		byte[] buffer = new byte[BUFFER_BYTES];
 		try {
 			InputStream in = from.getInputStream();
@@ -92,12 +92,12 @@
 			}
 		}
 		catch (IOException ex) {
-			// Either end is enough: both are closed.
+			// Both sides are closed if either of them fails.
 		}
 		close(from);
 		close(to);
-		this.open.remove(from);
-		this.open.remove(to);
+		this.sockets.remove(from);
+		this.sockets.remove(to);
 	}
 
 	private static void close(Socket socket) {
@@ -105,7 +105,7 @@
 			socket.close();
 		}
 		catch (IOException ex) {
-			// It is gone all the same.
+			// The socket is unusable anyway.
 		}
 	}
 
--- a/standin/src/test/java/org/wisteriapost/standin/TestFleet.java
+++ b/standin/src/test/java/org/wisteriapost/standin/TestFleet.java
@@ -25,9 +25,9 @@
 import org.wisteriapost.protocol.outside.http.HttpPlatform;
 
 /**
- * Two entries, two engines with an agent each and one plain service with an agent, as
- * real processes; the platform, the VM list, the origin and the plain service are in the
- * test's own process, so that what they know outlives every fault.
+ * Two entries, two engines and one plain service with an agent each. Entries, agents and
+ * engines run as separate processes; the platform, the VM list, the origin and the plain
+ * service run in the test process, so that their state survives every fault.
  */
 final class TestFleet implements AutoCloseable {
 
@@ -37,7 +37,7 @@
 
 	private static final String HTTP = "-http";
 
-	private static final String PLACE = "oban-a";
+	private static final String FAILURE_DOMAIN = "oban-a";
 
 	private static final long FILE_BYTES = 2 << 20;
 
@@ -53,9 +53,9 @@
 
 	private final OriginServer origin = OriginServer.start(HOST, 0);
 
-	private final Map<String, OneProcess> processes = new LinkedHashMap<>();
+	private final Map<String, TestProcess> processes = new LinkedHashMap<>();
 
-	private final Map<String, CuttableRelay> relays = new HashMap<>();
+	private final Map<String, TcpProxy> proxies = new HashMap<>();
 
 	private final Path folder;
 
@@ -75,15 +75,15 @@
 		Files.writeString(folder.resolve("operator.ini"), fleet.common("operator"));
 		fleet.engine("engine-1");
 		fleet.engine("engine-2");
-		fleet.agent("lm-1", "galley", "model", fleet.relays.get("engine-1").port());
-		fleet.agent("lm-2", "galley", "model", fleet.relays.get("engine-2").port());
-		fleet.relay("plain-1").target(fleet.plain.port());
-		fleet.agent("reg-1", "chartdesk", "plain", fleet.relays.get("plain-1").port());
+		fleet.agent("lm-1", "galley", "model", fleet.proxies.get("engine-1").port());
+		fleet.agent("lm-2", "galley", "model", fleet.proxies.get("engine-2").port());
+		fleet.proxy("plain-1").target(fleet.plain.port());
+		fleet.agent("reg-1", "chartdesk", "plain", fleet.proxies.get("plain-1").port());
 		fleet.entry("entry-1");
 		fleet.entry("entry-2");
 		List<Thread> starting = new ArrayList<>();
 		List<Throwable> failures = new ArrayList<>();
-		for (OneProcess process : fleet.processes.values()) {
+		for (TestProcess process : fleet.processes.values()) {
 			Thread thread = Thread.ofVirtual().uncaughtExceptionHandler((same, ex) -> failures.add(ex)).start(() -> {
 				try {
 					process.start();
@@ -105,14 +105,14 @@
 	}
 
 	/**
-	 * Cuts every connection to a process.
+	 * Closes all connections to a process.
 	 */
 	void cut(String name) {
-		this.relays.get(name).cut();
-		Optional.ofNullable(this.relays.get(name + HTTP)).ifPresent(CuttableRelay::cut);
+		this.proxies.get(name).closeConnections();
+		Optional.ofNullable(this.proxies.get(name + HTTP)).ifPresent(TcpProxy::closeConnections);
 	}
 
-	OneProcess process(String name) {
+	TestProcess process(String name) {
 		return this.processes.get(name);
 	}
 
@@ -121,7 +121,8 @@
 	}
 
 	/**
-	 * Returns what an engine says it serves; empty when it does not answer.
+	 * Returns the weights that an engine reports, or an empty string if it does not
+	 * respond.
 	 */
 	String serving(String engine) {
 		try {
@@ -133,7 +134,7 @@
 	}
 
 	/**
-	 * Returns how often calls of each request id began to run, anywhere.
+	 * Returns how often calls of each request id were started on any runner.
 	 */
 	Map<String, Long> executed() throws Exception {
 		Map<String, Long> executed = new HashMap<>(this.plain.executed());
@@ -147,8 +148,8 @@
 	}
 
 	/**
-	 * Publishes weights, proposes and approves a bundle of them.
-	 * @return the bundle's digest
+	 * Publishes weights, then proposes and approves a bundle with them.
+	 * @return the digest of the bundle
 	 */
 	String accept(int version) throws Exception {
 		this.origin.publish("galley/" + version, "" + version, FILE_BYTES, CHUNK_BYTES);
@@ -166,7 +167,7 @@
 				[service chartdesk]
 				kind = plain
 				places = %2$s
-				""".formatted(version, PLACE));
+				""".formatted(version, FAILURE_DOMAIN));
 		String settings = this.folder.resolve("operator.ini").toString();
 		String digest = run("bundle propose", "--settings", settings, file.toString()).trim();
 		for (String operator : List.of("ana", "ben")) {
@@ -182,7 +183,7 @@
 	}
 
 	/**
-	 * Returns what answers under a bundle are labelled with.
+	 * Returns the weights label of responses under a bundle.
 	 */
 	String weights(String digest) {
 		byte[] bytes = HttpPlatform.at(this.caller, URI.create("http://" + HOST + ":" + this.platform.port()))
@@ -196,11 +197,11 @@
 
 	@Override
 	public void close() throws Exception {
-		for (OneProcess process : this.processes.values()) {
+		for (TestProcess process : this.processes.values()) {
 			process.close();
 		}
-		for (CuttableRelay relay : this.relays.values()) {
-			relay.close();
+		for (TcpProxy proxy : this.proxies.values()) {
+			proxy.close();
 		}
 		this.caller.close();
 		this.platform.close();
@@ -210,31 +211,31 @@
 	}
 
 	private void engine(String name) throws Exception {
-		CuttableRelay relay = relay(name);
+		TcpProxy proxy = proxy(name);
 		Path journal = this.folder.resolve(name + ".journal");
 		Files.deleteIfExists(journal);
 		this.processes.put(name,
-				new OneProcess(name, this.folder,
+				new TestProcess(name, this.folder,
 						List.of(Standin.class.getName(), "engine", "--host", HOST, "--load-ms", "100", "--token-ms",
 								"5", "--fencing", name.endsWith("1") ? "on" : "off", "--journal", journal.toString()),
-						Map.of("port", relay)));
+						Map.of("port", proxy)));
 	}
 
 	private void agent(String name, String service, String kind, int runner) throws Exception {
-		CuttableRelay relay = relay(name);
+		TcpProxy proxy = proxy(name);
 		role("agent", name, """
 				[agent]
 				service = %s
 				kind = %s
 				link-host = %s
 				runner = http://%s:%d
-				""".formatted(service, kind, HOST, HOST, runner), Map.of("linkPort", relay));
-		register(name, "agent", service, relay.port(), 0);
+				""".formatted(service, kind, HOST, HOST, runner), Map.of("linkPort", proxy));
+		register(name, "agent", service, proxy.port(), 0);
 	}
 
 	private void entry(String name) throws Exception {
-		CuttableRelay http = relay(name + HTTP);
-		CuttableRelay link = relay(name);
+		TcpProxy http = proxy(name + HTTP);
+		TcpProxy link = proxy(name);
 		role("entry", name, """
 				[entry]
 				http-host = %1$s
@@ -245,21 +246,21 @@
 		register(name, "entry", "", link.port(), http.port());
 	}
 
-	private void role(String role, String name, String own, Map<String, CuttableRelay> ports) throws Exception {
+	private void role(String role, String name, String own, Map<String, TcpProxy> ports) throws Exception {
 		Path settings = this.folder.resolve(name + ".ini");
 		Files.writeString(settings, common(name) + own);
-		this.processes.put(name, new OneProcess(name, this.folder,
+		this.processes.put(name, new TestProcess(name, this.folder,
 				List.of(Main.class.getName(), role, "--settings", settings.toString()), ports));
 	}
 
 	private void register(String name, String role, String service, int linkPort, int httpPort) {
-		this.vmList.put(new VmList.Vm(name, PLACE, "isles", role, service, HOST, linkPort, httpPort, false));
+		this.vmList.put(new VmList.Vm(name, FAILURE_DOMAIN, "isles", role, service, HOST, linkPort, httpPort, false));
 	}
 
-	private CuttableRelay relay(String name) throws Exception {
-		CuttableRelay relay = CuttableRelay.start(HOST);
-		this.relays.put(name, relay);
-		return relay;
+	private TcpProxy proxy(String name) throws Exception {
+		TcpProxy proxy = TcpProxy.start(HOST);
+		this.proxies.put(name, proxy);
+		return proxy;
 	}
 
 	private String common(String name) {
@@ -274,12 +275,12 @@
 				origin = http://%3$s:%6$d
 				[operators]
 				approvals = 2
-				""".formatted(name, PLACE, HOST, this.platform.port(), this.vmList.port(), this.origin.port())
+				""".formatted(name, FAILURE_DOMAIN, HOST, this.platform.port(), this.vmList.port(), this.origin.port())
 				+ this.operators;
 	}
 
-	private URI http(String relay) {
-		return URI.create("http://" + HOST + ":" + this.relays.get(relay).port());
+	private URI http(String proxy) {
+		return URI.create("http://" + HOST + ":" + this.proxies.get(proxy).port());
 	}
 
 	private String run(String name, String... arguments) {
@@ -292,7 +293,7 @@
 		ByteArrayOutputStream out = new ByteArrayOutputStream();
 		int code = command.run(Arrays.asList(arguments), new PrintStream(out), System.err);
 		if (code != 0) {
-			throw new IllegalStateException(name + " ended with " + code + ": " + out);
+			throw new IllegalStateException(name + " exited with code " + code + ": " + out);
 		}
 		return out.toString();
 	}
--- a/standin/src/test/java/org/wisteriapost/standin/OneProcess.java
+++ b/standin/src/test/java/org/wisteriapost/standin/TestProcess.java
@@ -12,10 +12,10 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * One process of a test's fleet, which can be killed, frozen and started again; callers
- * and links reach it through relays whose ports stay the same.
+ * One process of a test fleet that can be killed, suspended and restarted. Clients and
+ * links reach it through proxies with stable ports.
  */
-final class OneProcess implements AutoCloseable {
+final class TestProcess implements AutoCloseable {
 
 	private static final Duration LIMIT = Duration.ofSeconds(60);
 
@@ -25,20 +25,20 @@
 
 	private final List<String> arguments;
 
-	private final Map<String, CuttableRelay> relays;
+	private final Map<String, TcpProxy> proxies;
 
 	private Process process;
 
-	private int starts;
+	private int startCount;
 
 	/**
-	 * @param relays by the member of the ready line that tells the process's port
+	 * @param proxies by the field of the ready line that holds the port
 	 */
-	OneProcess(String name, Path folder, List<String> arguments, Map<String, CuttableRelay> relays) {
+	TestProcess(String name, Path folder, List<String> arguments, Map<String, TcpProxy> proxies) {
 		this.name = name;
 		this.folder = folder;
 		this.arguments = arguments;
-		this.relays = relays;
+		this.proxies = proxies;
 	}
 
 	void start() throws Exception {
@@ -46,18 +46,18 @@
 				"-Xmx128m", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-XX:-UsePerfData",
 				"--sun-misc-unsafe-memory-access=allow", "-cp", System.getProperty("java.class.path")));
 		command.addAll(this.arguments);
-		Path out = this.folder.resolve(this.name + "-" + this.starts++ + ".out");
+		Path out = this.folder.resolve(this.name + "-" + this.startCount++ + ".out");
 		this.process = new ProcessBuilder(command).redirectOutput(out.toFile())
 			.redirectError(this.folder.resolve(this.name + ".err").toFile())
 			.start();
-		await(this.name + " is up", () -> ready(out) || !this.process.isAlive());
+		await(this.name + " is ready", () -> ready(out) || !this.process.isAlive());
 		JsonNode ready = Json.tree(Files.readString(out)
 			.lines()
-			.filter(OneProcess::isReady)
+			.filter(TestProcess::isReady)
 			.findFirst()
-			.orElseThrow(() -> new IllegalStateException(this.name + " ended: " + this.folder))
+			.orElseThrow(() -> new IllegalStateException(this.name + " exited, see " + this.folder))
 			.getBytes());
-		this.relays.forEach((member, relay) -> relay.target(ready.path(member).asInt()));
+		this.proxies.forEach((member, proxy) -> proxy.target(ready.path(member).asInt()));
 	}
 
 	void kill() throws Exception {
@@ -79,7 +79,7 @@
 		long limit = System.nanoTime() + LIMIT.toNanos();
 		while (!condition.getAsBoolean()) {
 			if (System.nanoTime() - limit >= 0) {
-				throw new AssertionError("not within " + LIMIT + ": " + what);
+				throw new AssertionError("timed out after " + LIMIT + ": " + what);
 			}
 			Thread.sleep(20);
 		}
@@ -87,7 +87,7 @@
 
 	private static boolean ready(Path out) {
 		try {
-			return Files.readString(out).lines().anyMatch(OneProcess::isReady);
+			return Files.readString(out).lines().anyMatch(TestProcess::isReady);
 		}
 		catch (IOException ex) {
 			return false;
--- a/standin/src/test/java/org/wisteriapost/standin/TrafficCallTests.java
+++ b/standin/src/test/java/org/wisteriapost/standin/TrafficCallTests.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.wisteriapost.protocol.CallerHeaders;
 import org.wisteriapost.standin.TrafficCall.Verdict;
-import org.wisteriapost.standin.TrafficLedger.Count;
+import org.wisteriapost.standin.TrafficRecorder.Count;
 
 import static org.hamcrest.MatcherAssert.assertThat;
 import static org.hamcrest.Matchers.is;
@@ -25,18 +25,18 @@
 
 	private static final TrafficCall WHOLE = new TrafficCall.Completion("m", "mine", 2, false);
 
-	static Stream<Arguments> answers() {
+	static Stream<Arguments> responses() {
 		String own = event("w1", "mine", 0) + event("w1", "mine", 1) + event("w1", "mine", 2);
 		String found = "{\"key\":\"a\",\"answer\":\"" + PlainServer.lookup("a") + "\"}";
 		String made = "{\"number\":\"1\",\"key\":\"k\",\"requestId\":\"r\"}";
-		return Stream.of(Arguments.of("whole stream", STREAM, own + END, false, Verdict.RIGHT),
-				Arguments.of("stream without its end that ends cleanly", STREAM, own, false, Verdict.WRONG),
-				Arguments.of("stream without its end that is cut", STREAM, own, true, Verdict.CUT),
+		return Stream.of(Arguments.of("whole stream", STREAM, own + END, false, Verdict.CORRECT),
+				Arguments.of("unterminated stream that closes cleanly", STREAM, own, false, Verdict.WRONG),
+				Arguments.of("unterminated stream that is cut", STREAM, own, true, Verdict.TRUNCATED),
 				Arguments.of("stream cut inside an event", STREAM, own.substring(0, own.length() - 9), true,
-						Verdict.CUT),
-				Arguments.of("stream with a token too few", STREAM,
+						Verdict.TRUNCATED),
+				Arguments.of("stream with a missing token", STREAM,
 						event("w1", "mine", 0) + event("w1", "mine", 1) + END, false, Verdict.WRONG),
-				Arguments.of("stream with a token twice", STREAM, event("w1", "mine", 0) + own + END, false,
+				Arguments.of("stream with a duplicate token", STREAM, event("w1", "mine", 0) + own + END, false,
 						Verdict.MIXED),
 				Arguments.of("stream of another prompt", STREAM,
 						own.replace(event("w1", "mine", 0), event("w1", "other", 0)) + END, false, Verdict.WRONG),
@@ -45,45 +45,46 @@
 						Verdict.MIXED),
 				Arguments.of("cut stream of two sets of weights", STREAM,
 						event("w1", "mine", 0) + event("w2", "mine", 1), true, Verdict.MIXED),
-				Arguments.of("whole body", WHOLE, body("w1", 2), false, Verdict.RIGHT),
-				Arguments.of("body of other weights than its label", WHOLE, body("w2", 2), false, Verdict.WRONG),
-				Arguments.of("body with a token too few", WHOLE, body("w1", 1), false, Verdict.WRONG),
-				Arguments.of("cut body", WHOLE, "{\"choices\":[", true, Verdict.CUT),
-				Arguments.of("lookup", new TrafficCall.Lookup("p", "a"), found, false, Verdict.RIGHT),
-				Arguments.of("another's lookup", new TrafficCall.Lookup("p", "b"), found, false, Verdict.WRONG),
-				Arguments.of("allocation", new TrafficCall.Allocation("p", "k"), made, false, Verdict.RIGHT),
-				Arguments.of("another's allocation", new TrafficCall.Allocation("p", "l"), made, false, Verdict.WRONG));
+				Arguments.of("whole body", WHOLE, body("w1", 2), false, Verdict.CORRECT),
+				Arguments.of("body with weights that differ from its label", WHOLE, body("w2", 2), false,
+						Verdict.WRONG),
+				Arguments.of("body with a missing token", WHOLE, body("w1", 1), false, Verdict.WRONG),
+				Arguments.of("cut body", WHOLE, "{\"choices\":[", true, Verdict.TRUNCATED),
+				Arguments.of("lookup", new TrafficCall.Lookup("p", "a"), found, false, Verdict.CORRECT),
+				Arguments.of("foreign lookup", new TrafficCall.Lookup("p", "b"), found, false, Verdict.WRONG),
+				Arguments.of("allocation", new TrafficCall.Allocation("p", "k"), made, false, Verdict.CORRECT),
+				Arguments.of("foreign allocation", new TrafficCall.Allocation("p", "l"), made, false, Verdict.WRONG));
 	}
 
 	@ParameterizedTest(name = "{0}")
-	@MethodSource("answers")
-	void answerIsJudged(String name, TrafficCall call, String body, boolean cut, Verdict verdict) {
-		CollectedAnswer answer = new CollectedAnswer();
-		answer.onHead(200, Map.of(CallerHeaders.WEIGHTS.toLowerCase(java.util.Locale.ROOT), "w1"));
-		answer.onData(body.getBytes(StandardCharsets.UTF_8));
+	@MethodSource("responses")
+	void answerIsEvaluated(String name, TrafficCall call, String body, boolean cut, Verdict verdict) {
+		BufferedResponse response = new BufferedResponse();
+		response.onHead(200, Map.of(CallerHeaders.WEIGHTS.toLowerCase(java.util.Locale.ROOT), "w1"));
+		response.onData(body.getBytes(StandardCharsets.UTF_8));
 		if (cut) {
-			answer.onFailure(true, new IllegalStateException("reset"));
+			response.onFailure(true, new IllegalStateException("reset"));
 		}
 		else {
-			answer.onEnd();
+			response.onEnd();
 		}
-		assertThat(call.judge(answer), is(verdict));
+		assertThat(call.evaluate(response), is(verdict));
 	}
 
 	@Test
-	void ledgerCountsWhatContradictsTheRunners() {
-		TrafficLedger ledger = new TrafficLedger();
-		ledger.toldNotRun("r1");
-		ledger.toldNotRun("r2");
-		ledger.labelled("w1");
-		ledger.labelled("w2");
-		ledger.checkExecuted(Map.of("r2", 1L, "r3", 2L));
-		ledger.checkAllocations(List.of(new PlainServer.Execution("1", "k", "r3"),
+	void recorderCountsContradictionsWithTheRunners() {
+		TrafficRecorder recorder = new TrafficRecorder();
+		recorder.recordNotRun("r1");
+		recorder.recordNotRun("r2");
+		recorder.recordWeightsLabel("w1");
+		recorder.recordWeightsLabel("w2");
+		recorder.checkExecuted(Map.of("r2", 1L, "r3", 2L));
+		recorder.checkAllocations(List.of(new PlainServer.Execution("1", "k", "r3"),
 				new PlainServer.Execution("2", "k", "r4"), new PlainServer.Execution("3", "l", "r5")));
-		ledger.checkLabels(Set.of("w1"));
-		assertThat(ledger.of(Count.NOT_RUN_THAT_RAN), is(1L));
-		assertThat(ledger.of(Count.DUPLICATED), is(1L));
-		assertThat(ledger.of(Count.WRONG), is(1L));
+		recorder.checkLabels(Set.of("w1"));
+		assertThat(recorder.total(Count.NOT_RUN_THAT_RAN), is(1L));
+		assertThat(recorder.total(Count.DUPLICATED), is(1L));
+		assertThat(recorder.total(Count.WRONG), is(1L));
 	}
 
 	private static String event(String weights, String prompt, int index) {
--- a/standin/src/test/java/org/wisteriapost/standin/VmListServerTests.java
+++ b/standin/src/test/java/org/wisteriapost/standin/VmListServerTests.java
@@ -46,7 +46,7 @@
 	}
 
 	@Test
-	void changeDoesNotShowBeforeTheLag() {
+	void changeIsNotListedBeforeTheLag() {
 		try (VmListServer server = VmListServer.start("127.0.0.1", 0, Duration.ofHours(1).toMillis())) {
 			server.put(VM);
 			assertThat(HttpVmList.at(this.caller, address(server)).read().join(), is(List.of()));
