--- a/standin/src/main/java/org/wisteriapost/standin/bench/Bench.java
+++ b/standin/src/main/java/org/wisteriapost/standin/bench/Bench.java
@@ -9,7 +9,7 @@
 import org.wisteriapost.kernel.command.ExitCodes;
 
 /**
- * Main of {@code scripts/bench}.
+ * Entry point of {@code scripts/bench}.
  */
 public final class Bench {
 
@@ -17,7 +17,7 @@
 	}
 
 	/**
-	 * Runs the benchmark that the first argument names; ends with its exit code.
+	 * Runs the benchmark named by the first argument and exits with its exit code.
 	 */
 	public static void main(String[] args) {
 		List<BenchCommand> commands = ServiceLoader.load(BenchCommand.class)
--- a/standin/src/main/java/org/wisteriapost/standin/bench/BenchCommand.java
+++ b/standin/src/main/java/org/wisteriapost/standin/bench/BenchCommand.java
@@ -6,7 +6,7 @@
 import org.apache.commons.cli.ParseException;
 
 /**
- * One benchmark of {@code scripts/bench}; registers with the service loader.
+ * A benchmark of {@code scripts/bench}, found by the service loader.
  */
 public interface BenchCommand {
 
@@ -16,14 +16,14 @@
 	String name();
 
 	/**
-	 * Returns one sentence for the usage text.
+	 * Returns a one-line description for the usage text.
 	 */
 	String summary();
 
 	/**
 	 * Runs the benchmark and returns the exit code.
 	 * @param args the arguments after the name
-	 * @param out where the figures go, one JSON line each
+	 * @param out receives the results, one JSON line each
 	 */
 	int run(List<String> args, PrintStream out) throws ParseException;
 
--- a/standin/src/main/java/org/wisteriapost/standin/bench/ClaimBench.java
+++ b/standin/src/main/java/org/wisteriapost/standin/bench/ClaimBench.java
@@ -22,16 +22,16 @@
 import org.wisteriapost.standin.PlatformServer;
 
 /**
- * Counts what calls that may run at most once cost the platform, at several rates: claims
- * of several entries, each followed by the answer that is kept, against the stand-in over
- * HTTP with the limits of the real one.
+ * Measures what calls that may run at most once cost the platform at several rates:
+ * claims by several entries, each followed by storing the response, over HTTP against a
+ * platform stand-in with rate limits.
  */
 public final class ClaimBench implements BenchCommand {
 
-	private static final long MILLI = 1_000_000;
+	private static final long NANOS_PER_MILLI = 1_000_000;
 
-	// What waits for its turn when the load ends still counts.
-	private static final long TAIL_MILLIS = 3000;
+	// Claims that are still queued when the load ends are waited for and counted.
+	private static final long DRAIN_MILLIS = 3000;
 
 	@Override
 	public String name() {
@@ -50,8 +50,8 @@
 			options.addOption(Option.builder().longOpt(name).hasArg().get());
 		}
 		CommandLine line = new DefaultParser().parse(options, args.toArray(String[]::new));
-		Load load = new Load(number(line, "entries", 6), number(line, "seconds", 8), number(line, "writes", 35),
-				number(line, "limit", 300), number(line, "seed", 1));
+		LoadOptions load = new LoadOptions(number(line, "entries", 6), number(line, "seconds", 8),
+				number(line, "writes", 35), number(line, "limit", 300), number(line, "seed", 1));
 		for (String rate : line.getOptionValue("rates", "20,100,500").split(",")) {
 			out.println(run(load, Integer.parseInt(rate)));
 		}
@@ -62,24 +62,24 @@
 		return Integer.parseInt(line.getOptionValue(name, String.valueOf(fallback)));
 	}
 
-	private static String run(Load load, int rate) {
+	private static String run(LoadOptions load, int rate) {
 		LongAdder refused = new LongAdder();
 		ConcurrentHistogram latency = new ConcurrentHistogram(3);
 		try (PlatformServer server = PlatformServer.start("127.0.0.1", 0, 2000, load.limit);
 				HttpCaller caller = HttpCaller.create(2)) {
 			Platform platform = HttpPlatform.at(caller, URI.create("http://127.0.0.1:" + server.port()));
-			List<ClaimLoad> entries = new ArrayList<>();
+			List<ClaimLoadGenerator> entries = new ArrayList<>();
 			for (int i = 0; i < load.entries; i++) {
-				entries.add(ClaimLoad.start(platform, load.writes, load.seed + i, latency, refused));
+				entries.add(ClaimLoadGenerator.start(platform, load.writes, load.seed + i, latency, refused));
 			}
-			long asked = offer(entries, rate, load.seconds);
-			pause(TAIL_MILLIS * MILLI);
-			entries.forEach(ClaimLoad::close);
-			return json(load, rate, asked, latency, refused.sum(), server.counts());
+			long submitted = offer(entries, rate, load.seconds);
+			pause(DRAIN_MILLIS * NANOS_PER_MILLI);
+			entries.forEach(ClaimLoadGenerator::close);
+			return json(load, rate, submitted, latency, refused.sum(), server.counts());
 		}
 	}
 
-	private static long offer(List<ClaimLoad> entries, int rate, int seconds) {
+	private static long offer(List<ClaimLoadGenerator> entries, int rate, int seconds) {
 		long start = System.nanoTime();
 		long total = (long) rate * seconds;
 		for (long i = 0; i < total; i++) {
@@ -96,7 +96,7 @@
 		}
 	}
 
-	private static String json(Load load, int rate, long asked, Histogram latency, long refused,
+	private static String json(LoadOptions load, int rate, long submitted, Histogram latency, long refused,
 			Map<String, Long> counts) {
 		double claimed = Math.max(1, latency.getTotalCount());
 		long puts = counts.getOrDefault("put", 0L);
@@ -104,13 +104,14 @@
 				"{\"bench\":\"claims\",\"entries\":%d,\"rate\":%d,\"asked\":%d,\"claimed\":%d,\"refused\":%d,"
 						+ "\"writesPerCall\":%.3f,\"readsPerCall\":%.3f,\"conflictShare\":%.3f,"
 						+ "\"writesPerSecond\":%.1f,\"platformRefused\":%d,\"p50Millis\":%.1f,\"p99Millis\":%.1f}",
-				load.entries, rate, asked, latency.getTotalCount(), refused, puts / claimed,
+				load.entries, rate, submitted, latency.getTotalCount(), refused, puts / claimed,
 				counts.getOrDefault("get", 0L) / claimed, counts.getOrDefault("conflict", 0L) / Math.max(1.0, puts),
-				puts / (load.seconds + TAIL_MILLIS / 1000.0), counts.getOrDefault("refused", 0L),
-				latency.getValueAtPercentile(50) / (double) MILLI, latency.getValueAtPercentile(99) / (double) MILLI);
+				puts / (load.seconds + DRAIN_MILLIS / 1000.0), counts.getOrDefault("refused", 0L),
+				latency.getValueAtPercentile(50) / (double) NANOS_PER_MILLI,
+				latency.getValueAtPercentile(99) / (double) NANOS_PER_MILLI);
 	}
 
-	private record Load(int entries, int seconds, int writes, int limit, int seed) {
+	private record LoadOptions(int entries, int seconds, int writes, int limit, int seed) {
 	}
 
 }
--- a/standin/src/main/java/org/wisteriapost/standin/bench/ClaimLoad.java
+++ b/standin/src/main/java/org/wisteriapost/standin/bench/ClaimLoadGenerator.java
@@ -23,9 +23,10 @@
 import org.wisteriapost.protocol.outside.Platform;
 
 /**
- * One entry's claims: each that succeeds is settled at once with a small answer.
+ * Generates the claims of one entry; each successful claim is settled at once with a
+ * small response.
  */
-final class ClaimLoad implements AutoCloseable {
+final class ClaimLoadGenerator implements AutoCloseable {
 
 	private static final long TICK_MILLIS = 20;
 
@@ -34,7 +35,7 @@
 
 	private final ScheduledExecutorService loop = Executors.newSingleThreadScheduledExecutor();
 
-	private final Map<Long, Asked> asked = new HashMap<>();
+	private final Map<Long, PendingClaim> pending = new HashMap<>();
 
 	private final ClaimTable table;
 
@@ -44,27 +45,27 @@
 
 	private final LongAdder refused;
 
-	private ClaimLoad(Platform platform, int writes, long seed, Histogram latency, LongAdder refused) {
+	private ClaimLoadGenerator(Platform platform, int writes, long seed, Histogram latency, LongAdder refused) {
 		this.table = ClaimTable.create(writes, RandomSource.SPLIT_MIX_64.create(seed), System.nanoTime());
 		this.store = ClaimStore.of(platform, (reply) -> execute(() -> reply(reply)));
 		this.latency = latency;
 		this.refused = refused;
 	}
 
-	static ClaimLoad start(Platform platform, int writes, long seed, Histogram latency, LongAdder refused) {
-		ClaimLoad load = new ClaimLoad(platform, writes, seed, latency, refused);
-		load.loop.scheduleAtFixedRate(() -> load.carryOut(load.table.tick(System.nanoTime())), TICK_MILLIS, TICK_MILLIS,
-				TimeUnit.MILLISECONDS);
-		return load;
+	static ClaimLoadGenerator start(Platform platform, int writes, long seed, Histogram latency, LongAdder refused) {
+		ClaimLoadGenerator generator = new ClaimLoadGenerator(platform, writes, seed, latency, refused);
+		generator.loop.scheduleAtFixedRate(() -> generator.executeEffects(generator.table.tick(System.nanoTime())),
+				TICK_MILLIS, TICK_MILLIS, TimeUnit.MILLISECONDS);
+		return generator;
 	}
 
 	void offer(long id) {
 		long now = System.nanoTime();
 		execute(() -> {
 			ClaimKey key = ClaimKey.of("organisation", "key-" + id, System.currentTimeMillis());
-			Asked one = new Asked(key, UUID.randomUUID().toString(), now);
-			this.asked.put(id, one);
-			carryOut(this.table.claim(id, key, "call", one.nonce, System.nanoTime()));
+			PendingClaim claim = new PendingClaim(key, UUID.randomUUID().toString(), now);
+			this.pending.put(id, claim);
+			executeEffects(this.table.claim(id, key, "call", claim.nonce, System.nanoTime()));
 		});
 	}
 
@@ -75,7 +76,7 @@
 
 	private void reply(ClaimReply reply) {
 		long now = System.nanoTime();
-		carryOut(switch (reply) {
+		executeEffects(switch (reply) {
 			case ClaimReply.Found found ->
 				this.table.read(found.object(), found.value(), found.version(), found.conflict(), now);
 			case ClaimReply.Written written -> this.table.written(written.object(), written.version(), now);
@@ -83,21 +84,21 @@
 		});
 	}
 
-	private void carryOut(List<ClaimEffect> effects) {
+	private void executeEffects(List<ClaimEffect> effects) {
 		for (ClaimEffect effect : effects) {
 			switch (effect) {
 				case ClaimEffect.Read read -> this.store.read(read);
 				case ClaimEffect.Write write -> this.store.write(write);
-				case ClaimEffect.Tell tell -> told(tell.verdict());
+				case ClaimEffect.Tell tell -> complete(tell.verdict());
 			}
 		}
 	}
 
-	private void told(ClaimVerdict verdict) {
-		Asked one = this.asked.remove(verdict.id());
+	private void complete(ClaimVerdict verdict) {
+		PendingClaim claim = this.pending.remove(verdict.id());
 		if (verdict instanceof ClaimVerdict.Claimed) {
-			this.latency.recordValue(System.nanoTime() - one.atNanos);
-			carryOut(this.table.settle(one.key, one.nonce, State.ANSWERED, ANSWER, System.nanoTime()));
+			this.latency.recordValue(System.nanoTime() - claim.atNanos);
+			executeEffects(this.table.settle(claim.key, claim.nonce, State.ANSWERED, ANSWER, System.nanoTime()));
 			return;
 		}
 		this.refused.increment();
@@ -108,11 +109,11 @@
 			this.loop.execute(task);
 		}
 		catch (RejectedExecutionException ex) {
-			// An answer after the end of the run counts for nothing.
+			// Replies after the end of the run are not counted.
 		}
 	}
 
-	private record Asked(ClaimKey key, String nonce, long atNanos) {
+	private record PendingClaim(ClaimKey key, String nonce, long atNanos) {
 	}
 
 }
--- a/standin/src/main/java/org/wisteriapost/standin/bench/DecisionBench.java
+++ b/standin/src/main/java/org/wisteriapost/standin/bench/DecisionBench.java
@@ -13,8 +13,8 @@
 import org.wisteriapost.policy.request.RunnerView;
 
 /**
- * Time of the decisions for one request, from its arrival to its end, by the number of
- * runners.
+ * Measures the processor time of all decisions for one request, from arrival to end, by
+ * number of runners.
  */
 public final class DecisionBench implements BenchCommand {
 
@@ -44,23 +44,23 @@
 		return 0;
 	}
 
-	/** Half of all slots are kept in use. */
+	/** Keeps half of all slots occupied. */
 	private static long measure(int runners) {
 		RequestMachine machine = RequestMachine.create();
 		machine.apply(new RequestEvent.HeadSeen(1, Map.of(SERVICE, Set.of("d"))), 0);
-		for (int each = 0; each < runners; each++) {
-			RunnerView view = new RunnerView("runner-" + each, "p", SERVICE, true, "d", 1, 0, 0, 8, Set.of());
+		for (int i = 0; i < runners; i++) {
+			RunnerView view = new RunnerView("runner-" + i, "p", SERVICE, true, "d", 1, 0, 0, 8, Set.of());
 			machine.apply(new RequestEvent.RunnerSeen(view), 0);
 		}
-		long behind = runners * 4L;
-		long step = UNIT_NANOS / behind;
-		long begun = System.nanoTime();
+		long inFlight = runners * 4L;
+		long step = UNIT_NANOS / inFlight;
+		long startNanos = System.nanoTime();
 		for (long id = 1; id <= REQUESTS; id++) {
 			long now = id * step;
 			machine.apply(new RequestEvent.Arrived(request(id, now)), now);
-			machine.apply(new RequestEvent.Ended(id - behind), now);
+			machine.apply(new RequestEvent.Ended(id - inFlight), now);
 		}
-		return (System.nanoTime() - begun) / REQUESTS;
+		return (System.nanoTime() - startNanos) / REQUESTS;
 	}
 
 	private static Request request(long id, long now) {
--- a/standin/src/main/java/org/wisteriapost/standin/bench/LoadBench.java
+++ b/standin/src/main/java/org/wisteriapost/standin/bench/LoadBench.java
@@ -21,16 +21,16 @@
 import org.wisteriapost.standin.sim.NaivePolicy;
 
 /**
- * Compares policies under one load in virtual time.
+ * Compares policies under the same load in virtual time.
  */
 public final class LoadBench implements BenchCommand {
 
 	private static final Map<String, EntryPolicy.Factory> POLICIES = Map.of("naive", NaivePolicy::create, "machine",
 			MachinePolicy::create);
 
-	private static final int USAGE = 2;
+	private static final int EXIT_USAGE = 2;
 
-	private static final int VIOLATED = 1;
+	private static final int EXIT_VIOLATED = 1;
 
 	@Override
 	public String name() {
@@ -57,7 +57,7 @@
 			Optional<LoadProfile> profile = LoadProfile.named(line.getOptionValue("profile"));
 			if (profile.isEmpty() || !POLICIES.keySet().containsAll(policies)) {
 				System.err.println(summary());
-				return USAGE;
+				return EXIT_USAGE;
 			}
 			int entries = Integer.parseInt(line.getOptionValue("entries", "6"));
 			int queue = Integer.parseInt(line.getOptionValue("gate-queue", "0"));
@@ -65,7 +65,7 @@
 		}
 		catch (ParseException | NumberFormatException ex) {
 			System.err.println(ex.getMessage() + "; " + summary());
-			return USAGE;
+			return EXIT_USAGE;
 		}
 	}
 
@@ -74,7 +74,7 @@
 		for (String policy : policies) {
 			LoadResult result = LoadSim.run(profile, POLICIES.get(policy), seed);
 			out.println(json(profile, policy, seed, result));
-			exit = result.violations().isEmpty() ? exit : VIOLATED;
+			exit = result.violations().isEmpty() ? exit : EXIT_VIOLATED;
 		}
 		return exit;
 	}
--- a/standin/src/main/java/org/wisteriapost/standin/bench/package-info.java
+++ b/standin/src/main/java/org/wisteriapost/standin/bench/package-info.java
@@ -1,5 +1,4 @@
 /**
- * Benchmarks, each a command of {@code scripts/bench} that registers with the service
- * loader.
+ * Benchmarks, each a command of {@code scripts/bench} found by the service loader.
  */
 package org.wisteriapost.standin.bench;
--- a/standin/src/main/java/org/wisteriapost/standin/bench/weights/Pings.java
+++ b/standin/src/main/java/org/wisteriapost/standin/bench/weights/LatencyProbe.java
@@ -20,12 +20,12 @@
 import org.wisteriapost.protocol.wire.Frame;
 
 /**
- * Small calls to every VM beside a roll, answered at once by the thread that reads the
- * VM's links.
+ * Measures call latency during a rollout: sends small calls to every VM, which responds
+ * on the thread that reads its links.
  */
-final class Pings implements LinkHandler, AutoCloseable {
+final class LatencyProbe implements LinkHandler, AutoCloseable {
 
-	private static final long EVERY_MILLIS = 20;
+	private static final long INTERVAL_MILLIS = 20;
 
 	private static final double MICROS_PER_MILLI = 1000;
 
@@ -37,20 +37,20 @@
 
 	private final AtomicLong nextId = new AtomicLong();
 
-	private final ScheduledFuture<?> beat;
+	private final ScheduledFuture<?> schedule;
 
 	private volatile Histogram micros = new ConcurrentHistogram(3);
 
-	Pings(List<VmList.Vm> vms, ScheduledExecutorService timer) {
+	LatencyProbe(List<VmList.Vm> vms, ScheduledExecutorService timer) {
 		vms.forEach((vm) -> this.links.connect(new InetSocketAddress(vm.host(), vm.linkPort()), this).join());
-		this.beat = timer.scheduleAtFixedRate(() -> this.open.forEach(this::ping), EVERY_MILLIS, EVERY_MILLIS,
+		this.schedule = timer.scheduleAtFixedRate(() -> this.open.forEach(this::ping), INTERVAL_MILLIS, INTERVAL_MILLIS,
 				TimeUnit.MILLISECONDS);
 	}
 
 	/**
-	 * Returns the latencies since the last time, and starts anew.
+	 * Returns the latencies recorded since the last call and resets them.
 	 */
-	Histogram take() {
+	Histogram takeLatencies() {
 		Histogram taken = this.micros;
 		this.micros = new ConcurrentHistogram(3);
 		return taken;
@@ -86,7 +86,7 @@
 
 	@Override
 	public void close() {
-		this.beat.cancel(false);
+		this.schedule.cancel(false);
 		this.links.close();
 	}
 
--- a/standin/src/main/java/org/wisteriapost/standin/bench/weights/LoopbackOrigin.java
+++ b/standin/src/main/java/org/wisteriapost/standin/bench/weights/LoopbackOrigin.java
@@ -9,12 +9,11 @@
 import org.wisteriapost.protocol.outside.Origin;
 
 /**
- * An origin in this process whose link carries so many bytes a second, one read after the
- * other.
+ * An in-process origin with a limited bandwidth; reads are served one after another.
  */
 final class LoopbackOrigin implements Origin {
 
-	private static final double NANOS = 1e9;
+	private static final double NANOS_PER_SECOND = 1e9;
 
 	private final byte[] content;
 
@@ -24,7 +23,7 @@
 
 	private final AtomicLong bytesRead = new AtomicLong();
 
-	private long freeAt = System.nanoTime();
+	private long linkFreeAtNanos = System.nanoTime();
 
 	private volatile boolean changed;
 
@@ -34,7 +33,7 @@
 		this.timer = timer;
 	}
 
-	void change() {
+	void replaceContent() {
 		this.changed = true;
 	}
 
@@ -59,8 +58,9 @@
 
 	private synchronized long reserve(int length) {
 		long now = System.nanoTime();
-		this.freeAt = Math.max(now, this.freeAt) + (long) (length / this.bytesPerSecond * NANOS);
-		return this.freeAt - now;
+		this.linkFreeAtNanos = Math.max(now, this.linkFreeAtNanos)
+				+ (long) (length / this.bytesPerSecond * NANOS_PER_SECOND);
+		return this.linkFreeAtNanos - now;
 	}
 
 	@Override
--- a/standin/src/main/java/org/wisteriapost/standin/bench/weights/LoopbackRoll.java
+++ b/standin/src/main/java/org/wisteriapost/standin/bench/weights/LoopbackRollout.java
@@ -22,24 +22,24 @@
 import org.wisteriapost.protocol.outside.VmList;
 
 /**
- * One roll of real transfers over loopback. Each VM paces its link in both directions,
- * the origin gives twice a VM's link: the ratio of the users' surroundings.
+ * A rollout with real transfers over loopback. Each VM limits its bandwidth in both
+ * directions; the origin has twice the bandwidth of a VM, as in the target deployment.
  */
-final class LoopbackRoll {
+final class LoopbackRollout {
 
-	private static final int PLACES = 3;
+	private static final int FAILURE_DOMAINS = 3;
 
-	private static final int UPLOADS_WAITING = 16;
+	private static final int MAX_QUEUED_UPLOADS = 16;
 
 	private static final int TIMER_THREADS = 4;
 
-	private static final double FAULT_AT = 0.3;
+	private static final double FAULT_TIME_RATIO = 0.3;
 
 	private static final long POLL_MILLIS = 5;
 
 	private static final long PROGRESS_NANOS = TimeUnit.SECONDS.toNanos(2);
 
-	private static final double NANOS = 1e9;
+	private static final double NANOS_PER_SECOND = 1e9;
 
 	private final Plan plan;
 
@@ -55,7 +55,7 @@
 
 	private final List<LoopbackVm> vms = new ArrayList<>();
 
-	private LoopbackRoll(Plan plan, PrintStream progress) {
+	private LoopbackRollout(Plan plan, PrintStream progress) {
 		this.plan = plan;
 		this.progress = progress;
 		this.content = new byte[plan.chunks() * plan.chunkBytes()];
@@ -65,112 +65,115 @@
 	}
 
 	/**
-	 * Returns one JSON line.
+	 * Runs a rollout and returns its results as one JSON line.
 	 */
 	static String run(Plan plan, PrintStream progress) throws InterruptedException {
-		LoopbackRoll roll = new LoopbackRoll(plan, progress);
+		LoopbackRollout rollout = new LoopbackRollout(plan, progress);
 		try {
-			return roll.measure();
+			return rollout.measure();
 		}
 		finally {
-			roll.vms.stream().filter((vm) -> !vm.gone() || plan.faults() == Faults.STALL).forEach(LoopbackVm::close);
-			roll.timer.shutdownNow();
+			rollout.vms.stream()
+				.filter((vm) -> !vm.unavailable() || plan.fault() == FaultScenario.STALL)
+				.forEach(LoopbackVm::close);
+			rollout.timer.shutdownNow();
 		}
 	}
 
 	private String measure() throws InterruptedException {
 		LinkShare share = new LinkShare(this.plan.linkBytesPerSecond(), 1, 1);
-		TransferOptions options = new TransferOptions(this.plan.limits(), share, UPLOADS_WAITING,
+		TransferOptions options = new TransferOptions(this.plan.limits(), share, MAX_QUEUED_UPLOADS,
 				Duration.ofSeconds(10));
 		for (int i = 0; i < this.plan.vms(); i++) {
 			LoopbackStore store = new LoopbackStore(this.content, this.plan.chunkBytes());
-			this.vms.add(new LoopbackVm("vm-" + i, "place-" + i % PLACES, this.origin, store, this.plan.chunkBytes(),
-					options, this.timer));
+			this.vms.add(new LoopbackVm("vm-" + i, "place-" + i % FAILURE_DOMAINS, this.origin, store,
+					this.plan.chunkBytes(), options, this.timer));
 		}
 		List<VmList.Vm> all = this.vms.stream().map(LoopbackVm::listed).toList();
-		try (Pings pings = new Pings(all, this.timer)) {
-			Thread.sleep(this.plan.calm().toMillis());
-			pings.take();
-			Thread.sleep(this.plan.calm().toMillis());
-			Histogram calm = pings.take();
-			return roll(all, pings, calm);
+		try (LatencyProbe probe = new LatencyProbe(all, this.timer)) {
+			Thread.sleep(this.plan.baseline().toMillis());
+			probe.takeLatencies();
+			Thread.sleep(this.plan.baseline().toMillis());
+			Histogram baseline = probe.takeLatencies();
+			return runRollout(all, probe, baseline);
 		}
 	}
 
-	private String roll(List<VmList.Vm> all, Pings pings, Histogram calm) throws InterruptedException {
-		if (this.plan.faults() == Faults.CORRUPT) {
+	private String runRollout(List<VmList.Vm> all, LatencyProbe probe, Histogram baseline) throws InterruptedException {
+		if (this.plan.fault() == FaultScenario.CORRUPT) {
 			this.vms.getLast().corrupt();
 		}
-		long processor = processorNanos();
+		long processorNanos = processorNanos();
 		long start = System.nanoTime();
-		long faultAt = start + (long) (FAULT_AT * bound() * NANOS);
-		long end = start + this.plan.most().toNanos();
-		boolean faulted = false;
-		long shown = start;
+		long faultAt = start + (long) (FAULT_TIME_RATIO * boundSeconds() * NANOS_PER_SECOND);
+		long end = start + this.plan.timeout().toNanos();
+		boolean faultInjected = false;
+		long lastProgressAt = start;
 		this.vms.forEach((vm) -> vm.fetch(all, this.file));
-		while (open() > 0 && System.nanoTime() < end) {
+		while (unfinishedCount() > 0 && System.nanoTime() < end) {
 			Thread.sleep(POLL_MILLIS);
-			if (!faulted && System.nanoTime() >= faultAt) {
-				faulted = true;
-				fault();
+			if (!faultInjected && System.nanoTime() >= faultAt) {
+				faultInjected = true;
+				injectFault();
 			}
-			if (System.nanoTime() - shown > PROGRESS_NANOS) {
-				shown = System.nanoTime();
-				show(start);
+			if (System.nanoTime() - lastProgressAt > PROGRESS_NANOS) {
+				lastProgressAt = System.nanoTime();
+				printProgress(start);
 			}
 		}
-		return line(start, processorNanos() - processor, calm, pings.take());
+		return resultLine(start, processorNanos() - processorNanos, baseline, probe.takeLatencies());
 	}
 
-	private long open() {
-		return this.vms.stream().filter((vm) -> !vm.gone() && !vm.failed() && vm.finishedAt() == 0).count();
+	private long unfinishedCount() {
+		return this.vms.stream().filter((vm) -> !vm.unavailable() && !vm.failed() && vm.finishedAt() == 0).count();
 	}
 
-	private void fault() {
-		List<LoopbackVm> hit = this.vms.subList(0, Math.max(1, this.vms.size() / 10));
-		switch (this.plan.faults()) {
+	private void injectFault() {
+		List<LoopbackVm> affected = this.vms.subList(0, Math.max(1, this.vms.size() / 10));
+		switch (this.plan.fault()) {
 			case NONE, CORRUPT -> {
 			}
-			case KILL -> hit.forEach(LoopbackVm::kill);
-			case STALL -> hit.forEach(LoopbackVm::stall);
-			case CHANGE -> this.origin.change();
+			case KILL -> affected.forEach(LoopbackVm::kill);
+			case STALL -> affected.forEach(LoopbackVm::stall);
+			case CHANGE -> this.origin.replaceContent();
 		}
 	}
 
-	private void show(long start) {
+	private void printProgress(long start) {
 		long verified = this.vms.stream().mapToLong(LoopbackVm::verified).sum();
-		this.progress.printf(Locale.ROOT, "%s N=%d %s: %.1f s, %.1f %% of chunks, %d VMs open%n", this.plan.policy(),
-				this.plan.vms(), this.plan.faults(), (System.nanoTime() - start) / NANOS,
-				100.0 * verified / (this.plan.chunks() * (double) this.plan.vms()), open());
+		this.progress.printf(Locale.ROOT, "%s N=%d %s: %.1f s, %.1f %% of chunks, %d VMs unfinished%n",
+				this.plan.policy(), this.plan.vms(), this.plan.fault(), (System.nanoTime() - start) / NANOS_PER_SECOND,
+				100.0 * verified / (this.plan.chunks() * (double) this.plan.vms()), unfinishedCount());
 	}
 
-	private String line(long start, long processor, Histogram calm, Histogram busy) {
-		List<LoopbackVm> healthy = this.vms.stream().filter((vm) -> !vm.gone()).toList();
+	private String resultLine(long start, long processorNanos, Histogram baseline, Histogram during) {
+		List<LoopbackVm> healthy = this.vms.stream().filter((vm) -> !vm.unavailable()).toList();
 		long finished = healthy.stream().filter((vm) -> vm.finishedAt() > 0).count();
 		long failed = healthy.stream().filter(LoopbackVm::failed).count();
 		long last = healthy.stream().mapToLong(LoopbackVm::finishedAt).max().orElse(start);
-		double seconds = (finished == healthy.size()) ? (last - start) / NANOS : -1;
-		double wall = Math.max(1e-3, (System.nanoTime() - start) / NANOS);
+		double seconds = (finished == healthy.size()) ? (last - start) / NANOS_PER_SECOND : -1;
+		double wall = Math.max(1e-3, (System.nanoTime() - start) / NANOS_PER_SECOND);
 		double control = healthy.stream().mapToDouble(LoopbackVm::controlBytes).average().orElse(0);
-		int wrong = this.vms.stream().mapToInt(LoopbackVm::wrong).sum();
+		int wrong = this.vms.stream().mapToInt(LoopbackVm::wrongChunks).sum();
 		return String.format(Locale.ROOT,
 				"{\"experiment\":\"weights\",\"policy\":\"%s\",\"vms\":%d,\"faults\":\"%s\",\"seed\":%d,"
 						+ "\"healthy\":%d,\"finished\":%d,\"failed\":%d,\"seconds\":%.2f,\"boundSeconds\":%.2f,"
 						+ "\"ratio\":%.3f,\"originCopies\":%.3f,\"wrongChunksStored\":%d,"
 						+ "\"controlBytesPerAgent\":%.0f,\"controlBytesPerAgentSecond\":%.0f,"
 						+ "\"processorSecondsPerAgent\":%.3f,\"pingMillisCalm\":%s,\"pingMillisRoll\":%s}",
-				this.plan.policy(), this.plan.vms(), this.plan.faults().name().toLowerCase(Locale.ROOT),
-				this.plan.seed(), healthy.size(), finished, failed, seconds, bound(),
-				(seconds < 0) ? -1 : seconds / bound(), (double) this.origin.bytesRead() / this.content.length, wrong,
-				control, control / wall, processor / NANOS / this.plan.vms(), percentiles(calm), percentiles(busy));
+				this.plan.policy(), this.plan.vms(), this.plan.fault().name().toLowerCase(Locale.ROOT),
+				this.plan.seed(), healthy.size(), finished, failed, seconds, boundSeconds(),
+				(seconds < 0) ? -1 : seconds / boundSeconds(), (double) this.origin.bytesRead() / this.content.length,
+				wrong, control, control / wall, processorNanos / NANOS_PER_SECOND / this.plan.vms(),
+				percentiles(baseline), percentiles(during));
 	}
 
 	private static String percentiles(Histogram micros) {
-		return String.format(Locale.ROOT, "{\"p50\":%.2f,\"p95\":%.2f,\"p99\":%.2f}", Pings.millis(micros, 50),
-				Pings.millis(micros, 95), Pings.millis(micros, 99));
+		return String.format(Locale.ROOT, "{\"p50\":%.2f,\"p95\":%.2f,\"p99\":%.2f}", LatencyProbe.millis(micros, 50),
+				LatencyProbe.millis(micros, 95), LatencyProbe.millis(micros, 99));
 	}
 
-	private double bound() {
+	private double boundSeconds() {
 		return this.content.length / this.plan.linkBytesPerSecond();
 	}
 
@@ -188,21 +191,21 @@
 	}
 
 	/**
-	 * What to run.
+	 * Parameters of a rollout.
 	 *
-	 * @param policy its name
-	 * @param limits the design
-	 * @param vms how many
-	 * @param chunks of the weights
-	 * @param chunkBytes size of each
-	 * @param linkBytesPerSecond of a VM, each way
-	 * @param faults what goes wrong
-	 * @param seed of the content
-	 * @param calm how long to measure calls without a roll
-	 * @param most when to stop waiting
+	 * @param policy name of the variant
+	 * @param limits limits of the variant
+	 * @param vms number of VMs
+	 * @param chunks number of chunks of the weights
+	 * @param chunkBytes size of a chunk
+	 * @param linkBytesPerSecond bandwidth of a VM in each direction
+	 * @param fault the fault to inject
+	 * @param seed seed of the content
+	 * @param baseline how long to measure call latencies without a rollout
+	 * @param timeout time limit of the rollout
 	 */
 	record Plan(String policy, TransferLimits limits, int vms, int chunks, int chunkBytes, double linkBytesPerSecond,
-			Faults faults, long seed, Duration calm, Duration most) {
+			FaultScenario fault, long seed, Duration baseline, Duration timeout) {
 	}
 
 }
--- a/standin/src/main/java/org/wisteriapost/standin/bench/weights/LoopbackStore.java
+++ b/standin/src/main/java/org/wisteriapost/standin/bench/weights/LoopbackStore.java
@@ -8,7 +8,7 @@
 import org.wisteriapost.protocol.outside.WeightStore;
 
 /**
- * A weight store that compares what it is given with the true content and keeps only
+ * A weight store that checks each chunk against the expected content and records only
  * which chunks it holds, so that many stores fit into one process.
  */
 final class LoopbackStore implements WeightStore {
@@ -19,7 +19,7 @@
 
 	private final BitSet held = new BitSet();
 
-	private int wrong;
+	private int wrongChunks;
 
 	private volatile boolean stalled;
 
@@ -29,17 +29,17 @@
 	}
 
 	/**
-	 * Answers nothing from now on.
+	 * Stops completing calls.
 	 */
 	void stall() {
 		this.stalled = true;
 	}
 
 	/**
-	 * Returns how many chunks were stored with wrong bytes.
+	 * Returns the number of chunks that were stored with wrong content.
 	 */
-	synchronized int wrong() {
-		return this.wrong;
+	synchronized int wrongChunks() {
+		return this.wrongChunks;
 	}
 
 	@Override
@@ -49,7 +49,7 @@
 		}
 		int from = index * this.chunkBytes;
 		boolean same = Arrays.equals(chunk, 0, chunk.length, this.content, from, from + chunk.length);
-		this.wrong += same ? 0 : 1;
+		this.wrongChunks += same ? 0 : 1;
 		this.held.set(index);
 		return CompletableFuture.completedFuture(null);
 	}
--- a/standin/src/main/java/org/wisteriapost/standin/bench/weights/LoopbackVm.java
+++ b/standin/src/main/java/org/wisteriapost/standin/bench/weights/LoopbackVm.java
@@ -28,7 +28,7 @@
 import org.wisteriapost.protocol.wire.Role;
 
 /**
- * One VM of a roll over loopback: a real transfer with links of its own.
+ * One VM of a loopback rollout: a real transfer with its own links.
  */
 final class LoopbackVm implements LinkHandler, AutoCloseable {
 
@@ -36,7 +36,7 @@
 
 	private final String name;
 
-	private final String place;
+	private final String failureDomain;
 
 	private final int chunkBytes;
 
@@ -46,7 +46,7 @@
 
 	private final LinkServer server;
 
-	private final SimpleMeterRegistry meters = new SimpleMeterRegistry();
+	private final SimpleMeterRegistry metrics = new SimpleMeterRegistry();
 
 	private final Transfer transfer;
 
@@ -54,43 +54,44 @@
 
 	private volatile boolean failed;
 
-	private volatile boolean gone;
+	private volatile boolean unavailable;
 
 	private volatile boolean corrupt;
 
-	LoopbackVm(String name, String place, LoopbackOrigin origin, LoopbackStore store, int chunkBytes,
+	LoopbackVm(String name, String failureDomain, LoopbackOrigin origin, LoopbackStore store, int chunkBytes,
 			TransferOptions options, ScheduledExecutorService timer) {
 		this.name = name;
-		this.place = place;
+		this.failureDomain = failureDomain;
 		this.chunkBytes = chunkBytes;
 		this.store = store;
-		Hello hello = Hello.newBuilder().setVm(name).setPlace(place).setRole(Role.AGENT).build();
-		this.transfer = PeerTransfers.create(new TransferContext(Settings.parse("bench", ""), name, place, this.links,
-				() -> hello, Frame::newBuilder, (link, frame) -> {
-				}, origin, store, timer, this.meters), options);
+		Hello hello = Hello.newBuilder().setVm(name).setPlace(failureDomain).setRole(Role.AGENT).build();
+		this.transfer = PeerTransfers.create(new TransferContext(Settings.parse("bench", ""), name, failureDomain,
+				this.links, () -> hello, Frame::newBuilder, (link, frame) -> {
+				}, origin, store, timer, this.metrics), options);
 		this.server = this.links.listen(new InetSocketAddress(HOST, 0), this);
 	}
 
 	VmList.Vm listed() {
-		return new VmList.Vm(this.name, this.place, "region", "agent", "service", HOST, this.server.port(), 0, false);
+		return new VmList.Vm(this.name, this.failureDomain, "region", "agent", "service", HOST, this.server.port(), 0,
+				false);
 	}
 
 	void fetch(List<VmList.Vm> all, WeightFile file) {
 		this.transfer.peers(all);
-		CompletableFuture<Void> whole = this.transfer.fetch(List.of(file));
-		whole.whenComplete((none, failure) -> {
+		CompletableFuture<Void> fetch = this.transfer.fetch(List.of(file));
+		fetch.whenComplete((none, failure) -> {
 			this.failed = failure != null;
 			this.finishedAt = (failure != null) ? 0 : System.nanoTime();
 		});
 	}
 
 	void kill() {
-		this.gone = true;
+		this.unavailable = true;
 		close();
 	}
 
 	void stall() {
-		this.gone = true;
+		this.unavailable = true;
 		this.store.stall();
 	}
 
@@ -98,8 +99,8 @@
 		this.corrupt = true;
 	}
 
-	boolean gone() {
-		return this.gone;
+	boolean unavailable() {
+		return this.unavailable;
 	}
 
 	boolean failed() {
@@ -107,7 +108,7 @@
 	}
 
 	/**
-	 * Returns when everything was there, on the monotonic clock; 0 when it is not yet.
+	 * Returns when the fetch completed, on the monotonic clock, or 0 if it has not.
 	 */
 	long finishedAt() {
 		return this.finishedAt;
@@ -117,12 +118,12 @@
 		return this.transfer.progress().verified();
 	}
 
-	int wrong() {
-		return this.store.wrong();
+	int wrongChunks() {
+		return this.store.wrongChunks();
 	}
 
 	double controlBytes() {
-		return this.meters.counter("wisteriapost.transfer.control.bytes").count();
+		return this.metrics.counter("wisteriapost.transfer.control.bytes").count();
 	}
 
 	@Override
@@ -136,7 +137,7 @@
 			link.send(Frame.newBuilder().setCallEnd(end).build());
 			return;
 		}
-		if (this.gone) {
+		if (this.unavailable) {
 			return;
 		}
 		if (this.corrupt && frame.getBodyCase() == Frame.BodyCase.CHUNK_REQUEST) {
--- a/standin/src/main/java/org/wisteriapost/standin/bench/weights/Simulation.java
+++ b/standin/src/main/java/org/wisteriapost/standin/bench/weights/Simulation.java
@@ -20,38 +20,39 @@
 import org.wisteriapost.policy.transfer.TransferMachine;
 
 /**
- * One roll over N machines in virtual time, replayed from its seed.
+ * A rollout to N VMs in virtual time, reproducible from its seed.
  *
- * Each VM's link carries {@code linkBytesPerSecond} in each direction, the origin's a
- * multiple of that. Parts of pieces take turns on a link; what they wait for is modelled,
- * what processors do is not.
+ * The link of each VM carries {@code linkBytesPerSecond} in each direction, the link of
+ * the origin a multiple of that. Parts of chunks are sent one after another on a link.
+ * Queueing on links is modelled; processor time is not.
  */
 final class Simulation {
 
-	private static final long MILLI = 1_000_000;
+	private static final long NANOS_PER_MILLI = 1_000_000;
 
-	private static final long LATENCY = MILLI / 2;
+	private static final long LATENCY_NANOS = NANOS_PER_MILLI / 2;
 
-	private static final long STORE = MILLI / 5;
+	private static final long STORE_NANOS = NANOS_PER_MILLI / 5;
 
-	private static final long TICK = 20 * MILLI;
+	private static final long TICK_NANOS = 20 * NANOS_PER_MILLI;
 
-	private static final long START_SPREAD = 100 * MILLI;
+	private static final long START_SPREAD_NANOS = 100 * NANOS_PER_MILLI;
 
 	private static final int FRAME_BYTES = 60;
 
-	private static final double FAULT_AT = 0.3;
+	// Times with the suffix RATIO are multiples of the bound.
+	private static final double FAULT_TIME_RATIO = 0.3;
 
-	private static final int SQUEEZED = 15;
+	private static final int THROTTLE_FACTOR = 15;
 
-	// As the agent's ChunkServer.
-	private static final long LONGEST_WAIT = 1000 * MILLI;
+	// As in the ChunkServer of the agent.
+	private static final long MAX_QUEUE_NANOS = 1000 * NANOS_PER_MILLI;
 
-	private static final double GIVE_UP_AT = 30;
+	private static final double TIMEOUT_RATIO = 30;
 
-	private static final double AWAY_FOR = 1.5;
+	private static final double OUTAGE_RATIO = 1.5;
 
-	private static final long CONNECT_TIMEOUT = 400 * MILLI;
+	private static final long CONNECT_TIMEOUT_NANOS = 400 * NANOS_PER_MILLI;
 
 	private final Plan plan;
 
@@ -61,11 +62,11 @@
 
 	private final PriorityQueue<Step> steps = new PriorityQueue<>();
 
-	private final Map<String, SimVm> vms = new HashMap<>();
+	private final Map<String, SimulatedVm> vms = new HashMap<>();
 
-	private final List<SimVm> order = new ArrayList<>();
+	private final List<SimulatedVm> order = new ArrayList<>();
 
-	private final Pieces pieces;
+	private final Pieces chunks;
 
 	private long now;
 
@@ -73,68 +74,68 @@
 
 	private long originFreeAt;
 
-	private long originPieces;
+	private long originChunks;
 
-	private long crossed;
+	private long remoteChunks;
 
 	private boolean originChanged;
 
-	private int open;
+	private int unfinishedCount;
 
 	private Simulation(Plan plan) {
 		this.plan = plan;
 		this.random = RandomSource.XO_RO_SHI_RO_128_PP.create(plan.seed());
-		int chunk = plan.chunkBytes();
-		List<String> chunks = IntStream.range(0, plan.chunks()).mapToObj((index) -> "chunk-" + index).toList();
-		this.pieces = Pieces
-			.of(List.of(new WeightFile("model", "1", "model", "etag", (long) chunk * plan.chunks(), chunk, chunks)));
+		int chunkBytes = plan.chunkBytes();
+		List<String> hashes = IntStream.range(0, plan.chunks()).mapToObj((index) -> "chunk-" + index).toList();
+		this.chunks = Pieces.of(List
+			.of(new WeightFile("model", "1", "model", "etag", (long) chunkBytes * plan.chunks(), chunkBytes, hashes)));
 	}
 
 	/**
-	 * Returns what became of one roll.
+	 * Runs a rollout and returns its results.
 	 */
 	static Result run(Plan plan) {
 		Simulation simulation = new Simulation(plan);
-		simulation.populate();
-		simulation.schedule(simulation.bound(FAULT_AT), simulation::fault);
+		simulation.createVms();
+		simulation.schedule(simulation.boundNanos(FAULT_TIME_RATIO), simulation::injectFault);
 		simulation.loop();
 		return simulation.result();
 	}
 
-	private void populate() {
+	private void createVms() {
 		for (int i = 0; i < this.plan.vms(); i++) {
-			Peer peer = new Peer("vm-" + i, "place-" + i % this.plan.places());
-			TransferMachine machine = TransferMachine.create(this.pieces, peer, this.plan.limits(),
+			Peer peer = new Peer("vm-" + i, "place-" + i % this.plan.failureDomains());
+			TransferMachine transfer = TransferMachine.create(this.chunks, peer, this.plan.limits(),
 					RandomSource.XO_RO_SHI_RO_128_PP.create(this.random.nextLong()), this.invariants);
-			SimVm vm = new SimVm(peer, machine);
+			SimulatedVm vm = new SimulatedVm(peer, transfer);
 			this.vms.put(peer.vm(), vm);
 			this.order.add(vm);
 		}
-		this.open = this.order.size();
-		this.order.getLast().corrupt = this.plan.faults() == Faults.CORRUPT;
-		missing();
-		for (SimVm vm : this.order) {
-			long start = this.random.nextLong(START_SPREAD);
-			schedule(start, () -> begin(vm));
+		this.unfinishedCount = this.order.size();
+		this.order.getLast().corrupt = this.plan.fault() == FaultScenario.CORRUPT;
+		markUnavailable();
+		for (SimulatedVm vm : this.order) {
+			long start = this.random.nextLong(START_SPREAD_NANOS);
+			schedule(start, () -> start(vm));
 		}
 	}
 
-	private void missing() {
-		boolean absent = this.plan.faults() == Faults.ABSENT;
-		if (absent || this.plan.faults() == Faults.IDLE) {
-			this.order.subList(0, hit()).forEach((vm) -> {
-				vm.dead = absent;
+	private void markUnavailable() {
+		boolean absent = this.plan.fault() == FaultScenario.ABSENT;
+		if (absent || this.plan.fault() == FaultScenario.IDLE) {
+			this.order.subList(0, affectedCount()).forEach((vm) -> {
+				vm.crashed = absent;
 				vm.idle = !absent;
-				this.open--;
+				this.unfinishedCount--;
 			});
 		}
 	}
 
-	private int hit() {
+	private int affectedCount() {
 		return Math.max(1, this.order.size() / 10);
 	}
 
-	private void begin(SimVm vm) {
+	private void start(SimulatedVm vm) {
 		List<Peer> others = this.order.stream().filter((other) -> other != vm).map((other) -> other.peer).toList();
 		apply(vm, new TransferEvent.RateSet(this.plan.linkBytesPerSecond()));
 		apply(vm, new TransferEvent.PeersSeen(others));
@@ -142,88 +143,90 @@
 		tick(vm);
 	}
 
-	private void tick(SimVm vm) {
-		if (vm.gone() || vm.failed || vm.finishedAt >= 0) {
+	private void tick(SimulatedVm vm) {
+		if (vm.isUnavailable() || vm.failed || vm.finishedAt >= 0) {
 			return;
 		}
 		apply(vm, new TransferEvent.Tick());
-		schedule(TICK, () -> tick(vm));
+		schedule(TICK_NANOS, () -> tick(vm));
 	}
 
 	private void loop() {
-		long end = bound(GIVE_UP_AT);
-		while (!this.steps.isEmpty() && this.open > 0 && this.now < end) {
+		long end = boundNanos(TIMEOUT_RATIO);
+		while (!this.steps.isEmpty() && this.unfinishedCount > 0 && this.now < end) {
 			Step step = this.steps.poll();
 			this.now = step.at;
 			step.action.run();
 		}
 	}
 
-	private void fault() {
-		int hit = hit();
-		switch (this.plan.faults()) {
+	private void injectFault() {
+		int affected = affectedCount();
+		switch (this.plan.fault()) {
 			case NONE, CORRUPT, ABSENT, IDLE, AWAY -> {
 			}
-			case KILL -> this.order.subList(0, hit).forEach(this::kill);
-			case STALL -> this.order.subList(0, hit).forEach(this::stall);
+			case KILL -> this.order.subList(0, affected).forEach(this::kill);
+			case STALL -> this.order.subList(0, affected).forEach(this::stall);
 			case CHANGE -> this.originChanged = true;
-			case SQUEEZE -> this.order.subList(0, this.order.size() / 3).forEach(this::squeeze);
+			case SQUEEZE -> this.order.subList(0, this.order.size() / 3).forEach(this::throttle);
 		}
 	}
 
-	private void kill(SimVm vm) {
-		vm.dead = true;
-		leave(vm);
+	private void kill(SimulatedVm vm) {
+		vm.crashed = true;
+		disconnectPeers(vm);
 	}
 
-	private void stall(SimVm vm) {
+	private void stall(SimulatedVm vm) {
 		vm.stalled = true;
-		this.open -= (vm.finishedAt < 0) ? 1 : 0;
+		this.unfinishedCount -= (vm.finishedAt < 0) ? 1 : 0;
 	}
 
-	private void squeeze(SimVm vm) {
-		vm.slower = SQUEEZED;
-		this.open -= (vm.finishedAt < 0) ? 1 : 0;
+	private void throttle(SimulatedVm vm) {
+		vm.slowdownFactor = THROTTLE_FACTOR;
+		this.unfinishedCount -= (vm.finishedAt < 0) ? 1 : 0;
 	}
 
-	private void leave(SimVm vm) {
-		this.open -= (vm.finishedAt < 0) ? 1 : 0;
-		for (SimVm other : this.order) {
+	private void disconnectPeers(SimulatedVm vm) {
+		this.unfinishedCount -= (vm.finishedAt < 0) ? 1 : 0;
+		for (SimulatedVm other : this.order) {
 			if (other.links.contains(vm.peer.vm())) {
-				schedule(LATENCY, () -> drop(other, vm));
+				schedule(LATENCY_NANOS, () -> dropLink(other, vm));
 			}
 			other.subscribers.remove(vm);
 		}
 	}
 
-	private void drop(SimVm from, SimVm to) {
+	private void dropLink(SimulatedVm from, SimulatedVm to) {
 		from.links.remove(to.peer.vm());
 		apply(from, new TransferEvent.LinkDown(to.peer.vm()));
 	}
 
-	private void apply(SimVm vm, TransferEvent event) {
-		// A transfer whose fetch is whole only serves: its machine hears no more.
-		if (vm.gone() || vm.finishedAt >= 0) {
+	private void apply(SimulatedVm vm, TransferEvent event) {
+		// A completed transfer only serves chunks; its state machine receives no more
+		// events.
+		if (vm.isUnavailable() || vm.finishedAt >= 0) {
 			return;
 		}
-		for (TransferEffect effect : vm.machine.apply(event, this.now)) {
-			carryOut(vm, effect);
+		for (TransferEffect effect : vm.transfer.apply(event, this.now)) {
+			execute(vm, effect);
 		}
 	}
 
-	private void carryOut(SimVm vm, TransferEffect effect) {
+	private void execute(SimulatedVm vm, TransferEffect effect) {
 		switch (effect) {
-			case TransferEffect.Connect connect -> schedule(2 * LATENCY, () -> connect(vm, this.vms.get(connect.vm())));
+			case TransferEffect.Connect connect ->
+				schedule(2 * LATENCY_NANOS, () -> connect(vm, this.vms.get(connect.vm())));
 			case TransferEffect.Disconnect disconnect -> vm.links.remove(disconnect.vm());
 			case TransferEffect.Request request -> {
 				vm.controlBytes += FRAME_BYTES;
-				schedule(LATENCY, () -> request(vm, this.vms.get(request.vm()), request));
+				schedule(LATENCY_NANOS, () -> request(vm, this.vms.get(request.vm()), request));
 			}
 			case TransferEffect.Drop drop -> {
 			}
 			case TransferEffect.ReadOrigin read -> readOrigin(vm, read.piece());
-			case TransferEffect.Store store -> schedule(STORE, () -> stored(vm, store.piece()));
-			case TransferEffect.Copy copy -> schedule(STORE, () -> stored(vm, copy.to()));
+			case TransferEffect.Store store -> schedule(STORE_NANOS, () -> stored(vm, store.piece()));
+			case TransferEffect.Copy copy -> schedule(STORE_NANOS, () -> stored(vm, copy.to()));
 			case TransferEffect.Announce announce -> announce(vm, announce.pieces());
 			case TransferEffect.Complete complete -> finish(vm);
 			case TransferEffect.Changed changed -> fail(vm);
@@ -233,8 +236,8 @@
 		}
 	}
 
-	private void connect(SimVm from, SimVm to) {
-		if (to.dead) {
+	private void connect(SimulatedVm from, SimulatedVm to) {
+		if (to.crashed) {
 			apply(from, new TransferEvent.LinkDown(to.peer.vm()));
 			return;
 		}
@@ -245,65 +248,65 @@
 			return;
 		}
 		to.subscribers.add(from);
-		to.controlBytes += 2 * FRAME_BYTES + this.pieces.count() / 8;
+		to.controlBytes += 2 * FRAME_BYTES + this.chunks.count() / 8;
 		if (to.idle) {
-			schedule(LATENCY, () -> apply(from, new TransferEvent.PeerIdle(to.peer.vm())));
+			schedule(LATENCY_NANOS, () -> apply(from, new TransferEvent.PeerIdle(to.peer.vm())));
 			return;
 		}
-		BitSet held = to.machine.held();
-		schedule(LATENCY, () -> apply(from, new TransferEvent.PeerHolds(to.peer.vm(), held)));
+		BitSet held = to.transfer.held();
+		schedule(LATENCY_NANOS, () -> apply(from, new TransferEvent.PeerHolds(to.peer.vm(), held)));
 	}
 
-	private void announce(SimVm vm, BitSet added) {
-		for (SimVm to : vm.subscribers) {
+	private void announce(SimulatedVm vm, BitSet added) {
+		for (SimulatedVm to : vm.subscribers) {
 			vm.controlBytes += FRAME_BYTES + 2 * added.cardinality();
-			schedule(LATENCY, () -> apply(to, new TransferEvent.PeerHolds(vm.peer.vm(), added)));
+			schedule(LATENCY_NANOS, () -> apply(to, new TransferEvent.PeerHolds(vm.peer.vm(), added)));
 		}
 	}
 
-	private void request(SimVm from, SimVm to, TransferEffect.Request request) {
-		int piece = request.piece();
-		if (to.gone()) {
+	private void request(SimulatedVm from, SimulatedVm to, TransferEffect.Request request) {
+		int chunk = request.piece();
+		if (to.isUnavailable()) {
 			return;
 		}
-		boolean held = to.stored.get(piece);
-		if (!held || !to.uploads.offer(from, new SimVm.Upload(from, request, this.now))) {
+		boolean held = to.stored.get(chunk);
+		if (!held || !to.uploads.offer(from, new SimulatedVm.Upload(from, request, this.now))) {
 			to.controlBytes += FRAME_BYTES;
-			schedule(LATENCY, () -> apply(from, new TransferEvent.Refused(piece, to.peer.vm(), held)));
+			schedule(LATENCY_NANOS, () -> apply(from, new TransferEvent.Refused(chunk, to.peer.vm(), held)));
 			return;
 		}
-		pump(to);
+		startNextUpload(to);
 	}
 
-	private void pump(SimVm vm) {
-		if (vm.sending || vm.gone()) {
+	private void startNextUpload(SimulatedVm vm) {
+		if (vm.sending || vm.isUnavailable()) {
 			return;
 		}
 		vm.uploads.next().ifPresent((upload) -> {
-			if (this.now - upload.at() > LONGEST_WAIT) {
-				int piece = upload.request().piece();
-				schedule(LATENCY, () -> apply(upload.to(), new TransferEvent.Refused(piece, vm.peer.vm(), true)));
-				pump(vm);
+			if (this.now - upload.queuedAt() > MAX_QUEUE_NANOS) {
+				int chunk = upload.request().piece();
+				schedule(LATENCY_NANOS, () -> apply(upload.to(), new TransferEvent.Refused(chunk, vm.peer.vm(), true)));
+				startNextUpload(vm);
 				return;
 			}
 			vm.sending = true;
-			schedule(partNanos(upload) * vm.slower, () -> {
+			schedule(partNanos(upload) * vm.slowdownFactor, () -> {
 				vm.sending = false;
 				deliver(vm, upload);
-				pump(vm);
+				startNextUpload(vm);
 			});
 		});
 	}
 
-	private void deliver(SimVm from, SimVm.Upload upload) {
-		SimVm to = upload.to();
+	private void deliver(SimulatedVm from, SimulatedVm.Upload upload) {
+		SimulatedVm to = upload.to();
 		boolean last = upload.request().length() == 0;
-		this.crossed += (last && !from.peer.place().equals(to.peer.place())) ? 1 : 0;
-		if (from.gone() || to.gone() || !to.links.contains(from.peer.vm())) {
+		this.remoteChunks += (last && !from.peer.place().equals(to.peer.place())) ? 1 : 0;
+		if (from.isUnavailable() || to.isUnavailable() || !to.links.contains(from.peer.vm())) {
 			return;
 		}
-		to.receiveFreeAt = Math.max(this.now, to.receiveFreeAt + partNanos(upload) * to.slower);
-		schedule(to.receiveFreeAt - this.now + LATENCY, () -> {
+		to.receiveFreeAt = Math.max(this.now, to.receiveFreeAt + partNanos(upload) * to.slowdownFactor);
+		schedule(to.receiveFreeAt - this.now + LATENCY_NANOS, () -> {
 			if (last) {
 				arrive(to, upload.request().piece(), from.peer.vm(), from.corrupt);
 				return;
@@ -313,87 +316,90 @@
 		});
 	}
 
-	private void arrive(SimVm to, int piece, String source, boolean bad) {
+	private void arrive(SimulatedVm to, int chunk, String source, boolean bad) {
 		to.received++;
-		apply(to, bad ? new TransferEvent.Corrupt(piece, source) : new TransferEvent.Verified(piece, source));
+		apply(to, bad ? new TransferEvent.Corrupt(chunk, source) : new TransferEvent.Verified(chunk, source));
 	}
 
-	private void readOrigin(SimVm vm, int piece) {
+	private void readOrigin(SimulatedVm vm, int chunk) {
 		if (this.originChanged) {
-			schedule(2 * LATENCY, () -> apply(vm, new TransferEvent.OriginFailed(piece, true)));
+			schedule(2 * LATENCY_NANOS, () -> apply(vm, new TransferEvent.OriginFailed(chunk, true)));
 			return;
 		}
-		if (away()) {
-			schedule(CONNECT_TIMEOUT, () -> apply(vm, new TransferEvent.OriginFailed(piece, false)));
+		if (originUnreachable()) {
+			schedule(CONNECT_TIMEOUT_NANOS, () -> apply(vm, new TransferEvent.OriginFailed(chunk, false)));
 			return;
 		}
-		this.originPieces++;
-		this.originFreeAt = Math.max(this.now + LATENCY, this.originFreeAt) + originNanos();
-		schedule(this.originFreeAt - this.now, () -> deliverFromOrigin(vm, piece));
+		this.originChunks++;
+		this.originFreeAt = Math.max(this.now + LATENCY_NANOS, this.originFreeAt) + originNanos();
+		schedule(this.originFreeAt - this.now, () -> deliverFromOrigin(vm, chunk));
 	}
 
-	private boolean away() {
-		return this.plan.faults() == Faults.AWAY && this.now >= bound(FAULT_AT)
-				&& this.now < bound(FAULT_AT + AWAY_FOR);
+	private boolean originUnreachable() {
+		return this.plan.fault() == FaultScenario.AWAY && this.now >= boundNanos(FAULT_TIME_RATIO)
+				&& this.now < boundNanos(FAULT_TIME_RATIO + OUTAGE_RATIO);
 	}
 
-	private void deliverFromOrigin(SimVm vm, int piece) {
-		vm.receiveFreeAt = Math.max(this.now + originNanos(), vm.receiveFreeAt + pieceNanos() * vm.slower);
-		schedule(vm.receiveFreeAt - this.now + LATENCY, () -> arrive(vm, piece, TransferMachine.ORIGIN, false));
+	private void deliverFromOrigin(SimulatedVm vm, int chunk) {
+		vm.receiveFreeAt = Math.max(this.now + originNanos(), vm.receiveFreeAt + chunkNanos() * vm.slowdownFactor);
+		schedule(vm.receiveFreeAt - this.now + LATENCY_NANOS, () -> arrive(vm, chunk, TransferMachine.ORIGIN, false));
 	}
 
-	private void stored(SimVm vm, int piece) {
-		if (vm.gone()) {
+	private void stored(SimulatedVm vm, int chunk) {
+		if (vm.isUnavailable()) {
 			return;
 		}
-		vm.stored.set(piece);
-		apply(vm, new TransferEvent.Stored(piece));
+		vm.stored.set(chunk);
+		apply(vm, new TransferEvent.Stored(chunk));
 	}
 
-	private void finish(SimVm vm) {
-		this.invariants.holds(vm.stored.cardinality() == this.pieces.count(), "complete-means-whole", vm.peer.vm());
+	private void finish(SimulatedVm vm) {
+		this.invariants.holds(vm.stored.cardinality() == this.chunks.count(), "complete-means-whole", vm.peer.vm());
 		vm.finishedAt = this.now;
-		this.open -= (vm.slower == 1) ? 1 : 0;
+		this.unfinishedCount -= (vm.slowdownFactor == 1) ? 1 : 0;
 	}
 
-	private void fail(SimVm vm) {
+	private void fail(SimulatedVm vm) {
 		vm.failed = true;
-		this.open -= (vm.finishedAt < 0) ? 1 : 0;
+		this.unfinishedCount -= (vm.finishedAt < 0) ? 1 : 0;
 	}
 
 	private void schedule(long delay, Runnable action) {
 		this.steps.add(new Step(this.now + delay, this.sequence++, action));
 	}
 
-	private long pieceNanos() {
+	private long chunkNanos() {
 		return (long) (this.plan.chunkBytes() * 1e9 / this.plan.linkBytesPerSecond());
 	}
 
-	private long partNanos(SimVm.Upload upload) {
+	private long partNanos(SimulatedVm.Upload upload) {
 		TransferEffect.Request request = upload.request();
 		int bytes = (request.length() > 0) ? request.length() : this.plan.chunkBytes() - request.offset();
 		return (long) (bytes * 1e9 / this.plan.linkBytesPerSecond());
 	}
 
 	private long originNanos() {
-		return (long) (pieceNanos() / this.plan.originRatio());
+		return (long) (chunkNanos() / this.plan.originRatio());
 	}
 
-	private long bound(double share) {
-		return (long) (share * this.plan.chunks() * pieceNanos());
+	private long boundNanos(double share) {
+		return (long) (share * this.plan.chunks() * chunkNanos());
 	}
 
 	private Result result() {
-		List<SimVm> healthy = this.order.stream().filter((vm) -> !vm.gone() && vm.slower == 1).toList();
-		double bound = bound(1);
+		List<SimulatedVm> healthy = this.order.stream()
+			.filter((vm) -> !vm.isUnavailable() && vm.slowdownFactor == 1)
+			.toList();
+		double bound = boundNanos(1);
 		long finished = healthy.stream().filter((vm) -> vm.finishedAt >= 0).count();
 		double last = healthy.stream().mapToLong((vm) -> vm.finishedAt).max().orElse(0) / bound;
 		double mean = healthy.stream().mapToLong((vm) -> vm.finishedAt).average().orElse(0) / bound;
 		double control = healthy.stream().mapToLong((vm) -> vm.controlBytes).average().orElse(0);
-		double doubled = healthy.stream().mapToLong((vm) -> vm.received).average().orElse(0) / this.pieces.count() - 1;
+		double duplicates = healthy.stream().mapToLong((vm) -> vm.received).average().orElse(0) / this.chunks.count()
+				- 1;
 		return new Result(healthy.size(), (int) finished, (int) healthy.stream().filter((vm) -> vm.failed).count(),
-				last, mean, (double) this.originPieces / this.pieces.count(), control, control / (this.now / 1e9),
-				doubled, (double) this.crossed / this.pieces.count() / this.plan.places(),
+				last, mean, (double) this.originChunks / this.chunks.count(), control, control / (this.now / 1e9),
+				duplicates, (double) this.remoteChunks / this.chunks.count() / this.plan.failureDomains(),
 				this.invariants.violations());
 	}
 
@@ -408,39 +414,40 @@
 	}
 
 	/**
-	 * What to simulate.
+	 * Parameters of a simulated rollout.
 	 *
-	 * @param limits the design
-	 * @param vms how many
-	 * @param places failure domains they are spread over
-	 * @param chunks of the weights
-	 * @param chunkBytes size of each
-	 * @param linkBytesPerSecond of a VM, each way
-	 * @param originRatio the origin's link as a multiple of a VM's
-	 * @param faults what goes wrong
-	 * @param seed of all chance
+	 * @param limits limits of the transfer design
+	 * @param vms number of VMs
+	 * @param failureDomains number of failure domains that the VMs are spread over
+	 * @param chunks number of chunks of the weights
+	 * @param chunkBytes size of a chunk
+	 * @param linkBytesPerSecond bandwidth of a VM in each direction
+	 * @param originRatio bandwidth of the origin as a multiple of a VM's
+	 * @param fault the fault to inject
+	 * @param seed seed of all random choices
 	 */
-	record Plan(TransferLimits limits, int vms, int places, int chunks, int chunkBytes, double linkBytesPerSecond,
-			double originRatio, Faults faults, long seed) {
+	record Plan(TransferLimits limits, int vms, int failureDomains, int chunks, int chunkBytes,
+			double linkBytesPerSecond, double originRatio, FaultScenario fault, long seed) {
 	}
 
 	/**
-	 * What became of it.
+	 * Results of a simulated rollout. The bound is the time that the weights take over
+	 * one link.
 	 *
-	 * @param healthy VMs that no fault hit
-	 * @param finished of these, with all weights
-	 * @param failed of these, which gave up
-	 * @param last when the last had all, as a multiple of the bound
-	 * @param mean when they had all on average, as a multiple of the bound
-	 * @param originCopies read from the origin
-	 * @param controlBytes sent by each VM on average, besides pieces
-	 * @param controlBytesPerSecond the same for each second of the roll
-	 * @param received more than once, as a share of the weights
-	 * @param crossed copies that came into each place from others
-	 * @param violations of invariants, by name
+	 * @param healthy VMs not affected by a fault
+	 * @param finished healthy VMs that received all weights
+	 * @param failed healthy VMs whose fetch failed
+	 * @param lastRatio time until the last healthy VM finished, relative to the bound
+	 * @param meanRatio mean time until a healthy VM finished, relative to the bound
+	 * @param originCopies copies of the weights read from the origin
+	 * @param controlBytes mean bytes sent per VM other than chunks
+	 * @param controlBytesPerSecond the same per second of the rollout
+	 * @param duplicateShare chunks received more than once, as a share of the weights
+	 * @param remoteCopies copies received per failure domain from other failure domains
+	 * @param violations violated invariants and their counts, by name
 	 */
-	record Result(int healthy, int finished, int failed, double last, double mean, double originCopies,
-			double controlBytes, double controlBytesPerSecond, double received, double crossed,
+	record Result(int healthy, int finished, int failed, double lastRatio, double meanRatio, double originCopies,
+			double controlBytes, double controlBytesPerSecond, double duplicateShare, double remoteCopies,
 			Map<String, Long> violations) {
 	}
 
--- a/standin/src/main/java/org/wisteriapost/standin/bench/weights/Variants.java
+++ b/standin/src/main/java/org/wisteriapost/standin/bench/weights/TransferVariants.java
@@ -6,41 +6,41 @@
 import org.wisteriapost.policy.transfer.TransferLimits.Design;
 
 /**
- * The designs weighed, by name.
+ * Parses names of transfer designs and their variants.
  */
-final class Variants {
+final class TransferVariants {
 
-	private Variants() {
+	private TransferVariants() {
 	}
 
 	/**
-	 * Returns the limits of a design, for example {@code swarm} or
+	 * Returns the limits of a design with its variants, for example
 	 * {@code swarm+degree24}.
 	 */
-	static TransferLimits named(String name) {
+	static TransferLimits parse(String name) {
 		String[] parts = name.split("\\+");
-		TransferLimits limits = design(parts[0]);
+		TransferLimits limits = baseLimits(parts[0]);
 		for (int i = 1; i < parts.length; i++) {
-			limits = varied(limits, parts[i]);
+			limits = withVariant(limits, parts[i]);
 		}
 		return limits;
 	}
 
-	private static TransferLimits design(String name) {
+	private static TransferLimits baseLimits(String name) {
 		TransferLimits base = TransferLimits.standard();
 		return switch (name) {
 			case "naive" -> new Builder(base).design(Design.NAIVE).originCopies(Integer.MAX_VALUE).build();
 			case "chain" -> new Builder(base).design(Design.CHAIN).originReads(8).perPeer(8).build();
 			case "swarm", "peers" -> base;
-			default -> throw new IllegalArgumentException("no such design: " + name);
+			default -> throw new IllegalArgumentException("unknown design: " + name);
 		};
 	}
 
-	private static TransferLimits varied(TransferLimits limits, String word) {
+	private static TransferLimits withVariant(TransferLimits limits, String variant) {
 		Builder builder = new Builder(limits);
-		String digits = word.replaceAll("[^0-9]", "");
+		String digits = variant.replaceAll("[^0-9]", "");
 		int number = digits.isEmpty() ? 0 : Integer.parseInt(digits);
-		switch (word.replaceAll("[0-9]", "")) {
+		switch (variant.replaceAll("[0-9]", "")) {
 			case "rarest" -> builder.rarestOf(number);
 			case "anyplace" -> builder.samePlaceFirst(false);
 			case "readers" -> builder.placeReaders();
@@ -51,7 +51,7 @@
 			case "each" -> builder.perPeer(number);
 			case "tell" -> builder.announce(Duration.ofMillis(number));
 			case "deadline" -> builder.deadline(Duration.ofMillis(number));
-			default -> throw new IllegalArgumentException("no such variant: " + word);
+			default -> throw new IllegalArgumentException("unknown variant: " + variant);
 		}
 		return builder.build();
 	}
@@ -133,11 +133,11 @@
 			return this;
 		}
 
-		private Builder flags(int rarest, boolean near, boolean readers) {
+		private Builder flags(int rarest, boolean localFirst, boolean leaders) {
 			TransferLimits old = this.limits;
 			this.limits = new TransferLimits(old.design(), old.originCopies(), old.originReads(), old.neighbours(),
-					old.outstanding(), old.perPeer(), old.progressDeadline(), old.announceInterval(), rarest, near,
-					readers);
+					old.outstanding(), old.perPeer(), old.progressDeadline(), old.announceInterval(), rarest,
+					localFirst, leaders);
 			return this;
 		}
 
--- a/standin/src/main/java/org/wisteriapost/standin/bench/weights/WeightsBench.java
+++ b/standin/src/main/java/org/wisteriapost/standin/bench/weights/WeightsBench.java
@@ -13,7 +13,7 @@
 import org.wisteriapost.standin.bench.BenchCommand;
 
 /**
- * {@code scripts/bench weights}: rolls of real transfers over loopback.
+ * {@code scripts/bench weights}: rollouts with real transfers over loopback.
  */
 public final class WeightsBench implements BenchCommand {
 
@@ -26,18 +26,18 @@
 
 	@Override
 	public String summary() {
-		return "rolls weights to N real transfers over loopback";
+		return "distributes weights to N VMs with real transfers over loopback";
 	}
 
 	@Override
 	public int run(List<String> args, PrintStream out) {
 		Options options = new Options().addOption(option("vms", "N[,N] VMs, default 12"))
-			.addOption(option("seed", "of the content, default 1"))
+			.addOption(option("seed", "seed of the content, default 1"))
 			.addOption(option("faults", "none|kill|stall|corrupt|change[,…], default none"))
 			.addOption(option("policy", "design[+variant…][,…], default swarm"))
-			.addOption(option("chunks", "of the weights, 64 KB each, default 512"))
-			.addOption(option("bound", "S/L in seconds, default 4"))
-			.addOption(option("most", "seconds after which a roll is given up, default 60"));
+			.addOption(option("chunks", "number of chunks of 64 KB, default 512"))
+			.addOption(option("bound", "time for one copy over the link of a VM in seconds, default 4"))
+			.addOption(option("most", "time limit of a rollout in seconds, default 60"));
 		try {
 			compare(new DefaultParser().parse(options, args.toArray(new String[0])), out);
 			return ExitCodes.OK;
@@ -55,15 +55,15 @@
 	private static void compare(CommandLine line, PrintStream out) throws InterruptedException {
 		int chunks = Integer.parseInt(line.getOptionValue("chunks", "512"));
 		double bound = Double.parseDouble(line.getOptionValue("bound", "4"));
-		Duration most = Duration.ofSeconds(Long.parseLong(line.getOptionValue("most", "60")));
+		Duration timeout = Duration.ofSeconds(Long.parseLong(line.getOptionValue("most", "60")));
 		long seed = Long.parseLong(line.getOptionValue("seed", "1"));
 		for (String faults : line.getOptionValue("faults", "none").split(",")) {
 			for (String vms : line.getOptionValue("vms", "12").split(",")) {
 				for (String policy : line.getOptionValue("policy", "swarm").split(",")) {
-					LoopbackRoll.Plan plan = new LoopbackRoll.Plan(policy, Variants.named(policy),
+					LoopbackRollout.Plan plan = new LoopbackRollout.Plan(policy, TransferVariants.parse(policy),
 							Integer.parseInt(vms), chunks, CHUNK_BYTES, CHUNK_BYTES * (double) chunks / bound,
-							Faults.named(faults), seed, Duration.ofSeconds(2), most);
-					out.println(LoopbackRoll.run(plan, System.err));
+							FaultScenario.named(faults), seed, Duration.ofSeconds(2), timeout);
+					out.println(LoopbackRollout.run(plan, System.err));
 				}
 			}
 		}
--- a/standin/src/main/java/org/wisteriapost/standin/bench/weights/WeightsSim.java
+++ b/standin/src/main/java/org/wisteriapost/standin/bench/weights/WeightsSimulationBench.java
@@ -13,9 +13,9 @@
 import org.wisteriapost.standin.bench.BenchCommand;
 
 /**
- * {@code scripts/bench weights-sim}: designs compared in virtual time.
+ * {@code scripts/bench weights-sim}: compares transfer designs in virtual time.
  */
-public final class WeightsSim implements BenchCommand {
+public final class WeightsSimulationBench implements BenchCommand {
 
 	private static final int CHUNK_BYTES = 64 << 10;
 
@@ -30,19 +30,19 @@
 
 	@Override
 	public String summary() {
-		return "compares designs of a roll in virtual time, up to 810 VMs";
+		return "compares transfer designs in virtual time, up to 810 VMs";
 	}
 
 	@Override
 	public int run(List<String> args, PrintStream out) throws ParseException {
 		Options options = new Options().addOption(option("vms", "N[,N] VMs, default 12,24,48"))
-			.addOption(option("seed", "S[,S] of all chance, default 1"))
+			.addOption(option("seed", "S[,S] random seeds, default 1"))
 			.addOption(option("faults", "none|kill|stall|corrupt|change[,…], default none"))
 			.addOption(option("policy", "design[+variant…][,…], default naive,chain,swarm"))
-			.addOption(option("chunks", "of the weights, default " + DEFAULT_CHUNKS))
-			.addOption(option("bound", "S/L in seconds, default 8"))
-			.addOption(option("places", "over which the VMs are spread, default 10"))
-			.addOption(option("origin", "its link as a multiple of a VM's, default 2"));
+			.addOption(option("chunks", "number of chunks, default " + DEFAULT_CHUNKS))
+			.addOption(option("bound", "time for one copy over the link of a VM in seconds, default 8"))
+			.addOption(option("places", "number of failure domains, default 10"))
+			.addOption(option("origin", "bandwidth of the origin as a multiple of a VM's, default 2"));
 		try {
 			compare(new DefaultParser().parse(options, args.toArray(new String[0])), out);
 			return ExitCodes.OK;
@@ -55,33 +55,33 @@
 
 	private static void compare(CommandLine line, PrintStream out) {
 		int chunks = Integer.parseInt(line.getOptionValue("chunks", DEFAULT_CHUNKS));
-		int places = Integer.parseInt(line.getOptionValue("places", "10"));
+		int failureDomains = Integer.parseInt(line.getOptionValue("places", "10"));
 		double origin = Double.parseDouble(line.getOptionValue("origin", "2"));
 		double bound = Double.parseDouble(line.getOptionValue("bound", "" + BOUND_SECONDS));
 		for (String faults : line.getOptionValue("faults", "none").split(",")) {
 			for (String vms : line.getOptionValue("vms", "12,24,48").split(",")) {
 				for (String policy : line.getOptionValue("policy", "naive,chain,swarm").split(",")) {
 					for (String seed : line.getOptionValue("seed", "1").split(",")) {
-						run(policy, Integer.parseInt(vms), faults, Long.parseLong(seed), chunks, bound, places, origin,
-								out);
+						run(policy, Integer.parseInt(vms), faults, Long.parseLong(seed), chunks, bound, failureDomains,
+								origin, out);
 					}
 				}
 			}
 		}
 	}
 
-	private static void run(String policy, int vms, String faults, long seed, int chunks, double bound, int places,
-			double origin, PrintStream out) {
+	private static void run(String policy, int vms, String faults, long seed, int chunks, double bound,
+			int failureDomains, double origin, PrintStream out) {
 		double link = (double) CHUNK_BYTES * chunks / bound;
-		Simulation.Result result = Simulation.run(new Simulation.Plan(Variants.named(policy), vms, places, chunks,
-				CHUNK_BYTES, link, origin, Faults.named(faults), seed));
+		Simulation.Result result = Simulation.run(new Simulation.Plan(TransferVariants.parse(policy), vms,
+				failureDomains, chunks, CHUNK_BYTES, link, origin, FaultScenario.named(faults), seed));
 		out.printf(Locale.ROOT, "{\"experiment\":\"weights-sim\",\"policy\":\"%s\",\"vms\":%d,\"faults\":\"%s\","
 				+ "\"seed\":%d,\"chunks\":%d,\"boundSeconds\":%.1f,\"healthy\":%d,\"finished\":%d,\"failed\":%d,"
 				+ "\"ratio\":%.3f,\"meanRatio\":%.3f,\"originCopies\":%.3f,\"controlBytesPerVm\":%.0f,"
 				+ "\"controlBytesPerSecond\":%.0f,\"receivedTwice\":%.4f,\"crossed\":%.2f,\"violations\":\"%s\"}%n",
 				policy, vms, faults, seed, chunks, bound, result.healthy(), result.finished(), result.failed(),
-				result.last(), result.mean(), result.originCopies(), result.controlBytes(),
-				result.controlBytesPerSecond(), result.received(), result.crossed(), result.violations());
+				result.lastRatio(), result.meanRatio(), result.originCopies(), result.controlBytes(),
+				result.controlBytesPerSecond(), result.duplicateShare(), result.remoteCopies(), result.violations());
 	}
 
 	private static Option option(String name, String text) {
--- a/standin/src/main/java/org/wisteriapost/standin/bench/weights/package-info.java
+++ b/standin/src/main/java/org/wisteriapost/standin/bench/weights/package-info.java
@@ -1,4 +1,5 @@
 /**
- * How fast weights reach N VMs, and at what cost: in virtual time and over loopback.
+ * Benchmarks of weight distribution to N VMs, its duration and its cost, in virtual time
+ * and over loopback.
  */
 package org.wisteriapost.standin.bench.weights;
