--- a/standin/src/main/java/org/wisteriapost/standin/sim/EntryPolicy.java
+++ b/standin/src/main/java/org/wisteriapost/standin/sim/EntryPolicy.java
@@ -7,36 +7,33 @@
 import org.wisteriapost.policy.request.RequestEvent;
 
 /**
- * What one simulated entry does with its requests.
+ * The request handling of one simulated entry, from events to effects.
  */
 public interface EntryPolicy {
 
-	/**
-	 * Returns the effects of an event.
-	 */
 	List<RequestEffect> apply(RequestEvent event, long nowNanos);
 
 	/**
-	 * Returns whether the runners' gates refuse calls over capacity for this policy;
-	 * without, calls wait at the runner.
+	 * Returns whether the runners' gates reject calls over capacity. If not, calls wait
+	 * at the runner without a limit.
 	 */
 	boolean gated();
 
 	/**
-	 * Returns the violations by invariant.
+	 * Returns the number of violations of each invariant.
 	 */
 	default Map<String, Long> violations() {
 		return Map.of();
 	}
 
 	/**
-	 * Makes the policy of one entry.
+	 * Creates the policy of each entry.
 	 */
 	interface Factory {
 
 		/**
-		 * Returns the policy of an entry.
-		 * @param seed of this entry's generator
+		 * Creates the policy of one entry.
+		 * @param seed the seed of this entry's random generator
 		 */
 		EntryPolicy create(LoadProfile profile, long seed);
 
--- a/standin/src/main/java/org/wisteriapost/standin/sim/LoadProfile.java
+++ b/standin/src/main/java/org/wisteriapost/standin/sim/LoadProfile.java
@@ -8,20 +8,20 @@
 import org.wisteriapost.policy.request.Priority;
 
 /**
- * A load and the runners that it meets.
+ * The workload of a simulation, and the entries, runners and faults that it meets.
  *
- * @param name its name on the command line
- * @param entries entries that do not talk to each other
- * @param runners runners of the one service
- * @param slots calls at once for each runner
- * @param gateQueue calls that may wait at a runner's gate
- * @param unit time of one unit of cost on a well runner
- * @param length virtual time that requests come for
- * @param demands the streams of requests
- * @param faults what goes wrong
+ * @param name the name on the command line
+ * @param entries the number of entries, which do not exchange state
+ * @param runners the number of runners of the only service
+ * @param slots the concurrent calls of each runner
+ * @param gateQueue the maximum calls that wait at a runner's gate
+ * @param unitDuration the time that one unit of cost takes on a healthy runner
+ * @param duration the virtual time during which requests arrive
+ * @param streams the request streams
+ * @param faults the faults to inject
  */
-public record LoadProfile(String name, int entries, int runners, int slots, int gateQueue, Duration unit,
-		Duration length, List<Demand> demands, List<Fault> faults) {
+public record LoadProfile(String name, int entries, int runners, int slots, int gateQueue, Duration unitDuration,
+		Duration duration, List<RequestStream> streams, List<Fault> faults) {
 
 	private static final int ENTRIES = 6;
 
@@ -29,7 +29,7 @@
 
 	private static final int SLOTS = 8;
 
-	/** The default of the agent's setting. */
+	/** Must match the default of the agent's setting. */
 	private static final int GATE_QUEUE = 0;
 
 	private static final Duration UNIT = Duration.ofMillis(100);
@@ -39,19 +39,19 @@
 	private static final int ORGANISATIONS = 10;
 
 	public LoadProfile {
-		demands = List.copyOf(demands);
+		streams = List.copyOf(streams);
 		faults = List.copyOf(faults);
 	}
 
 	/**
-	 * Returns a profile of the command line.
+	 * Returns the predefined profile of a name.
 	 */
 	public static Optional<LoadProfile> named(String name) {
 		return switch (name) {
 			case "burst" -> Optional.of(of(name, burst()));
 			case "skew" -> Optional.of(of(name, skew()));
-			case "slow-endpoint" ->
-				Optional.of(of(name, even(0.6)).with(List.of(new Fault(Duration.ofSeconds(10), 3, Fault.Kind.SLOW))));
+			case "slow-endpoint" -> Optional
+				.of(of(name, evenLoad(0.6)).withFaults(List.of(new Fault(Duration.ofSeconds(10), 3, Fault.Kind.SLOW))));
 			case "skew-one-entry" -> Optional.of(of(name, skewOneEntry()));
 			case "mixed" -> Optional.of(of(name, mixed()));
 			case "saturation" -> Optional.of(of(name, saturation()));
@@ -60,124 +60,118 @@
 	}
 
 	/**
-	 * Returns a profile over the runners and entries of today's sizes.
+	 * Returns a profile without faults, with the default number of entries and runners.
 	 */
-	public static LoadProfile of(String name, List<Demand> demands) {
-		return new LoadProfile(name, ENTRIES, RUNNERS, SLOTS, GATE_QUEUE, UNIT, LENGTH, demands, List.of());
+	public static LoadProfile of(String name, List<RequestStream> streams) {
+		return new LoadProfile(name, ENTRIES, RUNNERS, SLOTS, GATE_QUEUE, UNIT, LENGTH, streams, List.of());
 	}
 
 	/**
-	 * Returns an even load over ten organisations.
-	 * @param load share of what the runners can do
+	 * Returns a constant load, spread evenly over the organisations.
+	 * @param load the load as a share of the capacity of all runners
 	 */
-	public static List<Demand> even(double load) {
-		List<Demand> demands = new ArrayList<>();
+	public static List<RequestStream> evenLoad(double load) {
+		List<RequestStream> streams = new ArrayList<>();
 		for (int each = 0; each < ORGANISATIONS; each++) {
-			demands.add(Demand.even("org-" + each, load * capacity() / ORGANISATIONS));
+			streams.add(RequestStream.steady("org-" + each, load * defaultCapacityPerSecond() / ORGANISATIONS));
 		}
-		return demands;
+		return streams;
 	}
 
-	/**
-	 * Returns this load with faults.
-	 */
-	public LoadProfile with(List<Fault> others) {
-		return new LoadProfile(this.name, this.entries, this.runners, this.slots, this.gateQueue, this.unit,
-				this.length, this.demands, others);
+	public LoadProfile withFaults(List<Fault> others) {
+		return new LoadProfile(this.name, this.entries, this.runners, this.slots, this.gateQueue, this.unitDuration,
+				this.duration, this.streams, others);
 	}
 
-	/**
-	 * Returns this load for another time.
-	 */
-	public LoadProfile during(Duration other) {
-		return new LoadProfile(this.name, this.entries, this.runners, this.slots, this.gateQueue, this.unit, other,
-				this.demands, this.faults);
+	public LoadProfile withDuration(Duration other) {
+		return new LoadProfile(this.name, this.entries, this.runners, this.slots, this.gateQueue, this.unitDuration,
+				other, this.streams, this.faults);
 	}
 
 	/**
-	 * Returns this load before another number of entries.
+	 * Returns this profile with another number of entries.
 	 */
 	public LoadProfile across(int otherEntries) {
-		return new LoadProfile(this.name, otherEntries, this.runners, this.slots, this.gateQueue, this.unit,
-				this.length, this.demands, this.faults);
+		return new LoadProfile(this.name, otherEntries, this.runners, this.slots, this.gateQueue, this.unitDuration,
+				this.duration, this.streams, this.faults);
 	}
 
 	/**
-	 * Returns this load with another queue at the gates.
+	 * Returns this profile with another limit of calls that wait at a gate.
 	 */
 	public LoadProfile gateQueue(int calls) {
-		return new LoadProfile(this.name, this.entries, this.runners, this.slots, calls, this.unit, this.length,
-				this.demands, this.faults);
+		return new LoadProfile(this.name, this.entries, this.runners, this.slots, calls, this.unitDuration,
+				this.duration, this.streams, this.faults);
 	}
 
 	/**
-	 * Returns the units of cost a second that all runners together can do.
+	 * Returns the capacity of all runners, in units of cost per second.
 	 */
-	public double unitsPerSecond() {
-		return this.runners * this.slots * 1000.0 / this.unit.toMillis();
+	public double capacityPerSecond() {
+		return this.runners * this.slots * 1000.0 / this.unitDuration.toMillis();
 	}
 
-	/** Units of cost a second at the default sizes. */
-	private static double capacity() {
+	private static double defaultCapacityPerSecond() {
 		return RUNNERS * SLOTS * 1000.0 / UNIT.toMillis();
 	}
 
-	private static List<Demand> burst() {
-		return even(0.4).stream().map((demand) -> demand.bursting(5)).toList();
+	private static List<RequestStream> burst() {
+		return evenLoad(0.4).stream().map((stream) -> stream.withBursts(5)).toList();
 	}
 
-	private static List<Demand> skew() {
-		List<Demand> demands = new ArrayList<>(even(0.7).subList(1, ORGANISATIONS));
-		demands.addFirst(Demand.even("org-0", capacity()));
-		return demands;
+	private static List<RequestStream> skew() {
+		List<RequestStream> streams = new ArrayList<>(evenLoad(0.7).subList(1, ORGANISATIONS));
+		streams.addFirst(RequestStream.steady("org-0", defaultCapacityPerSecond()));
+		return streams;
 	}
 
-	private static List<Demand> skewOneEntry() {
-		List<Demand> demands = new ArrayList<>(skew());
-		demands.set(0, demands.get(0).through(0));
-		return demands;
+	private static List<RequestStream> skewOneEntry() {
+		List<RequestStream> streams = new ArrayList<>(skew());
+		streams.set(0, streams.get(0).viaEntry(0));
+		return streams;
 	}
 
-	private static List<Demand> mixed() {
-		List<Demand> demands = new ArrayList<>(even(0.5));
+	private static List<RequestStream> mixed() {
+		List<RequestStream> streams = new ArrayList<>(evenLoad(0.5));
 		for (int each = 0; each < 2; each++) {
-			demands.add(Demand.even("org-" + each, 0.25 * capacity() / 20).with(20, Duration.ofSeconds(20)));
+			streams.add(RequestStream.steady("org-" + each, 0.25 * defaultCapacityPerSecond() / 20)
+				.withCost(20, Duration.ofSeconds(20)));
 		}
-		return demands;
+		return streams;
 	}
 
-	private static List<Demand> saturation() {
-		List<Demand> demands = new ArrayList<>();
-		for (Demand demand : even(2.0 / 3)) {
-			demands.add(demand.with(Priority.URGENT));
-			demands.add(demand);
-			demands.add(demand.with(Priority.BULK));
+	private static List<RequestStream> saturation() {
+		List<RequestStream> streams = new ArrayList<>();
+		for (RequestStream stream : evenLoad(2.0 / 3)) {
+			streams.add(stream.withPriority(Priority.URGENT));
+			streams.add(stream);
+			streams.add(stream.withPriority(Priority.BULK));
 		}
-		return demands;
+		return streams;
 	}
 
 	/**
-	 * Something that goes wrong with one runner.
+	 * A state change of one runner.
 	 *
-	 * @param at when
-	 * @param runner its number
-	 * @param kind what
+	 * @param at the virtual time of the change
+	 * @param runner the index of the runner
+	 * @param kind the new state
 	 */
 	public record Fault(Duration at, int runner, Kind kind) {
 
 		/**
-		 * What goes wrong.
+		 * The state of a runner.
 		 */
 		public enum Kind {
 
-			/** Ten times slower from now on. */
+			/** Takes ten times as long for calls that start from now on. */
 			SLOW,
-			/** Answers nothing any more; its link is closed. */
-			LOST,
-			/** Fails every call at once after it has begun. */
+			/** Its link is closed and all its calls fail. */
+			UNREACHABLE,
+			/** Fails each call as soon as it has started. */
 			FAILING,
-			/** Well again. */
-			WELL
+			/** Recovered from any fault. */
+			HEALTHY
 
 		}
 
--- a/standin/src/main/java/org/wisteriapost/standin/sim/LoadResult.java
+++ b/standin/src/main/java/org/wisteriapost/standin/sim/LoadResult.java
@@ -7,17 +7,17 @@
 import org.wisteriapost.policy.request.Priority;
 
 /**
- * What the callers of one run met.
+ * The outcomes and latencies of one simulation run, as callers see them.
  */
 public final class LoadResult {
 
-	private static final long MOST_MICROS = 600_000_000;
+	private static final long MAX_MICROS = 600_000_000;
 
 	private final Map<String, Group> groups = new TreeMap<>();
 
 	private final Group all = new Group();
 
-	private final Histogram refusals = new Histogram(MOST_MICROS, 3);
+	private final Histogram refusals = new Histogram(MAX_MICROS, 3);
 
 	private final Map<String, Long> codes = new TreeMap<>();
 
@@ -33,71 +33,72 @@
 	}
 
 	/**
-	 * Returns the callers of one organisation and priority.
+	 * Returns the outcomes of one organisation and priority.
 	 */
 	public Group group(String organisation, Priority priority) {
 		return this.groups.computeIfAbsent(organisation + "/" + priority.name().toLowerCase(), (name) -> new Group());
 	}
 
 	/**
-	 * Returns the groups by name.
+	 * Returns the outcomes by {@code organisation/priority}.
 	 */
 	public Map<String, Group> groups() {
 		return this.groups;
 	}
 
 	/**
-	 * Returns all callers.
+	 * Returns the outcomes of all requests.
 	 */
 	public Group all() {
 		return this.all;
 	}
 
 	/**
-	 * Returns the time until a refusal, in microseconds.
+	 * Returns the latency of refusals, in microseconds.
 	 */
 	public Histogram refusals() {
 		return this.refusals;
 	}
 
 	/**
-	 * Returns how often each code was answered.
+	 * Returns the number of requests that ended with each error code.
 	 */
 	public Map<String, Long> codes() {
 		return this.codes;
 	}
 
 	/**
-	 * Returns the broken promises, of the program's own invariants and as the runners saw
-	 * them.
+	 * Returns violations by name. An invariant of the policy counts once for each entry
+	 * that violated it; a guarantee checked at runners and callers counts each time.
 	 */
 	public Map<String, Long> violations() {
 		return this.violations;
 	}
 
 	/**
-	 * Returns calls that reached a runner beyond the first of each request.
+	 * Returns the number of calls that a runner accepted beyond the first of each
+	 * request.
 	 */
 	public long retries() {
 		return this.dispatches - this.gateRefusals - this.all.dispatched;
 	}
 
 	/**
-	 * Returns calls that a full gate sent back.
+	 * Returns the number of calls that a full gate rejected.
 	 */
 	public long gateRefusals() {
 		return this.gateRefusals;
 	}
 
 	/**
-	 * Returns the work answered in time while requests came, as a share of what an ideal
-	 * would have: all that was asked for, or all that the runners can do if that is less.
+	 * Returns the work completed in time while requests arrived, as a share of the ideal:
+	 * the requested work or the capacity of all runners, whichever is less.
 	 */
 	public double goodput() {
-		return this.all.goodCost / this.idealCost;
+		return this.all.inTimeCost / this.idealCost;
 	}
 
-	void ideal(double cost) {
+	void setIdealCost(double cost) {
 		this.idealCost = cost;
 	}
 
@@ -113,16 +114,16 @@
 		this.codes.merge(code, 1L, Long::sum);
 	}
 
-	void violation(String name) {
+	void recordViolation(String name) {
 		this.violations.merge(name, 1L, Long::sum);
 	}
 
 	/**
-	 * Callers that are alike.
+	 * Outcomes and latencies of a group of requests.
 	 */
 	public static final class Group {
 
-		private final Histogram answers = new Histogram(MOST_MICROS, 3);
+		private final Histogram answerLatencies = new Histogram(MAX_MICROS, 3);
 
 		private long asked;
 
@@ -134,78 +135,79 @@
 
 		private long failed;
 
-		private double askedCost;
+		private double requestedCost;
 
-		private double goodCost;
+		private double inTimeCost;
 
 		private Group() {
 		}
 
-		void ask(int cost) {
+		void recordRequest(int cost) {
 			this.asked++;
-			this.askedCost += cost;
+			this.requestedCost += cost;
 		}
 
-		void firstDispatch() {
+		void recordFirstDispatch() {
 			this.dispatched++;
 		}
 
-		void answer(int cost, long micros, boolean good) {
-			this.answers.recordValue(Math.min(MOST_MICROS, micros));
-			if (good) {
+		void recordAnswer(int cost, long micros, boolean inTime) {
+			this.answerLatencies.recordValue(Math.min(MAX_MICROS, micros));
+			if (inTime) {
 				this.inTime++;
-				this.goodCost += cost;
+				this.inTimeCost += cost;
 			}
 		}
 
-		void refuse() {
+		void recordRefusal() {
 			this.refused++;
 		}
 
-		void fail() {
+		void recordFailure() {
 			this.failed++;
 		}
 
 		/**
-		 * Returns how many asked.
+		 * Returns the number of requests.
 		 */
 		public long asked() {
 			return this.asked;
 		}
 
 		/**
-		 * Returns how much work was asked for, in units of cost.
+		 * Returns the total cost of the requests, in units of work.
 		 */
-		public double askedCost() {
-			return this.askedCost;
+		public double requestedCost() {
+			return this.requestedCost;
 		}
 
 		/**
-		 * Returns the share that was answered whole before the deadline.
+		 * Returns the share of requests that were answered completely before the
+		 * deadline.
 		 */
 		public double shareInTime() {
 			return (this.asked > 0) ? (double) this.inTime / this.asked : 1;
 		}
 
 		/**
-		 * Returns how many were refused as not run.
+		 * Returns the number of requests that were refused without having run.
 		 */
 		public long refused() {
 			return this.refused;
 		}
 
 		/**
-		 * Returns how many ended as unknown.
+		 * Returns the number of requests that ended with an unknown outcome.
 		 */
 		public long failed() {
 			return this.failed;
 		}
 
 		/**
-		 * Returns a percentile of the time to a whole answer, in milliseconds.
+		 * Returns a percentile of the latency of complete answers, in milliseconds.
 		 */
 		public double millis(double percentile) {
-			return this.answers.getValueAtPercentile(percentile) / 1000.0;
+			return this.answerLatencies.getValueAtPercentile(percentile) / 1000.0;
 		}
 
 	}
--- a/standin/src/main/java/org/wisteriapost/standin/sim/LoadSim.java
+++ b/standin/src/main/java/org/wisteriapost/standin/sim/LoadSim.java
@@ -17,10 +17,11 @@
 import org.wisteriapost.policy.request.RequestEvent;
 
 /**
- * Runs a load through entries and runners in virtual time.
+ * Discrete-event simulation of a workload over entries and runners in virtual time.
  *
- * Reports come once a second and late; links take half a millisecond; a claim takes four.
- * The same profile, policy and seed give the same run.
+ * Runners report their status once a second, and reports arrive with a random delay. The
+ * network and the claim store have constant latencies. Runs with the same profile, policy
+ * and seed are identical.
  */
 public final class LoadSim {
 
@@ -40,20 +41,20 @@
 
 	private static final long GATE_RETRY_MILLIS = 20;
 
-	private static final double FIRST_BYTE = 0.1;
+	private static final double FIRST_BYTE_FRACTION = 0.1;
 
 	private final LoadProfile profile;
 
 	private final UniformRandomProvider random;
 
-	private final PriorityQueue<Step> steps = new PriorityQueue<>(
-			Comparator.comparingLong(Step::nanos).thenComparingLong(Step::number));
+	private final PriorityQueue<ScheduledTask> tasks = new PriorityQueue<>(
+			Comparator.comparingLong(ScheduledTask::atNanos).thenComparingLong(ScheduledTask::sequence));
 
 	private final List<EntryPolicy> entries = new ArrayList<>();
 
-	private final Map<String, RunnerSim> runners = new HashMap<>();
+	private final Map<String, SimulatedRunner> runners = new HashMap<>();
 
-	private final List<RunnerSim> runnerList = new ArrayList<>();
+	private final List<SimulatedRunner> runnerList = new ArrayList<>();
 
 	private final Map<Long, Caller> callers = new HashMap<>();
 
@@ -63,26 +64,26 @@
 
 	private long nowNanos;
 
-	private long stepNumber;
+	private long lastSequence;
 
-	private long requestNumber;
+	private long lastRequestId;
 
 	private LoadSim(LoadProfile profile, EntryPolicy.Factory factory, long seed) {
 		this.profile = profile;
 		this.random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
-		this.endNanos = profile.length().toNanos();
+		this.endNanos = profile.duration().toNanos();
 		for (int each = 0; each < profile.entries(); each++) {
 			this.entries.add(factory.create(profile, seed * 31 + each));
 		}
 		for (int each = 0; each < profile.runners(); each++) {
-			RunnerSim runner = new RunnerSim("runner-" + each, "place-" + each % 3, profile.slots());
+			SimulatedRunner runner = new SimulatedRunner("runner-" + each, "place-" + each % 3, profile.slots());
 			this.runners.put(runner.name, runner);
 			this.runnerList.add(runner);
 		}
 	}
 
 	/**
-	 * Returns what the callers met in one run.
+	 * Simulates one run and returns its outcomes.
 	 */
 	public static LoadResult run(LoadProfile profile, EntryPolicy.Factory factory, long seed) {
 		return new LoadSim(profile, factory, seed).run();
@@ -90,17 +91,17 @@
 
 	private LoadResult run() {
 		start();
-		long last = this.endNanos + Duration.ofSeconds(30).toNanos();
-		while (!this.steps.isEmpty() && this.steps.peek().nanos() <= last) {
-			Step step = this.steps.poll();
-			this.nowNanos = step.nanos();
-			step.action().run();
+		long limitNanos = this.endNanos + Duration.ofSeconds(30).toNanos();
+		while (!this.tasks.isEmpty() && this.tasks.peek().atNanos() <= limitNanos) {
+			ScheduledTask task = this.tasks.poll();
+			this.nowNanos = task.atNanos();
+			task.action().run();
 		}
-		this.callers.values().forEach((caller) -> caller.group.fail());
-		this.result.ideal(Math.min(this.result.all().askedCost(),
-				this.profile.unitsPerSecond() * this.profile.length().toMillis() / 1000.0));
+		this.callers.values().forEach((caller) -> caller.group.recordFailure());
+		this.result.setIdealCost(Math.min(this.result.all().requestedCost(),
+				this.profile.capacityPerSecond() * this.profile.duration().toMillis() / 1000.0));
 		for (EntryPolicy entry : this.entries) {
-			entry.violations().keySet().forEach(this.result::violation);
+			entry.violations().keySet().forEach(this.result::recordViolation);
 		}
 		return this.result;
 	}
@@ -108,87 +109,87 @@
 	private void start() {
 		for (int entry = 0; entry < this.entries.size(); entry++) {
 			apply(entry, new RequestEvent.HeadSeen(1, Map.of(SERVICE, Set.of(DIGEST))));
-			int own = entry;
-			after(TICK_NANOS * entry / this.entries.size(), () -> tick(own));
+			int entryIndex = entry;
+			schedule(TICK_NANOS * entry / this.entries.size(), () -> tick(entryIndex));
 		}
-		for (RunnerSim runner : this.runnerList) {
-			report(runner);
-			after((long) (REPORT_NANOS * this.random.nextDouble()), () -> reportEverySecond(runner));
+		for (SimulatedRunner runner : this.runnerList) {
+			publishReport(runner);
+			schedule((long) (REPORT_NANOS * this.random.nextDouble()), () -> publishReportPeriodically(runner));
 		}
-		this.profile.demands().forEach((demand) -> after(gap(demand), () -> arrive(demand)));
+		this.profile.streams().forEach((stream) -> schedule(nextInterarrivalNanos(stream), () -> arrive(stream)));
 		for (LoadProfile.Fault fault : this.profile.faults()) {
-			after(fault.at().toNanos(), () -> strike(fault));
+			schedule(fault.at().toNanos(), () -> injectFault(fault));
 		}
 	}
 
 	private void tick(int entry) {
 		apply(entry, new RequestEvent.Tick());
 		if (this.nowNanos < this.endNanos || !this.callers.isEmpty()) {
-			after(TICK_NANOS, () -> tick(entry));
+			schedule(TICK_NANOS, () -> tick(entry));
 		}
 	}
 
-	private void reportEverySecond(RunnerSim runner) {
-		if (runner.state != LoadProfile.Fault.Kind.LOST) {
-			report(runner);
+	private void publishReportPeriodically(SimulatedRunner runner) {
+		if (runner.state != LoadProfile.Fault.Kind.UNREACHABLE) {
+			publishReport(runner);
 		}
 		if (this.nowNanos < this.endNanos || !this.callers.isEmpty()) {
-			after(REPORT_NANOS, () -> reportEverySecond(runner));
+			schedule(REPORT_NANOS, () -> publishReportPeriodically(runner));
 		}
 	}
 
-	private void report(RunnerSim runner) {
+	private void publishReport(SimulatedRunner runner) {
 		RequestEvent seen = new RequestEvent.RunnerSeen(runner.view());
 		long lag = (this.nowNanos == 0) ? 0 : (long) (REPORT_LAG_NANOS * this.random.nextDouble());
 		for (int entry = 0; entry < this.entries.size(); entry++) {
-			int own = entry;
-			after(lag, () -> {
-				if (runner.state != LoadProfile.Fault.Kind.LOST) {
-					apply(own, seen);
+			int entryIndex = entry;
+			schedule(lag, () -> {
+				if (runner.state != LoadProfile.Fault.Kind.UNREACHABLE) {
+					apply(entryIndex, seen);
 				}
 			});
 		}
 	}
 
-	private void strike(LoadProfile.Fault fault) {
-		RunnerSim runner = this.runnerList.get(fault.runner());
+	private void injectFault(LoadProfile.Fault fault) {
+		SimulatedRunner runner = this.runnerList.get(fault.runner());
 		runner.state = fault.kind();
-		if (fault.kind() == LoadProfile.Fault.Kind.LOST) {
-			List<RunnerSim.Call> calls = new ArrayList<>(runner.running.values());
+		if (fault.kind() == LoadProfile.Fault.Kind.UNREACHABLE) {
+			List<SimulatedRunner.Call> calls = new ArrayList<>(runner.running.values());
 			calls.addAll(runner.waiting);
 			runner.running.clear();
 			runner.waiting.clear();
 			for (int entry = 0; entry < this.entries.size(); entry++) {
 				apply(entry, new RequestEvent.RunnerLost(runner.name));
 			}
-			calls.sort(Comparator.comparingLong(RunnerSim.Call::number));
-			calls.forEach((call) -> failed(call, runner, false, "link-lost", 0));
+			calls.sort(Comparator.comparingLong(SimulatedRunner.Call::sequence));
+			calls.forEach((call) -> reportFailure(call, runner, false, "link-lost", 0));
 		}
-		if (fault.kind() == LoadProfile.Fault.Kind.WELL) {
-			report(runner);
+		if (fault.kind() == LoadProfile.Fault.Kind.HEALTHY) {
+			publishReport(runner);
 		}
 	}
 
-	private long gap(Demand demand) {
-		double seconds = -Math.log(1 - this.random.nextDouble()) / demand.rateAt(this.nowNanos);
+	private long nextInterarrivalNanos(RequestStream stream) {
+		double seconds = -Math.log(1 - this.random.nextDouble()) / stream.rateAt(this.nowNanos);
 		return (long) (seconds * Duration.ofSeconds(1).toNanos());
 	}
 
-	private void arrive(Demand demand) {
+	private void arrive(RequestStream stream) {
 		if (this.nowNanos >= this.endNanos) {
 			return;
 		}
-		after(gap(demand), () -> arrive(demand));
-		boolean any = demand.entry() == Demand.ANY_ENTRY;
-		int entry = any ? this.random.nextInt(this.entries.size()) : demand.entry() % this.entries.size();
-		long id = ++this.requestNumber;
-		Request request = new Request(id, demand.organisation(), SERVICE, demand.priority(),
-				this.nowNanos + demand.deadline().toNanos(), demand.idempotent(), 0, demand.cost());
+		schedule(nextInterarrivalNanos(stream), () -> arrive(stream));
+		boolean anyEntry = stream.entry() == RequestStream.ANY_ENTRY;
+		int entry = anyEntry ? this.random.nextInt(this.entries.size()) : stream.entry() % this.entries.size();
+		long id = ++this.lastRequestId;
+		Request request = new Request(id, stream.organisation(), SERVICE, stream.priority(),
+				this.nowNanos + stream.deadline().toNanos(), stream.idempotent(), 0, stream.cost());
 		Caller caller = new Caller(request, entry, this.nowNanos,
-				this.result.group(demand.organisation(), demand.priority()));
+				this.result.group(stream.organisation(), stream.priority()));
 		this.callers.put(id, caller);
-		caller.group.ask(demand.cost());
-		this.result.all().ask(demand.cost());
+		caller.group.recordRequest(stream.cost());
+		this.result.all().recordRequest(stream.cost());
 		apply(entry, new RequestEvent.Arrived(request));
 	}
 
@@ -197,79 +198,79 @@
 			Caller caller = this.callers.get(effect.id());
 			switch (effect) {
 				case RequestEffect.Claim claim ->
-					after(CLAIM_NANOS, () -> apply(entry, new RequestEvent.Claimed(claim.id())));
+					schedule(CLAIM_NANOS, () -> apply(entry, new RequestEvent.Claimed(claim.id())));
 				case RequestEffect.Dispatch dispatch -> dispatch(caller, this.runners.get(dispatch.runner()));
 				case RequestEffect.Refuse refuse -> refuse(caller, refuse.code());
-				case RequestEffect.GiveUp gaveUp -> giveUp(caller, gaveUp.code());
+				case RequestEffect.GiveUp giveUp -> abandon(caller, giveUp.code());
 				case RequestEffect.Cancel cancel -> {
-					RunnerSim runner = this.runners.get(cancel.runner());
-					after(LINK_NANOS, () -> cancel(runner, cancel.id()));
+					SimulatedRunner runner = this.runners.get(cancel.runner());
+					schedule(LINK_NANOS, () -> cancel(runner, cancel.id()));
 				}
 			}
 		}
 	}
 
-	private void dispatch(Caller caller, RunnerSim runner) {
+	private void dispatch(Caller caller, SimulatedRunner runner) {
 		this.result.countDispatch();
-		RunnerSim.Call call = new RunnerSim.Call(caller, ++this.stepNumber);
-		after(LINK_NANOS, () -> take(runner, call));
+		SimulatedRunner.Call call = new SimulatedRunner.Call(caller, ++this.lastSequence);
+		schedule(LINK_NANOS, () -> receive(runner, call));
 	}
 
-	private void take(RunnerSim runner, RunnerSim.Call call) {
-		if (runner.state == LoadProfile.Fault.Kind.LOST) {
-			failed(call, runner, true, "link-lost", 0);
+	private void receive(SimulatedRunner runner, SimulatedRunner.Call call) {
+		if (runner.state == LoadProfile.Fault.Kind.UNREACHABLE) {
+			reportFailure(call, runner, true, "link-lost", 0);
 			return;
 		}
 		if (runner.full()) {
-			await(runner, call);
+			enqueue(runner, call);
 			return;
 		}
-		begin(runner, call);
+		startCall(runner, call);
 	}
 
-	private void await(RunnerSim runner, RunnerSim.Call call) {
+	private void enqueue(SimulatedRunner runner, SimulatedRunner.Call call) {
 		boolean gated = this.entries.get(call.caller().entry).gated();
 		runner.waiting.addLast(call);
 		if (gated && runner.waiting.size() > this.profile.gateQueue()) {
 			this.result.countGateRefusal();
-			failed(runner.pushOut(), runner, true, GateCodes.FULL.name(), GATE_RETRY_MILLIS);
+			reportFailure(runner.evictLeastUrgent(), runner, true, GateCodes.FULL.name(), GATE_RETRY_MILLIS);
 		}
 	}
 
-	private void begin(RunnerSim runner, RunnerSim.Call call) {
+	private void startCall(SimulatedRunner runner, SimulatedRunner.Call call) {
 		Caller caller = call.caller();
 		runner.running.put(caller.request.id(), call);
 		caller.runs++;
 		if (caller.runs == 1) {
-			this.result.all().firstDispatch();
+			this.result.all().recordFirstDispatch();
 		}
 		if (caller.runs > 1 && !caller.request.idempotent()) {
-			this.result.violation("runner-saw-a-second-run");
+			this.result.recordViolation("runner-saw-a-second-run");
 		}
 		if (caller.refused) {
-			this.result.violation("runner-ran-what-was-refused");
+			this.result.recordViolation("runner-ran-what-was-refused");
 		}
 		if (runner.state == LoadProfile.Fault.Kind.FAILING) {
 			runner.running.remove(caller.request.id());
-			failed(call, runner, false, "engine-failed", 0);
+			reportFailure(call, runner, false, "engine-failed", 0);
 			return;
 		}
-		double noise = 0.8 + 0.4 * this.random.nextDouble();
-		double nanos = caller.request.cost() * this.profile.unit().toNanos() * runner.slowness() * noise;
-		after((long) (nanos * FIRST_BYTE) + LINK_NANOS, () -> toCaller(runner, call, false));
-		after((long) nanos, () -> finish(runner, call));
+		double jitter = 0.8 + 0.4 * this.random.nextDouble();
+		double nanos = caller.request.cost() * this.profile.unitDuration().toNanos() * runner.slowdown() * jitter;
+		schedule((long) (nanos * FIRST_BYTE_FRACTION) + LINK_NANOS, () -> deliver(runner, call, false));
+		schedule((long) nanos, () -> finish(runner, call));
 	}
 
-	private void finish(RunnerSim runner, RunnerSim.Call call) {
+	private void finish(SimulatedRunner runner, SimulatedRunner.Call call) {
 		if (runner.running.remove(call.caller().request.id(), call)) {
-			next(runner);
-			after(LINK_NANOS, () -> toCaller(runner, call, true));
+			startNextWaiting(runner);
+			schedule(LINK_NANOS, () -> deliver(runner, call, true));
 		}
 	}
 
-	private void toCaller(RunnerSim runner, RunnerSim.Call call, boolean whole) {
+	private void deliver(SimulatedRunner runner, SimulatedRunner.Call call, boolean complete) {
 		long id = call.caller().request.id();
-		if (!whole) {
+		if (!complete) {
 			if (runner.running.get(id) == call) {
 				apply(call.caller().entry, new RequestEvent.Started(id));
 			}
@@ -277,70 +278,71 @@
 		}
 		Caller caller = this.callers.remove(id);
 		if (caller != null) {
-			boolean good = this.nowNanos <= caller.request.deadlineNanos();
-			boolean counts = good && this.nowNanos <= this.endNanos;
+			boolean inTime = this.nowNanos <= caller.request.deadlineNanos();
+			boolean countsForGoodput = inTime && this.nowNanos <= this.endNanos;
 			long micros = Duration.ofNanos(this.nowNanos - caller.arrivedNanos).toNanos() / 1000;
-			int cost = counts ? caller.request.cost() : 0;
-			caller.group.answer(cost, micros, good);
-			this.result.all().answer(cost, micros, good);
+			int cost = countsForGoodput ? caller.request.cost() : 0;
+			caller.group.recordAnswer(cost, micros, inTime);
+			this.result.all().recordAnswer(cost, micros, inTime);
 		}
 		apply(call.caller().entry, new RequestEvent.Ended(id));
 	}
 
-	private void failed(RunnerSim.Call call, RunnerSim runner, boolean notRun, String code, long retryMillis) {
-		after(LINK_NANOS, () -> apply(call.caller().entry,
+	private void reportFailure(SimulatedRunner.Call call, SimulatedRunner runner, boolean notRun, String code,
+			long retryMillis) {
+		schedule(LINK_NANOS, () -> apply(call.caller().entry,
 				new RequestEvent.Failed(call.caller().request.id(), runner.name, notRun, code, retryMillis)));
 	}
 
-	private void cancel(RunnerSim runner, long id) {
+	private void cancel(SimulatedRunner runner, long id) {
 		runner.waiting.removeIf((call) -> call.caller().request.id() == id);
 		if (runner.running.remove(id) != null) {
-			next(runner);
+			startNextWaiting(runner);
 		}
 	}
 
-	private void next(RunnerSim runner) {
+	private void startNextWaiting(SimulatedRunner runner) {
 		if (!runner.full() && !runner.waiting.isEmpty()) {
-			begin(runner, runner.nextWaiting(this.entries.getFirst().gated()));
+			startCall(runner, runner.nextWaiting(this.entries.getFirst().gated()));
 		}
 	}
 
 	private void refuse(Caller caller, String code) {
 		if (caller == null) {
-			this.result.violation("second-final-answer");
+			this.result.recordViolation("second-final-answer");
 			return;
 		}
 		this.callers.remove(caller.request.id());
 		caller.refused = true;
 		if (caller.runs > 0) {
-			this.result.violation("runner-ran-what-was-refused");
+			this.result.recordViolation("runner-ran-what-was-refused");
 		}
-		caller.group.refuse();
-		this.result.all().refuse();
+		caller.group.recordRefusal();
+		this.result.all().recordRefusal();
 		this.result.countCode(code);
 		this.result.refusals().recordValue((this.nowNanos - caller.arrivedNanos) / 1000);
 	}
 
-	private void giveUp(Caller caller, String code) {
+	private void abandon(Caller caller, String code) {
 		if (caller == null) {
-			this.result.violation("second-final-answer");
+			this.result.recordViolation("second-final-answer");
 			return;
 		}
 		this.callers.remove(caller.request.id());
-		caller.group.fail();
-		this.result.all().fail();
+		caller.group.recordFailure();
+		this.result.all().recordFailure();
 		this.result.countCode(code);
 	}
 
-	private void after(long nanos, Runnable action) {
-		this.steps.add(new Step(this.nowNanos + nanos, ++this.stepNumber, action));
+	private void schedule(long nanos, Runnable action) {
+		this.tasks.add(new ScheduledTask(this.nowNanos + nanos, ++this.lastSequence, action));
 	}
 
-	private record Step(long nanos, long number, Runnable action) {
+	private record ScheduledTask(long atNanos, long sequence, Runnable action) {
 	}
 
 	/**
-	 * One request's caller.
+	 * The caller of one request, and what has happened to the request so far.
 	 */
 	static final class Caller {
 
--- a/standin/src/main/java/org/wisteriapost/standin/sim/MachinePolicy.java
+++ b/standin/src/main/java/org/wisteriapost/standin/sim/MachinePolicy.java
@@ -9,18 +9,18 @@
 import org.wisteriapost.policy.request.RequestPolicySettings;
 
 /**
- * The program's own decisions.
+ * The production request handling of an entry.
  */
 public final class MachinePolicy implements EntryPolicy {
 
-	private final RequestMachine machine;
+	private final RequestMachine stateMachine;
 
 	private MachinePolicy(RequestMachine machine) {
-		this.machine = machine;
+		this.stateMachine = machine;
 	}
 
 	/**
-	 * Returns the program's own decisions with default limits.
+	 * Creates the production request handling with default settings.
 	 */
 	public static EntryPolicy create(LoadProfile profile, long seed) {
 		return new MachinePolicy(RequestMachine.create(RequestPolicySettings.defaults(), seed));
@@ -28,7 +28,7 @@
 
 	@Override
 	public List<RequestEffect> apply(RequestEvent event, long nowNanos) {
-		return this.machine.apply(event, nowNanos);
+		return this.stateMachine.apply(event, nowNanos);
 	}
 
 	@Override
@@ -38,7 +38,7 @@
 
 	@Override
 	public Map<String, Long> violations() {
-		return this.machine.violations();
+		return this.stateMachine.violations();
 	}
 
 }
--- a/standin/src/main/java/org/wisteriapost/standin/sim/NaivePolicy.java
+++ b/standin/src/main/java/org/wisteriapost/standin/sim/NaivePolicy.java
@@ -7,21 +7,22 @@
 import org.wisteriapost.policy.request.RequestEvent;
 
 /**
- * What to measure against: round robin over the runners that report, no admission, no
- * queue, no retry, no cancellation.
+ * A baseline for comparison: round robin over the connected runners, without admission
+ * control, queueing, retries or cancellation.
  */
 public final class NaivePolicy implements EntryPolicy {
 
 	private final List<String> runners = new ArrayList<>();
 
-	private int next;
+	private int nextIndex;
 
-	private NaivePolicy(int first) {
-		this.next = first;
+	private NaivePolicy(int firstIndex) {
+		this.nextIndex = firstIndex;
 	}
 
 	/**
-	 * Returns a policy that begins anywhere in the round.
+	 * Creates a policy whose first runner depends on the seed, so that entries do not
+	 * send to the same runner at once.
 	 */
 	public static EntryPolicy create(LoadProfile profile, long seed) {
 		return new NaivePolicy((int) Math.floorMod(seed, (long) profile.runners()));
@@ -50,8 +51,8 @@
 		if (this.runners.isEmpty()) {
 			return new RequestEffect.Refuse(id, "no-runner", 0);
 		}
-		this.next = (this.next + 1) % this.runners.size();
-		return new RequestEffect.Dispatch(id, this.runners.get(this.next), LoadSim.DIGEST);
+		this.nextIndex = (this.nextIndex + 1) % this.runners.size();
+		return new RequestEffect.Dispatch(id, this.runners.get(this.nextIndex), LoadSim.DIGEST);
 	}
 
 	@Override
--- a/standin/src/main/java/org/wisteriapost/standin/sim/package-info.java
+++ b/standin/src/main/java/org/wisteriapost/standin/sim/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Requests, entries and runners in virtual time: the real decision code against simulated
- * runners, from a seed, without sockets or clocks.
+ * Seeded simulation of request handling under load: the production decision code against
+ * simulated runners in virtual time, without sockets or clocks.
  */
 package org.wisteriapost.standin.sim;
--- a/standin/src/test/java/org/wisteriapost/standin/sim/LoadSimTests.java
+++ b/standin/src/test/java/org/wisteriapost/standin/sim/LoadSimTests.java
@@ -18,16 +18,16 @@
 import static org.hamcrest.Matchers.lessThan;
 
 /**
- * What callers meet under load, in virtual time and from fixed seeds: six entries that do
- * not talk to each other, ten runners of eight slots, reports up to a second old.
+ * Outcomes and latencies under load, simulated from a fixed seed: six entries that do not
+ * exchange state, ten runners of eight slots, runner reports up to a second old.
  */
 class LoadSimTests {
 
 	private static final long SEED = 11;
 
-	private static final Duration LENGTH = Duration.ofSeconds(30);
+	private static final Duration DURATION = Duration.ofSeconds(30);
 
-	private static final int BROKEN = 3;
+	private static final int FAULTY_RUNNER = 3;
 
 	@Test
 	void burstIsAnsweredInTimeOrRefused() {
@@ -39,7 +39,7 @@
 
 	@ParameterizedTest
 	@ValueSource(strings = { "skew", "skew-one-entry" })
-	void organisationBeyondItsShareCostsTheOthersNothing(String name) {
+	void overloadOfOneOrganisationDoesNotAffectOthers(String name) {
 		LoadResult result = run(profile(name));
 		for (int each = 1; each < 10; each++) {
 			LoadResult.Group other = result.group("org-" + each, Priority.NORMAL);
@@ -50,33 +50,33 @@
 	}
 
 	@Test
-	void withoutAdmissionTheOthersWouldPay() {
+	void overloadAffectsOtherOrganisationsWithoutAdmissionControl() {
 		LoadResult result = LoadSim.run(profile("skew"), NaivePolicy::create, SEED);
 		assertThat(result.group("org-5", Priority.NORMAL).shareInTime(), lessThan(0.3));
 	}
 
 	@Test
-	void slowEndpointCostsTheP99OfTheOthersNothing() {
+	void slowEndpointDoesNotRaiseP99() {
 		LoadProfile slow = profile("slow-endpoint");
-		LoadResult well = run(slow.with(List.of()));
+		LoadResult healthy = run(slow.withFaults(List.of()));
 		LoadResult result = run(slow);
-		assertThat(result.all().millis(99), closeTo(well.all().millis(99), 25));
+		assertThat(result.all().millis(99), closeTo(healthy.all().millis(99), 25));
 		assertThat(result.all().shareInTime(), greaterThan(0.999));
 	}
 
 	@Test
-	void shortRequestsDoNotWaitBehindLongOnes() {
+	void shortRequestsAreNotDelayedByLongRequests() {
 		LoadResult result = run(profile("mixed"));
 		for (int each = 2; each < 10; each++) {
-			LoadResult.Group only = result.group("org-" + each, Priority.NORMAL);
-			assertThat(only.millis(99), lessThan(1000.0));
-			assertThat(only.shareInTime(), greaterThan(0.999));
+			LoadResult.Group group = result.group("org-" + each, Priority.NORMAL);
+			assertThat(group.millis(99), lessThan(1000.0));
+			assertThat(group.shareInTime(), greaterThan(0.999));
 		}
 		assertThat(result.group("org-0", Priority.NORMAL).shareInTime(), greaterThan(0.95));
 	}
 
 	@Test
-	void saturationIsUsedFullyAndUrgentRequestsComeFirst() {
+	void saturationKeepsGoodputAndPrefersUrgentRequests() {
 		LoadResult result = run(profile("saturation"));
 		assertThat(result.goodput(), greaterThan(0.95));
 		for (int each = 0; each < 10; each++) {
@@ -88,24 +88,25 @@
 	}
 
 	@Test
-	void saturationWastesNoSlotOnAnswersThatComeTooLate() {
+	void saturationRunsAlmostNoRequestsThatMissTheirDeadline() {
 		LoadResult result = run(profile("saturation"));
 		assertThat(result.all().failed(), lessThan(result.all().asked() / 1000));
 	}
 
 	/**
-	 * One runner of ten breaks and later is well again. Callers see their answers, from
-	 * another runner where the first had not begun; a call that may not run twice ends as
-	 * unknown if its runner had it, and no runner sees a second run of it.
+	 * One of ten runners fails and recovers. Requests that it had not started are retried
+	 * elsewhere; a non-idempotent request that it had started ends with an unknown
+	 * outcome and never runs a second time.
 	 */
 	@ParameterizedTest
-	@EnumSource(value = LoadProfile.Fault.Kind.class, names = { "LOST", "FAILING" })
-	void brokenRunnerCostsFewCallersTheirAnswer(LoadProfile.Fault.Kind kind) {
-		List<Demand> demands = new ArrayList<>(LoadProfile.even(0.3));
-		LoadProfile.even(0.3).forEach((demand) -> demands.add(demand.with(Priority.URGENT).once()));
-		LoadResult result = run(LoadProfile.of("broken", demands)
-			.with(List.of(new LoadProfile.Fault(Duration.ofSeconds(5), BROKEN, kind),
-					new LoadProfile.Fault(Duration.ofSeconds(15), BROKEN, LoadProfile.Fault.Kind.WELL))));
+	@EnumSource(value = LoadProfile.Fault.Kind.class, names = { "UNREACHABLE", "FAILING" })
+	void faultyRunnerFailsFewRequests(LoadProfile.Fault.Kind kind) {
+		List<RequestStream> streams = new ArrayList<>(LoadProfile.evenLoad(0.3));
+		LoadProfile.evenLoad(0.3)
+			.forEach((stream) -> streams.add(stream.withPriority(Priority.URGENT).nonIdempotent()));
+		LoadResult result = run(LoadProfile.of("broken", streams)
+			.withFaults(List.of(new LoadProfile.Fault(Duration.ofSeconds(5), FAULTY_RUNNER, kind),
+					new LoadProfile.Fault(Duration.ofSeconds(15), FAULTY_RUNNER, LoadProfile.Fault.Kind.HEALTHY))));
 		assertThat(result.all().shareInTime(), greaterThan(0.995));
 		assertThat(result.all().refused(), is(0L));
 	}
@@ -113,12 +114,12 @@
 	@ParameterizedTest
 	@ValueSource(ints = { 1, 2, 6 })
 	void goodputAtTwiceTheCapacityHoldsForAnyNumberOfEntries(int entries) {
-		assertThat(run(LoadProfile.of("twice", LoadProfile.even(2)).across(entries)).goodput(), greaterThan(0.95));
+		assertThat(run(LoadProfile.of("twice", LoadProfile.evenLoad(2)).across(entries)).goodput(), greaterThan(0.95));
 	}
 
 	@Test
-	void sameSeedGivesTheSameRun() {
-		LoadProfile profile = profile("mixed").during(Duration.ofSeconds(5));
+	void sameSeedGivesIdenticalRuns() {
+		LoadProfile profile = profile("mixed").withDuration(Duration.ofSeconds(5));
 		assertThat(figures(run(profile)), is(figures(run(profile))));
 	}
 
@@ -128,7 +129,7 @@
 	}
 
 	private static LoadProfile profile(String name) {
-		return LoadProfile.named(name).orElseThrow().during(LENGTH);
+		return LoadProfile.named(name).orElseThrow().withDuration(DURATION);
 	}
 
 	private static LoadResult run(LoadProfile profile) {
