--- a/standin/src/main/java/org/wisteriapost/standin/soak/LockstepLoop.java
+++ b/standin/src/main/java/org/wisteriapost/standin/soak/LockstepLoop.java
@@ -7,40 +7,41 @@
 import org.wisteriapost.kernel.Invariants;
 
 /**
- * The product's event loop, fed one event at a time, so that a run is the same each time.
+ * Runs the production event loop in lockstep: each event is processed before the caller
+ * continues, so that runs are deterministic.
  *
  * @param <E> the event type
  */
 final class LockstepLoop<E> implements AutoCloseable {
 
-	private static final int RING = 16;
+	private static final int RING_SIZE = 16;
 
-	private final EventLoop<Ticket<E>> loop;
+	private final EventLoop<PendingEvent<E>> loop;
 
-	private LockstepLoop(EventLoop<Ticket<E>> loop) {
+	private LockstepLoop(EventLoop<PendingEvent<E>> loop) {
 		this.loop = loop;
 	}
 
 	static <E> LockstepLoop<E> start(String name, Consumer<E> consumer, Invariants invariants) {
-		return new LockstepLoop<>(EventLoop.start(name, RING, (ticket) -> {
+		return new LockstepLoop<>(EventLoop.start(name, RING_SIZE, (pending) -> {
 			try {
-				consumer.accept(ticket.event);
+				consumer.accept(pending.event);
 			}
 			catch (RuntimeException ex) {
 				invariants.holds(false, "event-applied",
-						name + " " + ticket.event.getClass().getSimpleName() + " " + ex);
+						name + " " + pending.event.getClass().getSimpleName() + " " + ex);
 			}
 			finally {
-				ticket.done.countDown();
+				pending.processed.countDown();
 			}
 		}));
 	}
 
 	void apply(E event) {
-		Ticket<E> ticket = new Ticket<>(event, new CountDownLatch(1));
-		this.loop.put(ticket);
+		PendingEvent<E> pending = new PendingEvent<>(event, new CountDownLatch(1));
+		this.loop.put(pending);
 		try {
-			ticket.done.await();
+			pending.processed.await();
 		}
 		catch (InterruptedException ex) {
 			Thread.currentThread().interrupt();
@@ -53,7 +54,7 @@
 		this.loop.close();
 	}
 
-	private record Ticket<E>(E event, CountDownLatch done) {
+	private record PendingEvent<E>(E event, CountDownLatch processed) {
 	}
 
 }
--- a/standin/src/main/java/org/wisteriapost/standin/soak/Soak.java
+++ b/standin/src/main/java/org/wisteriapost/standin/soak/Soak.java
@@ -12,27 +12,28 @@
 import org.apache.commons.cli.ParseException;
 
 /**
- * Main of {@code scripts/soak}: one JSON line for each seed, exit 1 on any violation.
+ * Main class of {@code scripts/soak}. Prints a JSON line for each seed; exits with 1 if
+ * any invariant was violated.
  */
 public final class Soak {
 
-	private static final int BAD_INPUT = 2;
+	private static final int USAGE_ERROR = 2;
 
 	private Soak() {
 	}
 
 	/**
-	 * Runs seeds one after the other until the time is over, at least one.
+	 * Runs consecutive seeds until the time is over, but at least one.
 	 */
 	public static void main(String[] args) throws JsonProcessingException {
 		CommandLine line = parse(args);
 		long seed = Long.parseLong(line.getOptionValue("seed", "1"));
 		long seconds = Long.parseLong(line.getOptionValue("seconds", "30"));
-		long virtual = Long.parseLong(line.getOptionValue("virtual", "300"));
+		long virtualSeconds = Long.parseLong(line.getOptionValue("virtual", "300"));
 		long end = System.nanoTime() + seconds * VirtualTime.SECOND;
 		boolean clean = true;
 		do {
-			Map<String, Object> result = run(seed++, virtual);
+			Map<String, Object> result = run(seed++, virtualSeconds);
 			System.out.println(JsonMapper.builder().build().writeValueAsString(result));
 			clean &= ((Map<?, ?>) result.get("violations")).isEmpty();
 		}
@@ -41,28 +42,28 @@
 	}
 
 	/**
-	 * Returns what one run counted.
-	 * @param seconds of virtual time under faults
+	 * Runs one seed and returns its counters and violations.
+	 * @param seconds the virtual time during which faults are injected
 	 */
 	public static Map<String, Object> run(long seed, long seconds) {
-		SoakWorld world = new SoakWorld(seed);
-		world.run(seconds * VirtualTime.SECOND);
+		SoakFleet fleet = new SoakFleet(seed);
+		fleet.run(seconds * VirtualTime.SECOND);
 		Map<String, Object> result = new LinkedHashMap<>();
 		result.put("seed", seed);
 		result.put("virtualSeconds", seconds);
-		result.put("events", world.time().events());
-		result.put("counts", world.ledger().counts());
-		result.put("faults", world.faults().counts());
-		result.put("platformReads", world.platform().reads());
-		result.put("platformWrites", world.platform().writes());
-		result.put("violations", world.invariants().violations());
+		result.put("events", fleet.time().events());
+		result.put("counts", fleet.ledger().counts());
+		result.put("faults", fleet.faults().counts());
+		result.put("platformReads", fleet.platform().reads());
+		result.put("platformWrites", fleet.platform().writes());
+		result.put("violations", fleet.invariants().violations());
 		return result;
 	}
 
 	private static CommandLine parse(String[] args) {
-		Options options = new Options().addOption(option("seed", "S of the first run, default 1"))
-			.addOption(option("seconds", "T to go on with further seeds for, default 30"))
-			.addOption(option("virtual", "seconds under faults in each run, default 300"));
+		Options options = new Options().addOption(option("seed", "first seed, default 1"))
+			.addOption(option("seconds", "time after which no further seed starts, default 30"))
+			.addOption(option("virtual", "virtual seconds with faults in each run, default 300"));
 		try {
 			return new DefaultParser().parse(options, args);
 		}
@@ -70,7 +71,7 @@
 			System.err.println(ex.getMessage());
 			options.getOptions()
 				.forEach((option) -> System.err.println("  --" + option.getLongOpt() + " " + option.getDescription()));
-			System.exit(BAD_INPUT);
+			System.exit(USAGE_ERROR);
 			throw new IllegalStateException(ex);
 		}
 	}
--- a/standin/src/main/java/org/wisteriapost/standin/soak/SoakCall.java
+++ b/standin/src/main/java/org/wisteriapost/standin/soak/SoakCall.java
@@ -9,13 +9,14 @@
 import org.wisteriapost.protocol.wire.Outcome;
 
 /**
- * One call at a VM, from its frame to its end; does what the agent's own runner calls do.
+ * A call that a VM has received, from its frame to its end. Stands in for the production
+ * agent's calls to its runner.
  */
 final class SoakCall {
 
 	private static final int OK = 200;
 
-	private final SoakLink.Side side;
+	private final SoakLink.LinkEnd linkEnd;
 
 	private final Call call;
 
@@ -23,14 +24,14 @@
 
 	private boolean running;
 
-	SoakCall(SoakLink.Side side, Call call, SoakVm vm) {
-		this.side = side;
+	SoakCall(SoakLink.LinkEnd linkEnd, Call call, SoakVm vm) {
+		this.linkEnd = linkEnd;
 		this.call = call;
 		this.vm = vm;
 	}
 
-	SoakLink.Side side() {
-		return this.side;
+	SoakLink.LinkEnd linkEnd() {
+		return this.linkEnd;
 	}
 
 	Call call() {
@@ -41,24 +42,24 @@
 		return this.running;
 	}
 
-	boolean is(SoakLink.Side from, long id) {
-		return this.side == from && this.call.getId() == id;
+	boolean matches(SoakLink.LinkEnd from, long id) {
+		return this.linkEnd == from && this.call.getId() == id;
 	}
 
-	void starts() {
+	void markRunning() {
 		this.running = true;
 	}
 
-	void refused(String code, long retryAfterMillis) {
+	void refuse(String code, long retryAfterMillis) {
 		end(Outcome.NOT_RUN, code, retryAfterMillis);
 	}
 
 	SoakRunner.Listener listener(long number) {
-		return new Answer(number);
+		return new ResponseForwarder(number);
 	}
 
 	private void send(Frame.Builder frame) {
-		this.side.send(frame.setGeneration(this.vm.view().headGeneration()).build());
+		this.linkEnd.send(frame.setGeneration(this.vm.view().headGeneration()).build());
 	}
 
 	private void end(Outcome outcome, String code, long retryAfterMillis) {
@@ -71,29 +72,32 @@
 				.setRetryAfterMillis((int) retryAfterMillis)));
 	}
 
-	/** Passes a runner's answer on while the agent's process runs. */
-	private final class Answer implements SoakRunner.Listener {
+	/**
+	 * Forwards a runner's answer to the entry. An answer of other weights than the call
+	 * requested is withheld.
+	 */
+	private final class ResponseForwarder implements SoakRunner.Listener {
 
 		private final long number;
 
-		private boolean foreign;
+		private boolean wrongWeights;
 
-		private Answer(long number) {
+		private ResponseForwarder(long number) {
 			this.number = number;
 		}
 
 		@Override
-		public void head(String weights) {
+		public void started(String weights) {
 			SoakCall.this.vm.step(() -> {
-				SoakCall.this.vm.answered(this.number);
-				this.foreign = !SoakCall.this.call.getWeightsDigest().isEmpty()
+				SoakCall.this.vm.answerStarted(this.number);
+				this.wrongWeights = !SoakCall.this.call.getWeightsDigest().isEmpty()
 						&& !SoakCall.this.call.getWeightsDigest().equals(weights);
-				if (this.foreign) {
+				if (this.wrongWeights) {
 					SoakCall.this.vm.ledger().count("withheld");
 					return;
 				}
 				if (!weights.isEmpty()) {
-					SoakCall.this.vm.ledger().serves(SoakCall.this.vm.name(), weights);
+					SoakCall.this.vm.ledger().recordServedWeights(SoakCall.this.vm.name(), weights);
 				}
 				send(Frame.newBuilder()
 					.setCallStarted(CallStarted.newBuilder()
@@ -104,36 +108,36 @@
 		}
 
 		@Override
-		public void data(String piece) {
+		public void data(String text) {
 			SoakCall.this.vm.step(() -> {
-				if (!this.foreign) {
+				if (!this.wrongWeights) {
 					send(Frame.newBuilder()
 						.setCallData(CallData.newBuilder()
 							.setId(SoakCall.this.call.getId())
-							.setData(ByteString.copyFromUtf8(piece))));
+							.setData(ByteString.copyFromUtf8(text))));
 				}
 			});
 		}
 
 		@Override
-		public void end() {
-			SoakCall.this.vm
-				.step(() -> over(this.foreign ? Outcome.UNKNOWN : Outcome.RAN, this.foreign ? "answer-withheld" : ""));
+		public void completed() {
+			SoakCall.this.vm.step(() -> finish(this.wrongWeights ? Outcome.UNKNOWN : Outcome.RAN,
+					this.wrongWeights ? "answer-withheld" : ""));
 		}
 
 		@Override
-		public void cut() {
-			SoakCall.this.vm.step(() -> over(Outcome.UNKNOWN, this.foreign ? "answer-withheld" : "runner-cut"));
+		public void aborted() {
+			SoakCall.this.vm.step(() -> finish(Outcome.UNKNOWN, this.wrongWeights ? "answer-withheld" : "runner-cut"));
 		}
 
 		@Override
 		public void refused() {
-			SoakCall.this.vm.step(() -> over(Outcome.NOT_RUN, "runner-refused"));
+			SoakCall.this.vm.step(() -> finish(Outcome.NOT_RUN, "runner-refused"));
 		}
 
-		private void over(Outcome outcome, String code) {
+		private void finish(Outcome outcome, String code) {
 			SoakCall.this.end(outcome, code, 0);
-			SoakCall.this.vm.over(this.number, this.foreign);
+			SoakCall.this.vm.callEnded(this.number, this.wrongWeights);
 		}
 
 	}
--- a/standin/src/main/java/org/wisteriapost/standin/soak/SoakCallers.java
+++ b/standin/src/main/java/org/wisteriapost/standin/soak/SoakCallers.java
@@ -11,141 +11,141 @@
 import org.wisteriapost.policy.request.Request;
 
 /**
- * Callers who ask which entry to use, repeat what may be repeated, and compare every
- * answer with the question.
+ * Callers that discover an entry, retry calls within a time window and check each answer
+ * against its call.
  */
 final class SoakCallers {
 
 	private static final long DEADLINE_NANOS = 5 * VirtualTime.SECOND;
 
-	private static final long PATIENCE_NANOS = 20 * VirtualTime.SECOND;
+	private static final long RETRY_WINDOW_NANOS = 20 * VirtualTime.SECOND;
 
-	// Past an answer's deadline, the I/O around an entry may take this long.
-	private static final long LATE_NANOS = VirtualTime.SECOND;
+	// Time that I/O around an entry may add after the deadline of an answer.
+	private static final long DEADLINE_TOLERANCE_NANOS = VirtualTime.SECOND;
 
-	private final SoakWorld world;
+	private final SoakFleet fleet;
 
 	private final VirtualTime time;
 
 	private long lastRequest;
 
-	private boolean open = true;
+	private boolean accepting = true;
 
-	SoakCallers(SoakWorld world) {
-		this.world = world;
-		this.time = world.time();
+	SoakCallers(SoakFleet fleet) {
+		this.fleet = fleet;
+		this.time = fleet.time();
 	}
 
 	void start() {
-		arrive();
+		startNextCall();
 	}
 
 	void stop() {
-		this.open = false;
+		this.accepting = false;
 	}
 
-	private void arrive() {
-		if (!this.open) {
+	private void startNextCall() {
+		if (!this.accepting) {
 			return;
 		}
-		this.world.ledger().count("calls");
+		this.fleet.ledger().count("calls");
 		double kind = this.time.random().nextDouble();
 		String key = (kind < 0.25) ? "key-" + this.lastRequest + "-" + this.time.random().nextInt(1 << 20) : "";
 		boolean plain = kind < 0.4;
-		attempt(new Question(plain, key, "org-" + this.time.random().nextInt(5),
-				Priority.values()[this.time.random().nextInt(3)], this.time.now(), this.time.wallMillis()));
-		this.time.after(this.time.between(5 * VirtualTime.MILLI, 55 * VirtualTime.MILLI), this::arrive);
+		attempt(new PendingCall(plain, key, "org-" + this.time.random().nextInt(5),
+				Priority.values()[this.time.random().nextInt(3)], this.time.nowNanos(), this.time.wallMillis()));
+		this.time.after(this.time.randomBetween(5 * VirtualTime.MILLI, 55 * VirtualTime.MILLI), this::startNextCall);
 	}
 
-	private void attempt(Question question) {
-		Optional<SoakEntry> entry = this.world.anyEntry();
-		if (entry.isEmpty()) {
-			again(question, VirtualTime.SECOND);
+	private void attempt(PendingCall call) {
+		Optional<SoakEntry> chosen = this.fleet.chooseEntry();
+		if (chosen.isEmpty()) {
+			retry(call, VirtualTime.SECOND);
 			return;
 		}
-		SoakEntry to = entry.get();
-		if (to.view().leaving()) {
-			again(question, VirtualTime.SECOND / 5);
+		SoakEntry entry = chosen.get();
+		if (entry.view().leaving()) {
+			retry(call, VirtualTime.SECOND / 5);
 			return;
 		}
 		long id = ++this.lastRequest;
 		String requestId = "r" + id;
-		SoakAnswer answer = new SoakAnswer(this.time, to,
-				(outcome, result) -> answered(question, requestId, outcome, result));
-		Request request = new Request(id, question.organisation,
-				question.plain ? SoakWorld.PLAIN_SERVICE : SoakWorld.MODEL_SERVICE, question.priority,
-				this.time.now() + DEADLINE_NANOS, question.key.isEmpty(), 0, 1);
-		byte[] body = question.key.getBytes(StandardCharsets.UTF_8);
-		CallerCall call = new CallerCall(request, requestId, question.key.isEmpty() ? "GET" : "POST", "/x", List.of(),
-				body, !question.plain && this.time.chance(0.5), question.key.isEmpty() ? Optional.empty()
-						: Optional.of(new CallKey(question.key, question.issuedMillis)),
-				answer);
-		to.call(call, answer);
-		expectAnswer(to, answer, requestId);
-		if (question.key.isEmpty() && this.time.chance(0.02)) {
-			this.time.after(this.time.between(VirtualTime.MILLI, VirtualTime.SECOND), () -> hangUp(to, id, answer));
+		SoakResponse answer = new SoakResponse(this.time, entry,
+				(outcome, result) -> answered(call, requestId, outcome, result));
+		Request request = new Request(id, call.organisation,
+				call.plain ? SoakFleet.PLAIN_SERVICE : SoakFleet.MODEL_SERVICE, call.priority,
+				this.time.nowNanos() + DEADLINE_NANOS, call.key.isEmpty(), 0, 1);
+		byte[] body = call.key.getBytes(StandardCharsets.UTF_8);
+		CallerCall attempt = new CallerCall(request, requestId, call.key.isEmpty() ? "GET" : "POST", "/x", List.of(),
+				body, !call.plain && this.time.chance(0.5),
+				call.key.isEmpty() ? Optional.empty() : Optional.of(new CallKey(call.key, call.issuedMillis)), answer);
+		entry.call(attempt, answer);
+		expectAnswer(entry, answer, requestId);
+		if (call.key.isEmpty() && this.time.chance(0.02)) {
+			this.time.after(this.time.randomBetween(VirtualTime.MILLI, VirtualTime.SECOND),
+					() -> disconnect(entry, id, answer));
 		}
 	}
 
-	private void hangUp(SoakEntry to, long id, SoakAnswer answer) {
+	private void disconnect(SoakEntry entry, long id, SoakResponse answer) {
 		if (!answer.ended()) {
-			this.world.ledger().count("hungUp");
-			to.answered(answer);
-			to.hangUp(id);
+			this.fleet.ledger().count("hungUp");
+			entry.answered(answer);
+			entry.disconnectCaller(id);
 		}
 	}
 
-	private void expectAnswer(SoakEntry to, SoakAnswer answer, String requestId) {
-		long pauses = this.world.pauses();
-		this.time.after(DEADLINE_NANOS + LATE_NANOS, () -> {
-			boolean undisturbed = to.alive() && !to.paused() && this.world.pauses() == pauses;
-			boolean waiting = to.waitsFor(answer);
-			this.world.invariants().holds(!undisturbed || !waiting, "final-answer-by-the-deadline", requestId);
+	private void expectAnswer(SoakEntry entry, SoakResponse answer, String requestId) {
+		long pauses = this.fleet.pauseCount();
+		this.time.after(DEADLINE_NANOS + DEADLINE_TOLERANCE_NANOS, () -> {
+			boolean undisturbed = entry.alive() && !entry.paused() && this.fleet.pauseCount() == pauses;
+			boolean waiting = entry.pending(answer);
+			this.fleet.invariants().holds(!undisturbed || !waiting, "final-answer-by-the-deadline", requestId);
 		});
 	}
 
-	private void answered(Question question, String requestId, Outcome outcome, SoakAnswer answer) {
-		this.world.ledger().count("attempts" + outcome);
+	private void answered(PendingCall call, String requestId, Outcome outcome, SoakResponse answer) {
+		this.fleet.ledger().count("attempts" + outcome);
 		switch (outcome) {
-			case RAN -> check(question, requestId, answer);
+			case RAN -> check(call, requestId, answer);
 			case NOT_RUN -> {
-				this.world.ledger().toldNotRun(requestId);
-				again(question, Math.max(1, answer.retryAfterMillis()) * VirtualTime.MILLI);
+				this.fleet.ledger().recordNotRun(requestId);
+				retry(call, Math.max(1, answer.retryAfterMillis()) * VirtualTime.MILLI);
 			}
-			case UNKNOWN -> again(question, VirtualTime.SECOND / 2);
+			case UNKNOWN -> retry(call, VirtualTime.SECOND / 2);
 		}
 	}
 
-	private void again(Question question, long pauseNanos) {
-		if (this.time.now() + pauseNanos - question.sinceNanos > PATIENCE_NANOS) {
-			this.world.ledger().count("gaveUp");
+	private void retry(PendingCall call, long delayNanos) {
+		if (this.time.nowNanos() + delayNanos - call.firstAttemptNanos > RETRY_WINDOW_NANOS) {
+			this.fleet.ledger().count("gaveUp");
 			return;
 		}
-		this.time.after(pauseNanos, () -> attempt(question));
+		this.time.after(delayNanos, () -> attempt(call));
 	}
 
-	private void check(Question question, String requestId, SoakAnswer answer) {
-		this.world.ledger().count("answered");
+	private void check(PendingCall call, String requestId, SoakResponse answer) {
+		this.fleet.ledger().count("answered");
 		String body = answer.body();
-		if (!question.key.isEmpty()) {
-			this.world.invariants().holds(body.endsWith("|" + question.key), "own-answer", requestId + " got " + body);
-			this.world.ledger().answered(question.key, body);
+		if (!call.key.isEmpty()) {
+			this.fleet.invariants().holds(body.endsWith("|" + call.key), "own-answer", requestId + " got " + body);
+			this.fleet.ledger().recordAnswer(call.key, body);
 			return;
 		}
-		if (question.plain) {
-			this.world.invariants().holds(body.equals("lookup|" + requestId), "own-answer", requestId + " got " + body);
+		if (call.plain) {
+			this.fleet.invariants().holds(body.equals("lookup|" + requestId), "own-answer", requestId + " got " + body);
 			return;
 		}
 		StringBuilder expected = new StringBuilder();
 		for (int i = 0; i < SoakRunner.TOKENS; i++) {
-			expected.append(answer.weights()).append('|').append(requestId).append('|').append(i).append('\n');
+			expected.append(answer.weightsDigest()).append('|').append(requestId).append('|').append(i).append('\n');
 		}
-		this.world.invariants()
+		this.fleet.invariants()
 			.holds(body.equals(expected.toString()), "whole-own-answer-of-one-digest", requestId + " got " + body);
 	}
 
-	private record Question(boolean plain, String key, String organisation, Priority priority, long sinceNanos,
-			long issuedMillis) {
+	private record PendingCall(boolean plain, String key, String organisation, Priority priority,
+			long firstAttemptNanos, long issuedMillis) {
 	}
 
 }
--- a/standin/src/main/java/org/wisteriapost/standin/soak/SoakEntry.java
+++ b/standin/src/main/java/org/wisteriapost/standin/soak/SoakEntry.java
@@ -30,19 +30,20 @@
 import org.wisteriapost.protocol.wire.Role;
 
 /**
- * One entry's process: its real state, with the I/O around it in virtual time.
+ * The process of an entry: the production state machine, with simulated I/O in virtual
+ * time.
  */
 final class SoakEntry extends SoakProcess implements EntryOutput {
 
 	private static final long TICK_NANOS = 20 * VirtualTime.MILLI;
 
-	private static final long LOOK_NANOS = VirtualTime.SECOND / 2;
+	private static final long READ_INTERVAL_NANOS = VirtualTime.SECOND / 2;
 
-	private static final double CLAIM_WRITES = 50;
+	private static final double CLAIM_WRITES_PER_SECOND = 50;
 
-	private static final long MAX_HELD_BYTES = 1 << 20;
+	private static final long MAX_BUFFERED_BYTES = 1 << 20;
 
-	private final SoakWorld world;
+	private final SoakFleet fleet;
 
 	private final VirtualTime time;
 
@@ -50,71 +51,69 @@
 
 	private final LockstepLoop<EntryEvent> loop;
 
-	private final Map<String, SoakLink> byVm = new LinkedHashMap<>();
+	private final Map<String, SoakLink> linksByVm = new LinkedHashMap<>();
 
-	private final Set<SoakAnswer> open = new LinkedHashSet<>();
+	private final Set<SoakResponse> pendingResponses = new LinkedHashSet<>();
 
 	private ServiceView view = ServiceView.EMPTY;
 
-	SoakEntry(SoakWorld world, String name, String place) {
-		super(name, place);
-		this.world = world;
-		this.time = world.time();
+	SoakEntry(SoakFleet fleet, String name, String failureDomain) {
+		super(name, failureDomain);
+		this.fleet = fleet;
+		this.time = fleet.time();
 		long seed = this.time.random().nextLong();
-		ClaimStore store = ClaimStore.of(world.platform(),
-				(reply) -> this.time.after(0, () -> hear(new EntryEvent.ClaimAnswered(reply))));
+		ClaimStore store = ClaimStore.of(fleet.platform(),
+				(reply) -> this.time.after(0, () -> apply(new EntryEvent.ClaimAnswered(reply))));
 		EntryWiring wiring = new EntryWiring(
-				RequestMachine.create(RequestPolicySettings.defaults(), seed, world.invariants()),
-				ClaimTable.create(CLAIM_WRITES, RandomSource.SPLIT_MIX_64.create(seed), this.time.now()), store,
-				EntryMetrics.of(new SimpleMeterRegistry()), world.invariants(), this.time::now, this.time::wallMillis,
-				MAX_HELD_BYTES);
-		this.state = EntryState.create(new Identity(name, place, 1), this, wiring);
-		this.loop = LockstepLoop.start(name, this.state::apply, world.invariants());
+				RequestMachine.create(RequestPolicySettings.defaults(), seed, fleet.invariants()),
+				ClaimTable.create(CLAIM_WRITES_PER_SECOND, RandomSource.SPLIT_MIX_64.create(seed),
+						this.time.nowNanos()),
+				store, EntryMetrics.of(new SimpleMeterRegistry()), fleet.invariants(), this.time::nowNanos,
+				this.time::wallMillis, MAX_BUFFERED_BYTES);
+		this.state = EntryState.create(new Identity(name, failureDomain, 1), this, wiring);
+		this.loop = LockstepLoop.start(name, this.state::apply, fleet.invariants());
 		tick();
-		look();
+		readHeadAndVms();
 	}
 
 	ServiceView view() {
 		return this.view;
 	}
 
-	/**
-	 * Takes a caller's request.
-	 */
-	void call(CallerCall call, SoakAnswer answer) {
-		this.open.add(answer);
-		hear(new EntryEvent.CallArrived(call));
+	void call(CallerCall call, SoakResponse answer) {
+		this.pendingResponses.add(answer);
+		apply(new EntryEvent.CallArrived(call));
 	}
 
-	void hangUp(long id) {
-		hear(new EntryEvent.CallerLeft(id));
+	void disconnectCaller(long id) {
+		apply(new EntryEvent.CallerLeft(id));
 	}
 
-	boolean waitsFor(SoakAnswer answer) {
-		return this.open.contains(answer);
+	boolean pending(SoakResponse answer) {
+		return this.pendingResponses.contains(answer);
 	}
 
-	void answered(SoakAnswer answer) {
-		this.open.remove(answer);
+	void answered(SoakResponse answer) {
+		this.pendingResponses.remove(answer);
 	}
 
 	@Override
 	void leave() {
 		super.leave();
-		hear(new EntryEvent.DrainAsked());
+		apply(new EntryEvent.DrainAsked());
 	}
 
 	@Override
 	void end() {
 		super.end();
-		List.copyOf(this.open).forEach(SoakAnswer::connectionLost);
-		this.open.clear();
+		List.copyOf(this.pendingResponses).forEach(SoakResponse::connectionLost);
+		this.pendingResponses.clear();
 		this.time.after(0, this.loop::close);
 	}
 
 	@Override
 	public void readBundle(String digest) {
-		Platform platform = this.world.platform();
+		Platform platform = this.fleet.platform();
 		String prefix = "approvals/" + digest + "/";
 		this.time
 			.after(0,
@@ -125,19 +124,19 @@
 											.stream()
 											.collect(Collectors.toMap((one) -> one.key().substring(prefix.length()),
 													Platform.Stored::value)))))
-						.thenAccept((read) -> read.ifPresent((content) -> hear(new EntryEvent.BundleRead(content)))));
+						.thenAccept((read) -> read.ifPresent((content) -> apply(new EntryEvent.BundleRead(content)))));
 	}
 
 	@Override
 	public void keepLinks(List<Member> members) {
 		Set<String> wanted = members.stream().map(Member::vm).collect(Collectors.toSet());
 		this.time.after(0, () -> {
-			this.byVm.forEach((vm, link) -> {
+			this.linksByVm.forEach((vm, link) -> {
 				if (!wanted.contains(vm)) {
 					link.cut();
 				}
 			});
-			this.byVm.values().removeIf((link) -> !link.open());
+			this.linksByVm.values().removeIf((link) -> !link.open());
 			members.forEach(this::connect);
 		});
 	}
@@ -149,79 +148,79 @@
 
 	@Override
 	public boolean idle() {
-		return this.open.isEmpty();
+		return this.pendingResponses.isEmpty();
 	}
 
 	@Override
 	public void drained() {
 		this.time.after(0, () -> {
-			this.world.invariants().holds(this.open.isEmpty(), "drain-cuts-nothing", name());
-			this.world.ledger().count("entriesDrained");
+			this.fleet.invariants().holds(this.pendingResponses.isEmpty(), "drain-cuts-nothing", name());
+			this.fleet.ledger().count("entriesDrained");
 			end();
-			this.world.entryEnded(this);
+			this.fleet.entryEnded(this);
 		});
 	}
 
 	/**
-	 * Takes a link that another entry has made.
+	 * Accepts a link that another entry has opened.
 	 */
 	void accept(SoakLink link) {
-		linked(link);
-		up(link.two(), PeerLink.from(link.two()));
+		addLink(link);
+		linkUp(link.acceptor(), PeerLink.from(link.acceptor()));
 	}
 
 	private void connect(Member member) {
-		if (!alive() || this.byVm.containsKey(member.vm())) {
+		if (!alive() || this.linksByVm.containsKey(member.vm())) {
 			return;
 		}
-		this.world.vm(member.vm()).ifPresent((vm) -> {
+		this.fleet.vm(member.vm()).ifPresent((vm) -> {
 			SoakLink link = link(member);
-			up(link.one(), PeerLink.to(link.one(), member.vm(), Role.AGENT));
+			linkUp(link.dialer(), PeerLink.to(link.dialer(), member.vm(), Role.AGENT));
 			vm.accept(link);
 		});
-		this.world.entry(member.vm()).filter((other) -> other != this).ifPresent((other) -> {
+		this.fleet.entry(member.vm()).filter((other) -> other != this).ifPresent((other) -> {
 			SoakLink link = link(member);
-			up(link.one(), PeerLink.to(link.one(), member.vm(), Role.ENTRY));
+			linkUp(link.dialer(), PeerLink.to(link.dialer(), member.vm(), Role.ENTRY));
 			other.accept(link);
 		});
 	}
 
 	private SoakLink link(Member member) {
 		SoakLink link = new SoakLink(this.time);
-		this.byVm.put(member.vm(), link);
-		linked(link);
+		this.linksByVm.put(member.vm(), link);
+		addLink(link);
 		return link;
 	}
 
-	private void up(SoakLink.Side side, PeerLink peer) {
-		side.hears((frame) -> hear(new EntryEvent.FrameArrived(peer, frame)),
-				() -> hear(new EntryEvent.LinkDown(peer)));
-		hear(new EntryEvent.LinkUp(peer));
+	private void linkUp(SoakLink.LinkEnd linkEnd, PeerLink peer) {
+		linkEnd.listen((frame) -> apply(new EntryEvent.FrameArrived(peer, frame)),
+				() -> apply(new EntryEvent.LinkDown(peer)));
+		apply(new EntryEvent.LinkUp(peer));
 	}
 
-	private void hear(EntryEvent event) {
+	private void apply(EntryEvent event) {
 		step(() -> this.loop.apply(event));
 	}
 
 	private void tick() {
 		if (alive()) {
-			hear(new EntryEvent.Tick());
+			apply(new EntryEvent.Tick());
 			this.time.after(TICK_NANOS, this::tick);
 		}
 	}
 
-	private void look() {
+	private void readHeadAndVms() {
 		if (!alive()) {
 			return;
 		}
-		long asked = this.time.now();
-		this.world.platform().get("head").thenAccept((stored) -> {
+		long requestedNanos = this.time.nowNanos();
+		this.fleet.platform().get("head").thenAccept((stored) -> {
 			Head head = stored.map((one) -> BundleCodec.head(one.value())).orElse(Head.NONE);
-			this.time.after(0, () -> hear(new EntryEvent.HeadRead(head, asked)));
+			this.time.after(0, () -> apply(new EntryEvent.HeadRead(head, requestedNanos)));
 		});
-		List<Member> members = this.world.members();
-		this.time.after(VirtualTime.SECOND, () -> hear(new EntryEvent.VmsRead(members)));
-		this.time.after(LOOK_NANOS, this::look);
+		List<Member> members = this.fleet.members();
+		this.time.after(VirtualTime.SECOND, () -> apply(new EntryEvent.VmsRead(members)));
+		this.time.after(READ_INTERVAL_NANOS, this::readHeadAndVms);
 	}
 
 }
--- a/standin/src/main/java/org/wisteriapost/standin/soak/SoakFaults.java
+++ b/standin/src/main/java/org/wisteriapost/standin/soak/SoakFaults.java
@@ -5,21 +5,21 @@
 import java.util.TreeMap;
 
 /**
- * What goes wrong in a run, one or two at a time.
+ * Injects faults and rollouts at random intervals, one or two at a time.
  */
 final class SoakFaults {
 
-	private final SoakWorld world;
+	private final SoakFleet fleet;
 
 	private final VirtualTime time;
 
 	private final Map<String, Long> counts = new TreeMap<>();
 
-	private boolean on = true;
+	private boolean active = true;
 
-	SoakFaults(SoakWorld world) {
-		this.world = world;
-		this.time = world.time();
+	SoakFaults(SoakFleet fleet) {
+		this.fleet = fleet;
+		this.time = fleet.time();
 	}
 
 	Map<String, Long> counts() {
@@ -27,11 +27,11 @@
 	}
 
 	void start() {
-		this.time.after(this.time.between(VirtualTime.SECOND / 5, 3 * VirtualTime.SECOND), () -> {
-			if (this.on) {
-				happen();
+		this.time.after(this.time.randomBetween(VirtualTime.SECOND / 5, 3 * VirtualTime.SECOND), () -> {
+			if (this.active) {
+				inject();
 				if (this.time.chance(0.2)) {
-					happen();
+					inject();
 				}
 				start();
 			}
@@ -39,58 +39,59 @@
 	}
 
 	/**
-	 * Ends all faults; what was killed has been replaced already.
+	 * Ends all faults. Killed processes are replaced when they are killed.
 	 */
 	void heal() {
-		this.on = false;
-		this.world.platform().down(false);
-		this.world.platform().slow(0);
-		this.world.platform().loses(0);
-		this.world.processes().forEach(SoakProcess::resume);
+		this.active = false;
+		this.fleet.platform().setUnavailable(false);
+		this.fleet.platform().setAddedLatency(0);
+		this.fleet.platform().setLostConfirmationShare(0);
+		this.fleet.processes().forEach(SoakProcess::resume);
 	}
 
-	private void happen() {
+	private void inject() {
 		Kind kind = Kind.values()[this.time.random().nextInt(Kind.values().length)];
 		this.counts.merge(kind.name(), 1L, Long::sum);
 		switch (kind) {
-			case KILL_ENTRY -> this.world.killEntry();
-			case KILL_AGENT -> this.world.killAgent();
-			case REPLACE_VM -> this.world.replaceVm();
-			case CRASH_RUNNER -> pick(this.world.vms()).runner().crash();
-			case PAUSE_ENTRY -> pause(pick(this.world.entries()));
-			case PAUSE_AGENT -> pause(pick(this.world.vms()));
-			case CUT_LINK -> link(false);
-			case STALL_LINK -> link(true);
+			case KILL_ENTRY -> this.fleet.killEntry();
+			case KILL_AGENT -> this.fleet.killAgent();
+			case REPLACE_VM -> this.fleet.replaceVm();
+			case CRASH_RUNNER -> pick(this.fleet.vms()).runner().crash();
+			case PAUSE_ENTRY -> pause(pick(this.fleet.entries()));
+			case PAUSE_AGENT -> pause(pick(this.fleet.vms()));
+			case CUT_LINK -> disturbLink(false);
+			case STALL_LINK -> disturbLink(true);
 			case PLATFORM_DOWN -> {
-				this.world.platform().down(true);
-				this.time.after(this.time.between(VirtualTime.SECOND, 12 * VirtualTime.SECOND),
-						() -> this.world.platform().down(false));
+				this.fleet.platform().setUnavailable(true);
+				this.time.after(this.time.randomBetween(VirtualTime.SECOND, 12 * VirtualTime.SECOND),
+						() -> this.fleet.platform().setUnavailable(false));
 			}
 			case PLATFORM_SLOW -> {
-				this.world.platform().slow(this.time.between(50 * VirtualTime.MILLI, 2 * VirtualTime.SECOND));
-				this.time.after(this.time.between(VirtualTime.SECOND, 8 * VirtualTime.SECOND),
-						() -> this.world.platform().slow(0));
+				this.fleet.platform()
+					.setAddedLatency(this.time.randomBetween(50 * VirtualTime.MILLI, 2 * VirtualTime.SECOND));
+				this.time.after(this.time.randomBetween(VirtualTime.SECOND, 8 * VirtualTime.SECOND),
+						() -> this.fleet.platform().setAddedLatency(0));
 			}
 			case LOST_CONFIRMATIONS -> {
-				this.world.platform().loses(0.3);
-				this.time.after(this.time.between(VirtualTime.SECOND, 8 * VirtualTime.SECOND),
-						() -> this.world.platform().loses(0));
+				this.fleet.platform().setLostConfirmationShare(0.3);
+				this.time.after(this.time.randomBetween(VirtualTime.SECOND, 8 * VirtualTime.SECOND),
+						() -> this.fleet.platform().setLostConfirmationShare(0));
 			}
-			case VM_LEAVES -> pick(this.world.vms()).leave();
-			case ENTRY_LEAVES -> pick(this.world.entries()).leave();
-			case ROLL -> this.world.operators().roll(false);
-			case ROLL_RACE -> this.world.operators().roll(true);
+			case VM_LEAVES -> pick(this.fleet.vms()).leave();
+			case ENTRY_LEAVES -> pick(this.fleet.entries()).leave();
+			case ROLL -> this.fleet.operators().rollOut(false);
+			case ROLL_RACE -> this.fleet.operators().rollOut(true);
 		}
 	}
 
 	private void pause(SoakProcess process) {
-		this.world.paused();
+		this.fleet.countPause();
 		process.pause();
-		this.time.after(this.time.between(VirtualTime.SECOND / 10, 9 * VirtualTime.SECOND), process::resume);
+		this.time.after(this.time.randomBetween(VirtualTime.SECOND / 10, 9 * VirtualTime.SECOND), process::resume);
 	}
 
-	private void link(boolean stall) {
-		List<SoakLink> links = pick(this.world.entries()).links();
+	private void disturbLink(boolean stall) {
+		List<SoakLink> links = pick(this.fleet.entries()).links();
 		if (!links.isEmpty()) {
 			SoakLink link = links.get(this.time.random().nextInt(links.size()));
 			if (stall) {
@@ -106,7 +107,7 @@
 		return all.get(this.time.random().nextInt(all.size()));
 	}
 
-	/** Kinds of faults, and the operators' own races. */
+	/** Kinds of faults and rollouts. The names are keys of the output. */
 	private enum Kind {
 
 		KILL_ENTRY, KILL_AGENT, REPLACE_VM, CRASH_RUNNER, PAUSE_ENTRY, PAUSE_AGENT, CUT_LINK, STALL_LINK, PLATFORM_DOWN,
--- a/standin/src/main/java/org/wisteriapost/standin/soak/SoakWorld.java
+++ b/standin/src/main/java/org/wisteriapost/standin/soak/SoakFleet.java
@@ -14,28 +14,28 @@
 import org.wisteriapost.protocol.outside.Platform;
 
 /**
- * A small fleet: entries, endpoint VMs of two services in three places, callers,
- * operators, a platform.
+ * A simulated fleet: entries, endpoint VMs of two services in three failure domains,
+ * callers, operators and a platform.
  */
-final class SoakWorld {
+final class SoakFleet {
 
 	static final String MODEL_SERVICE = "lm";
 
 	static final String PLAIN_SERVICE = "registry";
 
-	static final List<String> PLACES = List.of("place-a", "place-b", "place-c");
+	static final List<String> FAILURE_DOMAINS = List.of("place-a", "place-b", "place-c");
 
 	private static final int ENTRIES = 3;
 
-	private static final int ENGINES = 6;
+	private static final int MODEL_VMS = 6;
 
-	private static final int PLAINS = 3;
+	private static final int PLAIN_VMS = 3;
 
-	private static final long REPLACE_NANOS = 2 * VirtualTime.SECOND;
+	private static final long ENTRY_RESTART_DELAY_NANOS = 2 * VirtualTime.SECOND;
 
-	private static final long START_NANOS = 20 * VirtualTime.SECOND;
+	private static final long WARM_UP_NANOS = 20 * VirtualTime.SECOND;
 
-	private static final long QUIET_NANOS = 120 * VirtualTime.SECOND;
+	private static final long RECOVERY_NANOS = 120 * VirtualTime.SECOND;
 
 	private final VirtualTime time;
 
@@ -53,39 +53,39 @@
 
 	private final Map<String, SoakVm> vms = new LinkedHashMap<>();
 
-	private int names;
+	private int nextNameNumber;
 
-	private long pauses;
+	private long pauseCount;
 
-	SoakWorld(long seed) {
+	SoakFleet(long seed) {
 		this.time = new VirtualTime(seed);
 		this.platform = new SoakPlatform(this.time);
 		this.operators = new SoakOperators(this);
 		this.faults = new SoakFaults(this);
-		this.platform.watched(this::written);
+		this.platform.onWrite(this::onPlatformWrite);
 	}
 
 	/**
-	 * Runs a fleet under faults, then in quiet until all must be well again.
+	 * Runs the fleet with faults and then without, and checks that it has recovered.
 	 */
 	void run(long nanos) {
 		for (int i = 0; i < ENTRIES; i++) {
-			startEntry(PLACES.get(i % PLACES.size()));
+			startEntry(FAILURE_DOMAINS.get(i % FAILURE_DOMAINS.size()));
 		}
-		for (int i = 0; i < ENGINES + PLAINS; i++) {
-			startVm(PLACES.get(i % PLACES.size()), i >= ENGINES);
+		for (int i = 0; i < MODEL_VMS + PLAIN_VMS; i++) {
+			startVm(FAILURE_DOMAINS.get(i % FAILURE_DOMAINS.size()), i >= MODEL_VMS);
 		}
-		this.operators.roll(false);
-		this.time.run(START_NANOS);
+		this.operators.rollOut(false);
+		this.time.run(WARM_UP_NANOS);
 		SoakCallers callers = new SoakCallers(this);
 		callers.start();
 		this.faults.start();
 		this.time.run(nanos);
 		this.faults.heal();
-		this.time.run(QUIET_NANOS / 2);
+		this.time.run(RECOVERY_NANOS / 2);
 		callers.stop();
-		this.time.run(QUIET_NANOS / 2);
-		checkInForce();
+		this.time.run(RECOVERY_NANOS / 2);
+		checkHeadActiveEverywhere();
 		processes().forEach(SoakProcess::end);
 		this.time.run(VirtualTime.SECOND);
 	}
@@ -137,57 +137,56 @@
 	}
 
 	/**
-	 * Returns an entry as a caller would choose it: among those that one of them names.
+	 * Returns an entry as a caller chooses it: a random one of the advertised entries of
+	 * a random entry.
 	 */
-	Optional<SoakEntry> anyEntry() {
-		List<SoakEntry> up = entries().stream().filter((entry) -> !entry.paused()).toList();
-		if (up.isEmpty()) {
+	Optional<SoakEntry> chooseEntry() {
+		List<SoakEntry> running = entries().stream().filter((entry) -> !entry.paused()).toList();
+		if (running.isEmpty()) {
 			return Optional.empty();
 		}
-		SoakEntry asked = up.get(this.time.random().nextInt(up.size()));
-		List<String> named = asked.view().entries();
-		if (named.isEmpty()) {
-			return Optional.of(asked);
+		SoakEntry queried = running.get(this.time.random().nextInt(running.size()));
+		List<String> advertised = queried.view().entries();
+		if (advertised.isEmpty()) {
+			return Optional.of(queried);
 		}
-		String address = named.get(this.time.random().nextInt(named.size()));
+		String address = advertised.get(this.time.random().nextInt(advertised.size()));
 		return entry(address.substring("http://".length(), address.lastIndexOf(':')));
 	}
 
-	/**
-	 * Returns the VM list as it is now.
-	 */
 	List<Member> members() {
 		List<Member> members = new ArrayList<>();
 		this.entries.values()
 			.forEach((entry) -> members
-				.add(new Member(entry.name(), entry.place(), true, "", entry.name(), 1, 1, entry.leaving())));
+				.add(new Member(entry.name(), entry.failureDomain(), true, "", entry.name(), 1, 1, entry.leaving())));
 		this.vms.values()
-			.forEach((vm) -> members
-				.add(new Member(vm.name(), vm.place(), false, vm.self().service(), vm.name(), 1, 0, vm.leaving())));
+			.forEach((vm) -> members.add(new Member(vm.name(), vm.failureDomain(), false, vm.identity().service(),
+					vm.name(), 1, 0, vm.leaving())));
 		return members;
 	}
 
 	List<String> peers(SoakVm self) {
 		return this.vms.values()
 			.stream()
-			.filter((vm) -> vm.place().equals(self.place()) && vm.self().service().equals(self.self().service()))
+			.filter((vm) -> vm.failureDomain().equals(self.failureDomain())
+					&& vm.identity().service().equals(self.identity().service()))
 			.map(SoakProcess::name)
 			.toList();
 	}
 
 	/**
-	 * Puts an object there without a call.
+	 * Stores an object without latency or faults.
 	 */
-	void store(String key, byte[] value) {
-		this.platform.set(key, value);
+	void storeDirectly(String key, byte[] value) {
+		this.platform.putDirectly(key, value);
 	}
 
-	void paused() {
-		this.pauses++;
+	void countPause() {
+		this.pauseCount++;
 	}
 
-	long pauses() {
-		return this.pauses;
+	long pauseCount() {
+		return this.pauseCount;
 	}
 
 	void killEntry() {
@@ -199,24 +198,24 @@
 	void entryEnded(SoakEntry entry) {
 		this.entries.remove(entry.name());
 		if (this.entries.isEmpty()) {
-			startEntry(entry.place());
+			startEntry(entry.failureDomain());
 			return;
 		}
-		this.time.after(REPLACE_NANOS, () -> startEntry(entry.place()));
+		this.time.after(ENTRY_RESTART_DELAY_NANOS, () -> startEntry(entry.failureDomain()));
 	}
 
 	/**
-	 * Kills an agent; another starts on the same VM beside the same runner.
+	 * Kills an agent and starts another one on the same VM, beside the same runner.
 	 */
 	void killAgent() {
 		SoakVm vm = vms().get(this.time.random().nextInt(this.vms.size()));
 		vm.end();
-		this.vms.put(vm.name(),
-				new SoakVm(this, vm.name(), vm.place(), vm.self().service(), vm.self().plain(), vm.runner()));
+		this.vms.put(vm.name(), new SoakVm(this, vm.name(), vm.failureDomain(), vm.identity().service(),
+				vm.identity().plain(), vm.runner()));
 	}
 
 	/**
-	 * Loses a VM with all that was on it.
+	 * Kills a VM with its agent and runner, and starts another VM.
 	 */
 	void replaceVm() {
 		SoakVm vm = vms().get(this.time.random().nextInt(this.vms.size()));
@@ -227,39 +226,39 @@
 
 	void agentEnded(SoakVm vm) {
 		if (this.vms.remove(vm.name(), vm)) {
-			startVm(vm.place(), vm.self().plain());
+			startVm(vm.failureDomain(), vm.identity().plain());
 		}
 	}
 
-	private void startEntry(String place) {
-		String name = "entry-" + this.names++;
-		this.entries.put(name, new SoakEntry(this, name, place));
+	private void startEntry(String failureDomain) {
+		String name = "entry-" + this.nextNameNumber++;
+		this.entries.put(name, new SoakEntry(this, name, failureDomain));
 	}
 
-	private void startVm(String place, boolean plain) {
-		String name = "vm-" + this.names++;
+	private void startVm(String failureDomain, boolean plain) {
+		String name = "vm-" + this.nextNameNumber++;
 		SoakRunner runner = new SoakRunner(this.time, this.ledger, plain, this.time.chance(0.5));
-		this.vms.put(name, new SoakVm(this, name, place, plain ? PLAIN_SERVICE : MODEL_SERVICE, plain, runner));
+		this.vms.put(name, new SoakVm(this, name, failureDomain, plain ? PLAIN_SERVICE : MODEL_SERVICE, plain, runner));
 	}
 
-	private void written(Platform.Stored stored) {
+	private void onPlatformWrite(Platform.Stored stored) {
 		if (stored.key().equals("head")) {
 			Head head = BundleCodec.head(stored.value());
-			this.ledger.rolled(head.generation(), weights(head));
+			this.ledger.recordRollout(head.generation(), weights(head));
 		}
 	}
 
 	private String weights(Head head) {
-		Bundle bundle = BundleCodec.bundle(this.platform.peek("bundles/" + head.digest()).orElseThrow().value());
+		Bundle bundle = BundleCodec.bundle(this.platform.getDirectly("bundles/" + head.digest()).orElseThrow().value());
 		return bundle.weightsDigest(bundle.service(MODEL_SERVICE).orElseThrow());
 	}
 
-	private void checkInForce() {
-		Head head = BundleCodec.head(this.platform.peek("head").orElseThrow().value());
+	private void checkHeadActiveEverywhere() {
+		Head head = BundleCodec.head(this.platform.getDirectly("head").orElseThrow().value());
 		for (SoakVm vm : this.vms.values()) {
-			boolean right = vm.view().generation() == head.generation() && vm.view().admitting()
-					&& (vm.self().plain() || vm.runner().serving().equals(weights(head)));
-			this.invariants.holds(right, "in-force-everywhere",
+			boolean active = vm.view().generation() == head.generation() && vm.view().admitting()
+					&& (vm.identity().plain() || vm.runner().weightsDigest().equals(weights(head)));
+			this.invariants.holds(active, "in-force-everywhere",
 					vm.name() + " " + vm.view().generation() + " of " + head.generation() + " " + vm.view() + " runner "
 							+ vm.runner().view() + " weights " + weights(head));
 		}
--- a/standin/src/main/java/org/wisteriapost/standin/soak/SoakLedger.java
+++ b/standin/src/main/java/org/wisteriapost/standin/soak/SoakLedger.java
@@ -10,7 +10,8 @@
 import org.wisteriapost.kernel.Invariants;
 
 /**
- * What truly happened at the runners, against what callers and operators were told.
+ * Records what runners executed and checks it against the outcomes that callers received
+ * and the rollouts that took effect.
  */
 final class SoakLedger {
 
@@ -22,11 +23,11 @@
 
 	private final Map<String, String> answersByKey = new HashMap<>();
 
-	private final Set<String> toldNotRun = new HashSet<>();
+	private final Set<String> notRunRequests = new HashSet<>();
 
-	private final Map<String, Long> generations = new LinkedHashMap<>();
+	private final Map<String, Long> generationByWeights = new LinkedHashMap<>();
 
-	private final Map<String, Long> served = new HashMap<>();
+	private final Map<String, Long> servedGenerationByVm = new HashMap<>();
 
 	private final Map<String, Long> counts = new TreeMap<>();
 
@@ -47,47 +48,47 @@
 	}
 
 	/**
-	 * Notes that a runner has begun a call.
+	 * Records that a runner has started a call.
 	 */
-	void ran(String requestId, String key) {
+	void recordStart(String requestId, String key) {
 		this.runsByRequest.merge(requestId, 1, Integer::sum);
-		this.invariants.holds(!this.toldNotRun.contains(requestId), "not-run-did-not-run", requestId);
+		this.invariants.holds(!this.notRunRequests.contains(requestId), "not-run-did-not-run", requestId);
 		if (!key.isEmpty()) {
 			int runs = this.runsByKey.merge(key, 1, Integer::sum);
 			this.invariants.holds(runs == 1, "at-most-once", key + " ran " + runs + " times");
 		}
 	}
 
-	void toldNotRun(String requestId) {
-		this.toldNotRun.add(requestId);
+	void recordNotRun(String requestId) {
+		this.notRunRequests.add(requestId);
 		this.invariants.holds(!this.runsByRequest.containsKey(requestId), "not-run-did-not-run", requestId);
 	}
 
 	/**
-	 * Notes the answer of a call that may run at most once.
+	 * Records the answer of a call with an idempotency key.
 	 */
-	void answered(String key, String answer) {
+	void recordAnswer(String key, String answer) {
 		String first = this.answersByKey.putIfAbsent(key, answer);
 		this.invariants.holds(first == null || first.equals(answer), "one-answer-per-key", key);
 	}
 
 	/**
-	 * Notes a roll that took effect.
+	 * Records a rollout that took effect.
 	 */
-	void rolled(long generation, String weights) {
-		this.generations.put(weights, generation);
+	void recordRollout(long generation, String weights) {
+		this.generationByWeights.put(weights, generation);
 	}
 
 	/**
-	 * Notes that a VM passes on an answer of these weights.
+	 * Records that a VM forwards an answer of these weights.
 	 */
-	void serves(String vm, String weights) {
-		Long generation = this.generations.get(weights);
+	void recordServedWeights(String vm, String weights) {
+		Long generation = this.generationByWeights.get(weights);
 		if (!this.invariants.holds(generation != null, "accepted-weights", vm + " " + weights)) {
 			return;
 		}
-		long before = this.served.merge(vm, generation, Math::max);
-		this.invariants.holds(generation >= before, "no-revert", vm + " " + before + " to " + generation);
+		long newest = this.servedGenerationByVm.merge(vm, generation, Math::max);
+		this.invariants.holds(generation >= newest, "no-revert", vm + " " + newest + " to " + generation);
 	}
 
 }
--- a/standin/src/main/java/org/wisteriapost/standin/soak/SoakLink.java
+++ b/standin/src/main/java/org/wisteriapost/standin/soak/SoakLink.java
@@ -6,18 +6,18 @@
 import org.wisteriapost.protocol.wire.Frame;
 
 /**
- * A connection between two processes that can be cut, or stall without closing.
+ * A connection between two processes that can be closed, or lose frames without closing.
  */
 final class SoakLink {
 
-	// What the product's heartbeats need to find a silent link.
-	private static final long SILENT_NANOS = 3 * VirtualTime.SECOND;
+	// Time in which the production heartbeats detect a stalled link.
+	private static final long HEARTBEAT_TIMEOUT_NANOS = 3 * VirtualTime.SECOND;
 
 	private final VirtualTime time;
 
-	private final Side one = new Side("one");
+	private final LinkEnd dialer = new LinkEnd("one");
 
-	private final Side two = new Side("two");
+	private final LinkEnd acceptor = new LinkEnd("two");
 
 	private boolean open = true;
 
@@ -27,12 +27,12 @@
 		this.time = time;
 	}
 
-	Side one() {
-		return this.one;
+	LinkEnd dialer() {
+		return this.dialer;
 	}
 
-	Side two() {
-		return this.two;
+	LinkEnd acceptor() {
+		return this.acceptor;
 	}
 
 	boolean open() {
@@ -40,41 +40,40 @@
 	}
 
 	/**
-	 * Loses all frames from now on; both sides close it when they miss the heartbeats.
+	 * Drops all frames from now on. Both ends close the link at the heartbeat timeout.
 	 */
 	void stall() {
 		this.stalled = true;
-		this.time.after(SILENT_NANOS, this::cut);
+		this.time.after(HEARTBEAT_TIMEOUT_NANOS, this::cut);
 	}
 
 	void cut() {
 		if (this.open) {
 			this.open = false;
-			this.time.soon(this.one.closed);
-			this.time.soon(this.two.closed);
+			this.time.afterNetworkDelay(this.dialer.closeListener);
+			this.time.afterNetworkDelay(this.acceptor.closeListener);
 		}
 	}
 
-	/** One end. */
-	final class Side implements Link {
+	final class LinkEnd implements Link {
 
 		private final String name;
 
-		private Consumer<Frame> frames = (frame) -> {
+		private Consumer<Frame> frameListener = (frame) -> {
 		};
 
-		private Runnable closed = () -> {
+		private Runnable closeListener = () -> {
 		};
 
 		private long lastArrival;
 
-		private Side(String name) {
+		private LinkEnd(String name) {
 			this.name = name;
 		}
 
-		void hears(Consumer<Frame> onFrame, Runnable onClosed) {
-			this.frames = onFrame;
-			this.closed = onClosed;
+		void listen(Consumer<Frame> onFrame, Runnable onClosed) {
+			this.frameListener = onFrame;
+			this.closeListener = onClosed;
 		}
 
 		@Override
@@ -83,12 +82,12 @@
 				return false;
 			}
 			VirtualTime time = SoakLink.this.time;
-			Side other = (this == SoakLink.this.one) ? SoakLink.this.two : SoakLink.this.one;
+			LinkEnd other = (this == SoakLink.this.dialer) ? SoakLink.this.acceptor : SoakLink.this.dialer;
 			this.lastArrival = Math.max(this.lastArrival + 1,
-					time.now() + time.between(VirtualTime.MILLI / 3, VirtualTime.MILLI));
-			time.after(this.lastArrival - time.now(), () -> {
+					time.nowNanos() + time.randomBetween(VirtualTime.MILLI / 3, VirtualTime.MILLI));
+			time.after(this.lastArrival - time.nowNanos(), () -> {
 				if (SoakLink.this.open && !SoakLink.this.stalled) {
-					other.frames.accept(frame);
+					other.frameListener.accept(frame);
 				}
 			});
 			return true;
--- a/standin/src/main/java/org/wisteriapost/standin/soak/SoakOperators.java
+++ b/standin/src/main/java/org/wisteriapost/standin/soak/SoakOperators.java
@@ -22,50 +22,50 @@
 import org.wisteriapost.protocol.outside.Platform;
 
 /**
- * Operators who propose, approve and roll, alone or in a race.
+ * Operators that propose, approve and roll out bundles, alone or concurrently.
  */
 final class SoakOperators {
 
-	private static final List<String> NAMES = List.of("aminata", "moira");
+	private static final List<String> OPERATORS = List.of("aminata", "moira");
 
 	private static final Base64.Encoder BASE64 = Base64.getEncoder();
 
-	private final SoakWorld world;
+	private final SoakFleet fleet;
 
-	private final Map<String, KeyPair> pairs = new HashMap<>();
+	private final Map<String, KeyPair> keyPairs = new HashMap<>();
 
-	private final Map<Long, String> winners = new HashMap<>();
+	private final Map<Long, String> nonceByGeneration = new HashMap<>();
 
-	private int models;
+	private int nextModel;
 
-	private int rolls;
+	private int nextRollout;
 
-	SoakOperators(SoakWorld world) {
-		this.world = world;
-		NAMES.forEach((name) -> this.pairs.put(name, pair()));
+	SoakOperators(SoakFleet fleet) {
+		this.fleet = fleet;
+		OPERATORS.forEach((name) -> this.keyPairs.put(name, generateKeyPair()));
 	}
 
 	OperatorKeys keys() {
 		Map<String, String> keys = new HashMap<>();
-		this.pairs.forEach((name, pair) -> keys.put(name, BASE64.encodeToString(pair.getPublic().getEncoded())));
-		return new OperatorKeys(keys, NAMES.size());
+		this.keyPairs.forEach((name, pair) -> keys.put(name, BASE64.encodeToString(pair.getPublic().getEncoded())));
+		return new OperatorKeys(keys, OPERATORS.size());
 	}
 
 	/**
-	 * Starts a roll by one operator, or by two who know nothing of each other.
+	 * Starts a rollout by one operator, or concurrent rollouts by two.
 	 */
-	void roll(boolean race) {
-		for (String operator : race ? NAMES : NAMES.subList(0, 1)) {
+	void rollOut(boolean concurrent) {
+		for (String operator : concurrent ? OPERATORS : OPERATORS.subList(0, 1)) {
 			Bundle bundle = propose();
-			this.world.time().soon(() -> roll(operator, bundle));
+			this.fleet.time().afterNetworkDelay(() -> rollOut(operator, bundle));
 		}
 	}
 
-	int wins() {
-		return this.winners.size();
+	int committedCount() {
+		return this.nonceByGeneration.size();
 	}
 
-	AgentEvent arrived(String digest, Optional<Platform.Stored> content, Platform.Listing approvals) {
+	AgentEvent bundleEvent(String digest, Optional<Platform.Stored> content, Platform.Listing approvals) {
 		if (content.isEmpty()) {
 			return new AgentEvent.BundleMissing(digest);
 		}
@@ -76,37 +76,36 @@
 		return new AgentEvent.BundleArrived(digest, content.get().value(), signatures);
 	}
 
-	// What is written once under its own digest cannot race; it is put there directly,
-	// and
-	// the faults are kept for the head.
+	// Bundles and approvals are content-addressed, so concurrent writes cannot conflict.
+	// They are stored without faults; only writes of the head are subject to faults.
 	private Bundle propose() {
-		String model = "model-" + this.models++;
+		String model = "model-" + this.nextModel++;
 		WeightFile file = new WeightFile(model, "1", model, "1", 5, 5, List.of(Digests.sha256(model)));
-		Bundle bundle = new Bundle("b", Integer.toString(this.models),
-				List.of(new ServiceSpec(SoakWorld.MODEL_SERVICE, ServiceSpec.Kind.MODEL, model, List.of(),
-						SoakWorld.PLACES, List.of(), 1),
-						new ServiceSpec(SoakWorld.PLAIN_SERVICE, ServiceSpec.Kind.PLAIN, "", List.of(),
-								SoakWorld.PLACES, List.of(), 1)),
+		Bundle bundle = new Bundle("b", Integer.toString(this.nextModel),
+				List.of(new ServiceSpec(SoakFleet.MODEL_SERVICE, ServiceSpec.Kind.MODEL, model, List.of(),
+						SoakFleet.FAILURE_DOMAINS, List.of(), 1),
+						new ServiceSpec(SoakFleet.PLAIN_SERVICE, ServiceSpec.Kind.PLAIN, "", List.of(),
+								SoakFleet.FAILURE_DOMAINS, List.of(), 1)),
 				List.of(file));
 		byte[] content = BundleCodec.encode(bundle);
 		String digest = Digests.sha256(content);
-		this.world.store("bundles/" + digest, content);
-		this.pairs.forEach((name, pair) -> this.world.store("approvals/" + digest + "/" + name,
+		this.fleet.storeDirectly("bundles/" + digest, content);
+		this.keyPairs.forEach((name, pair) -> this.fleet.storeDirectly("approvals/" + digest + "/" + name,
 				Approvals.sign(digest, BASE64.encodeToString(pair.getPrivate().getEncoded()))));
 		return bundle;
 	}
 
-	private void roll(String operator, Bundle bundle) {
-		this.world.platform().get("head").whenComplete((stored, failure) -> {
+	private void rollOut(String operator, Bundle bundle) {
+		this.fleet.platform().get("head").whenComplete((stored, failure) -> {
 			if (failure != null) {
-				this.world.ledger().count("rollsUnavailable");
+				this.fleet.ledger().count("rollsUnavailable");
 				return;
 			}
 			Head current = stored.map((one) -> BundleCodec.head(one.value())).orElse(Head.NONE);
 			String digest = Digests.sha256(BundleCodec.encode(bundle));
 			Head next = HeadMove
-				.next(current, current.generation(), digest, operator, this.world.time().wallMillis(),
-						operator + "-" + this.rolls++)
+				.next(current, current.generation(), digest, operator, this.fleet.time().wallMillis(),
+						operator + "-" + this.nextRollout++)
 				.orElseThrow();
 			Platform.Expected expected = stored.<Platform.Expected>map(
 					(one) -> new Platform.Expected.Version(one.version()))
@@ -115,69 +114,69 @@
 		});
 	}
 
-	private void record(Head head, Runnable then) {
+	private void record(Head head, Runnable next) {
 		if (head.generation() == 0) {
-			then.run();
+			next.run();
 			return;
 		}
-		this.world.platform()
+		this.fleet.platform()
 			.put(key(head.generation()), BundleCodec.encode(head), new Platform.Expected.Absent())
 			.whenComplete((result, failure) -> {
 				if (failure == null) {
-					then.run();
+					next.run();
 				}
 				else {
-					this.world.time().after(VirtualTime.SECOND / 4, () -> record(head, then));
+					this.fleet.time().after(VirtualTime.SECOND / 4, () -> record(head, next));
 				}
 			});
 	}
 
 	private void write(Bundle bundle, Head next, Platform.Expected expected) {
-		this.world.platform().put("head", BundleCodec.encode(next), expected).whenComplete((result, failure) -> {
+		this.fleet.platform().put("head", BundleCodec.encode(next), expected).whenComplete((result, failure) -> {
 			if (result instanceof Platform.PutResult.Written) {
-				won(bundle, next);
+				committed(bundle, next);
 			}
 			else if (failure != null) {
-				this.world.time().after(VirtualTime.SECOND / 4, () -> resolve(bundle, next, expected));
+				this.fleet.time().after(VirtualTime.SECOND / 4, () -> resolve(bundle, next, expected));
 			}
 			else {
-				this.world.ledger().count("rollsLost");
+				this.fleet.ledger().count("rollsLost");
 			}
 		});
 	}
 
 	private void resolve(Bundle bundle, Head written, Platform.Expected expected) {
-		Platform platform = this.world.platform();
+		Platform platform = this.fleet.platform();
 		platform.get("head")
 			.thenCombine(platform.get(key(written.generation())),
 					(head, recorded) -> HeadMove.fate(written,
 							head.map((one) -> BundleCodec.head(one.value())).orElse(Head.NONE),
 							recorded.map((one) -> BundleCodec.head(one.value()))))
-			.whenComplete((fate, failure) -> {
-				if (failure != null || fate == HeadMove.Fate.UNDECIDED) {
-					this.world.time().after(VirtualTime.SECOND / 4, () -> resolve(bundle, written, expected));
+			.whenComplete((result, failure) -> {
+				if (failure != null || result == HeadMove.Fate.UNDECIDED) {
+					this.fleet.time().after(VirtualTime.SECOND / 4, () -> resolve(bundle, written, expected));
 					return;
 				}
-				switch (fate) {
-					case WON -> won(bundle, written);
+				switch (result) {
+					case WON -> committed(bundle, written);
 					case NOT_WRITTEN -> write(bundle, written, expected);
-					case LOST, UNDECIDED -> this.world.ledger().count("rollsLost");
+					case LOST, UNDECIDED -> this.fleet.ledger().count("rollsLost");
 				}
 			});
 	}
 
-	private void won(Bundle bundle, Head head) {
-		String other = this.winners.putIfAbsent(head.generation(), head.nonce());
-		this.world.invariants()
+	private void committed(Bundle bundle, Head head) {
+		String other = this.nonceByGeneration.putIfAbsent(head.generation(), head.nonce());
+		this.fleet.invariants()
 			.holds(other == null || other.equals(head.nonce()), "one-winner", "generation " + head.generation());
-		this.world.ledger().count("rollsWon");
+		this.fleet.ledger().count("rollsWon");
 	}
 
 	private static String key(long generation) {
 		return "rolls/%012d".formatted(generation);
 	}
 
-	private static KeyPair pair() {
+	private static KeyPair generateKeyPair() {
 		try {
 			return KeyPairGenerator.getInstance("Ed25519").generateKeyPair();
 		}
--- a/standin/src/main/java/org/wisteriapost/standin/soak/SoakPlatform.java
+++ b/standin/src/main/java/org/wisteriapost/standin/soak/SoakPlatform.java
@@ -14,8 +14,8 @@
 import org.wisteriapost.protocol.outside.Platform;
 
 /**
- * A platform in virtual time that can be down, slow, or lose the answers of writes that
- * took effect.
+ * A platform in virtual time that can be unavailable, slow, or lose the confirmations of
+ * writes that took effect.
  */
 final class SoakPlatform implements Platform {
 
@@ -23,14 +23,14 @@
 
 	private final Map<String, Stored> values = new TreeMap<>();
 
-	private Consumer<Stored> watcher = (stored) -> {
+	private Consumer<Stored> writeListener = (stored) -> {
 	};
 
-	private boolean down;
+	private boolean unavailable;
 
-	private long slowNanos;
+	private long addedLatencyNanos;
 
-	private double lost;
+	private double lostConfirmationShare;
 
 	private long reads;
 
@@ -40,23 +40,23 @@
 		this.time = time;
 	}
 
-	void down(boolean now) {
-		this.down = now;
+	void setUnavailable(boolean unavailable) {
+		this.unavailable = unavailable;
 	}
 
 	/**
-	 * Tells of each write that takes effect.
+	 * Sets the listener that receives each write that takes effect.
 	 */
-	void watched(Consumer<Stored> by) {
-		this.watcher = by;
+	void onWrite(Consumer<Stored> listener) {
+		this.writeListener = listener;
 	}
 
-	void slow(long nanos) {
-		this.slowNanos = nanos;
+	void setAddedLatency(long nanos) {
+		this.addedLatencyNanos = nanos;
 	}
 
-	void loses(double share) {
-		this.lost = share;
+	void setLostConfirmationShare(double share) {
+		this.lostConfirmationShare = share;
 	}
 
 	long reads() {
@@ -68,16 +68,16 @@
 	}
 
 	/**
-	 * Returns what stands there, without a call.
+	 * Returns an object without latency or faults.
 	 */
-	Optional<Stored> peek(String key) {
+	Optional<Stored> getDirectly(String key) {
 		return Optional.ofNullable(this.values.get(key));
 	}
 
 	/**
-	 * Puts an object there without a call.
+	 * Stores an object without latency or faults.
 	 */
-	void set(String key, byte[] value) {
+	void putDirectly(String key, byte[] value) {
 		write(key, value, new Expected.Anything());
 	}
 
@@ -101,19 +101,21 @@
 	public CompletableFuture<PutResult> put(String key, byte[] value, Expected expected) {
 		CompletableFuture<PutResult> future = new CompletableFuture<>();
 		this.writes++;
-		this.time.after(way(), () -> {
-			if (this.down) {
-				// An outage cuts calls on their way in and on their way out.
-				boolean took = this.time.chance(0.3);
-				if (took) {
+		this.time.after(latencyNanos(), () -> {
+			if (this.unavailable) {
+				// An outage loses the request, or the reply to a write that took
+				// effect.
+				boolean written = this.time.chance(0.3);
+				if (written) {
 					write(key, value, expected);
 				}
-				this.time.after(way(), () -> future.completeExceptionally(failure(took ? UNCONFIRMED : UNAVAILABLE)));
+				this.time.after(latencyNanos(),
+						() -> future.completeExceptionally(failure(written ? UNCONFIRMED : UNAVAILABLE)));
 				return;
 			}
 			PutResult result = write(key, value, expected);
-			boolean confirmed = !this.time.chance(this.lost);
-			this.time.after(way(), () -> {
+			boolean confirmed = !this.time.chance(this.lostConfirmationShare);
+			this.time.after(latencyNanos(), () -> {
 				if (confirmed) {
 					future.complete(result);
 				}
@@ -129,16 +131,16 @@
 	public void close() {
 	}
 
-	private <T> CompletableFuture<T> read(Supplier<T> look) {
+	private <T> CompletableFuture<T> read(Supplier<T> lookup) {
 		CompletableFuture<T> future = new CompletableFuture<>();
 		this.reads++;
-		this.time.after(way(), () -> {
-			if (this.down) {
+		this.time.after(latencyNanos(), () -> {
+			if (this.unavailable) {
 				future.completeExceptionally(failure(UNAVAILABLE));
 				return;
 			}
-			T found = look.get();
-			this.time.after(way(), () -> future.complete(found));
+			T found = lookup.get();
+			this.time.after(latencyNanos(), () -> future.complete(found));
 		});
 		return future;
 	}
@@ -155,12 +157,12 @@
 		}
 		long version = current.map(Stored::version).orElse(0L) + 1;
 		this.values.put(key, new Stored(key, value.clone(), version));
-		this.watcher.accept(this.values.get(key));
+		this.writeListener.accept(this.values.get(key));
 		return new PutResult.Written(version);
 	}
 
-	private long way() {
-		return this.time.between(VirtualTime.MILLI / 2, 3 * VirtualTime.MILLI) + this.slowNanos;
+	private long latencyNanos() {
+		return this.time.randomBetween(VirtualTime.MILLI / 2, 3 * VirtualTime.MILLI) + this.addedLatencyNanos;
 	}
 
 	private static CodedException failure(Code code) {
--- a/standin/src/main/java/org/wisteriapost/standin/soak/SoakProcess.java
+++ b/standin/src/main/java/org/wisteriapost/standin/soak/SoakProcess.java
@@ -6,40 +6,40 @@
 import java.util.List;
 
 /**
- * One process that can be paused and killed. While it is paused, what comes for it waits;
- * time does not.
+ * A process that can be paused and killed. While it is paused, its steps are deferred,
+ * but time passes.
  */
 abstract class SoakProcess {
 
 	private final String name;
 
-	private final String place;
+	private final String failureDomain;
 
 	private final List<SoakLink> links = new ArrayList<>();
 
-	private final Deque<Runnable> held = new ArrayDeque<>();
+	private final Deque<Runnable> deferred = new ArrayDeque<>();
 
 	private boolean paused;
 
-	private boolean dead;
+	private boolean ended;
 
 	private boolean leaving;
 
-	SoakProcess(String name, String place) {
+	SoakProcess(String name, String failureDomain) {
 		this.name = name;
-		this.place = place;
+		this.failureDomain = failureDomain;
 	}
 
 	String name() {
 		return this.name;
 	}
 
-	String place() {
-		return this.place;
+	String failureDomain() {
+		return this.failureDomain;
 	}
 
 	boolean alive() {
-		return !this.dead;
+		return !this.ended;
 	}
 
 	boolean paused() {
@@ -55,19 +55,20 @@
 		return this.links;
 	}
 
-	void linked(SoakLink link) {
+	void addLink(SoakLink link) {
 		this.links.add(link);
 	}
 
 	/**
-	 * Runs a step of this process now, or when it goes on.
+	 * Runs a step of this process now, or on resume while it is paused. Drops the step if
+	 * the process has ended.
 	 */
 	void step(Runnable task) {
-		if (this.dead) {
+		if (this.ended) {
 			return;
 		}
 		if (this.paused) {
-			this.held.add(task);
+			this.deferred.add(task);
 			return;
 		}
 		task.run();
@@ -79,22 +80,22 @@
 
 	void resume() {
 		this.paused = false;
-		while (!this.held.isEmpty() && !this.dead) {
-			this.held.poll().run();
+		while (!this.deferred.isEmpty() && !this.ended) {
+			this.deferred.poll().run();
 		}
 	}
 
 	/**
-	 * Ends the process at once; the kernel closes its connections.
+	 * Ends the process at once and closes its connections, as the operating system does.
 	 */
 	void end() {
-		this.dead = true;
-		this.held.clear();
+		this.ended = true;
+		this.deferred.clear();
 		links().forEach(SoakLink::cut);
 	}
 
 	/**
-	 * Asks the process to leave.
+	 * Requests a drain and a regular end of the process.
 	 */
 	void leave() {
 		this.leaving = true;
--- a/standin/src/main/java/org/wisteriapost/standin/soak/SoakAnswer.java
+++ b/standin/src/main/java/org/wisteriapost/standin/soak/SoakResponse.java
@@ -10,40 +10,41 @@
 import org.wisteriapost.entry.caller.Refusal;
 
 /**
- * One caller's end of a connection to an entry.
+ * Collects the response to one attempt of a call, until it ends or its connection is
+ * lost.
  */
-final class SoakAnswer implements AnswerSink {
+final class SoakResponse implements AnswerSink {
 
 	private final VirtualTime time;
 
 	private final SoakEntry entry;
 
-	private final BiConsumer<Outcome, SoakAnswer> result;
+	private final BiConsumer<Outcome, SoakResponse> onEnd;
 
 	private final StringBuilder body = new StringBuilder();
 
-	private String weights = "";
+	private String weightsDigest = "";
 
 	private long retryAfterMillis;
 
 	private String code = "";
 
-	private boolean headed;
+	private boolean started;
 
 	private boolean ended;
 
-	SoakAnswer(VirtualTime time, SoakEntry entry, BiConsumer<Outcome, SoakAnswer> result) {
+	SoakResponse(VirtualTime time, SoakEntry entry, BiConsumer<Outcome, SoakResponse> onEnd) {
 		this.time = time;
 		this.entry = entry;
-		this.result = result;
+		this.onEnd = onEnd;
 	}
 
 	String body() {
 		return this.body.toString();
 	}
 
-	String weights() {
-		return this.weights;
+	String weightsDigest() {
+		return this.weightsDigest;
 	}
 
 	String code() {
@@ -67,20 +68,20 @@
 	public void refuse(Refusal refusal) {
 		this.code = refusal.code();
 		this.retryAfterMillis = refusal.retryAfterMillis();
-		end(this.headed ? Outcome.UNKNOWN : refusal.outcome());
+		end(this.started ? Outcome.UNKNOWN : refusal.outcome());
 	}
 
 	@Override
 	public void whole(int status, List<Map.Entry<String, String>> headers, String digest, byte[] content) {
-		this.weights = digest;
+		this.weightsDigest = digest;
 		this.body.append(new String(content, StandardCharsets.UTF_8));
 		end(Outcome.RAN);
 	}
 
 	@Override
 	public void start(int status, List<Map.Entry<String, String>> headers, String digest) {
-		this.headed = true;
-		this.weights = digest;
+		this.started = true;
+		this.weightsDigest = digest;
 	}
 
 	@Override
@@ -98,7 +99,7 @@
 		if (!this.ended) {
 			this.ended = true;
 			this.entry.answered(this);
-			this.time.soon(() -> this.result.accept(outcome, this));
+			this.time.afterNetworkDelay(() -> this.onEnd.accept(outcome, this));
 		}
 	}
 
--- a/standin/src/main/java/org/wisteriapost/standin/soak/SoakRunner.java
+++ b/standin/src/main/java/org/wisteriapost/standin/soak/SoakRunner.java
@@ -9,15 +9,15 @@
 import org.wisteriapost.policy.agent.EngineView;
 
 /**
- * What answers on an endpoint VM: a model engine or a plain service. It outlives its
- * agent.
+ * The runner of an endpoint VM: a model engine or a plain service. It keeps running when
+ * its agent ends.
  */
 final class SoakRunner {
 
-	/** Pieces of a model's answer. */
+	/** Number of tokens in a model's answer. */
 	static final int TOKENS = 5;
 
-	private static final int CAPACITY = 4;
+	private static final int MAX_CONCURRENT_CALLS = 4;
 
 	private final VirtualTime time;
 
@@ -29,13 +29,13 @@
 
 	private final Map<Long, Listener> running = new HashMap<>();
 
-	private final List<AgentEffect.SendOrder> taken = new ArrayList<>();
+	private final List<AgentEffect.SendOrder> acceptedOrders = new ArrayList<>();
 
-	private String serving = "";
+	private String weightsDigest = "";
 
 	private boolean loading;
 
-	private int numbers;
+	private int lastNumber;
 
 	SoakRunner(VirtualTime time, SoakLedger ledger, boolean plain, boolean fencing) {
 		this.time = time;
@@ -44,97 +44,100 @@
 		this.fencing = fencing;
 	}
 
-	String serving() {
-		return this.serving;
+	String weightsDigest() {
+		return this.weightsDigest;
 	}
 
 	EngineView view() {
-		long generation = this.taken.isEmpty() ? 0 : this.taken.getLast().generation();
-		long epoch = this.taken.isEmpty() ? 0 : this.taken.getLast().epoch();
-		return new EngineView(this.serving, this.loading, this.running.size(), 0, CAPACITY, generation, epoch);
+		long generation = this.acceptedOrders.isEmpty() ? 0 : this.acceptedOrders.getLast().generation();
+		long epoch = this.acceptedOrders.isEmpty() ? 0 : this.acceptedOrders.getLast().epoch();
+		return new EngineView(this.weightsDigest, this.loading, this.running.size(), 0, MAX_CONCURRENT_CALLS,
+				generation, epoch);
 	}
 
 	/**
-	 * Returns false when the order is refused.
+	 * Applies an order to load weights. Returns false if the runner has fencing and the
+	 * order is older than the last one that it accepted.
 	 */
 	boolean order(AgentEffect.SendOrder order) {
-		if (this.fencing && !this.taken.isEmpty() && older(order, this.taken.getLast())) {
+		if (this.fencing && !this.acceptedOrders.isEmpty() && older(order, this.acceptedOrders.getLast())) {
 			return false;
 		}
-		this.taken.add(order);
+		this.acceptedOrders.add(order);
 		this.loading = true;
-		this.time.after(this.time.between(VirtualTime.SECOND / 10, VirtualTime.SECOND), () -> {
-			if (!this.taken.isEmpty() && this.taken.getLast() == order) {
+		this.time.after(this.time.randomBetween(VirtualTime.SECOND / 10, VirtualTime.SECOND), () -> {
+			if (!this.acceptedOrders.isEmpty() && this.acceptedOrders.getLast() == order) {
 				this.loading = false;
-				this.serving = order.weightsDigest();
+				this.weightsDigest = order.weightsDigest();
 			}
 		});
 		return true;
 	}
 
 	/**
-	 * Runs a call.
-	 * @param key the idempotency key, empty for none
+	 * Starts a call.
+	 * @param key the idempotency key, or an empty string
 	 */
 	void run(long call, String requestId, String key, Listener listener) {
-		if (!this.plain && (this.loading || this.serving.isEmpty())) {
-			this.time.soon(listener::refused);
+		if (!this.plain && (this.loading || this.weightsDigest.isEmpty())) {
+			this.time.afterNetworkDelay(listener::refused);
 			return;
 		}
-		this.ledger.ran(requestId, key);
+		this.ledger.recordStart(requestId, key);
 		this.running.put(call, listener);
-		long head = this.time.between(5 * VirtualTime.MILLI, 60 * VirtualTime.MILLI);
-		this.time.after(head, () -> head(call, requestId, key));
+		long delayNanos = this.time.randomBetween(5 * VirtualTime.MILLI, 60 * VirtualTime.MILLI);
+		this.time.after(delayNanos, () -> startAnswer(call, requestId, key));
 	}
 
 	void cancel(long call) {
 		Listener listener = this.running.remove(call);
 		if (listener != null) {
-			this.time.soon(listener::cut);
+			this.time.afterNetworkDelay(listener::aborted);
 		}
 	}
 
 	/**
-	 * Ends the process and starts it again; the VM's memory with the weights stays.
+	 * Restarts the process. All calls are aborted, and the runner serves no weights until
+	 * the next order. The VM keeps the weights that it has fetched.
 	 */
 	void crash() {
 		List.copyOf(this.running.keySet()).forEach(this::cancel);
-		this.serving = "";
+		this.weightsDigest = "";
 		this.loading = false;
-		this.taken.clear();
+		this.acceptedOrders.clear();
 	}
 
-	private void head(long call, String requestId, String key) {
+	private void startAnswer(long call, String requestId, String key) {
 		Listener listener = this.running.get(call);
 		if (listener == null) {
 			return;
 		}
-		listener.head(this.serving);
+		listener.started(this.weightsDigest);
 		if (this.plain) {
-			String answer = key.isEmpty() ? "lookup|" + requestId : "number|" + ++this.numbers + "|" + key;
+			String answer = key.isEmpty() ? "lookup|" + requestId : "number|" + ++this.lastNumber + "|" + key;
 			listener.data(answer);
-			end(call);
+			finish(call);
 			return;
 		}
-		token(call, requestId, 0);
+		sendToken(call, requestId, 0);
 	}
 
-	private void token(long call, String requestId, int index) {
+	private void sendToken(long call, String requestId, int index) {
 		Listener listener = this.running.get(call);
 		if (listener == null) {
 			return;
 		}
-		listener.data(this.serving + "|" + requestId + "|" + index + "\n");
+		listener.data(this.weightsDigest + "|" + requestId + "|" + index + "\n");
 		if (index + 1 == TOKENS) {
-			end(call);
+			finish(call);
 			return;
 		}
-		long pause = this.time.between(5 * VirtualTime.MILLI, 200 * VirtualTime.MILLI);
-		this.time.after(pause, () -> token(call, requestId, index + 1));
+		long delayNanos = this.time.randomBetween(5 * VirtualTime.MILLI, 200 * VirtualTime.MILLI);
+		this.time.after(delayNanos, () -> sendToken(call, requestId, index + 1));
 	}
 
-	private void end(long call) {
-		this.running.remove(call).end();
+	private void finish(long call) {
+		this.running.remove(call).completed();
 	}
 
 	private static boolean older(AgentEffect.SendOrder one, AgentEffect.SendOrder other) {
@@ -145,17 +148,17 @@
 	}
 
 	/**
-	 * Hears a call's answer.
+	 * Receives the answer of a call.
 	 */
 	interface Listener {
 
-		void head(String weights);
+		void started(String weights);
 
-		void data(String piece);
+		void data(String text);
 
-		void end();
+		void completed();
 
-		void cut();
+		void aborted();
 
 		void refused();
 
--- a/standin/src/main/java/org/wisteriapost/standin/soak/SoakVm.java
+++ b/standin/src/main/java/org/wisteriapost/standin/soak/SoakVm.java
@@ -30,8 +30,8 @@
 import org.wisteriapost.protocol.wire.Role;
 
 /**
- * One agent's process beside its runner: the real decisions, with the I/O around them in
- * virtual time.
+ * The process of an agent beside its runner: the production state machine, with simulated
+ * I/O in virtual time.
  */
 final class SoakVm extends SoakProcess {
 
@@ -40,41 +40,43 @@
 	private static final AgentLimits LIMITS = new AgentLimits(4, 8, Duration.ofSeconds(5), Duration.ofSeconds(10),
 			Duration.ofSeconds(30), 0.25, Duration.ofSeconds(60));
 
-	private final SoakWorld world;
+	private final SoakFleet fleet;
 
 	private final VirtualTime time;
 
-	private final AgentIdentity self;
+	private final AgentIdentity identity;
 
 	private final SoakRunner runner;
 
 	private final LockstepLoop<AgentEvent> loop;
 
-	private final AgentMachine machine;
+	private final AgentMachine stateMachine;
 
 	private final Map<Long, SoakCall> calls = new LinkedHashMap<>();
 
-	private final Map<SoakLink.Side, Boolean> entries = new LinkedHashMap<>();
+	private final Map<SoakLink.LinkEnd, Boolean> helloReceived = new LinkedHashMap<>();
 
 	private long lastCall;
 
 	private long leavingSince = Long.MAX_VALUE;
 
-	SoakVm(SoakWorld world, String name, String place, String service, boolean plain, SoakRunner runner) {
-		super(name, place);
-		this.world = world;
-		this.time = world.time();
+	SoakVm(SoakFleet fleet, String name, String failureDomain, String service, boolean plain, SoakRunner runner) {
+		super(name, failureDomain);
+		this.fleet = fleet;
+		this.time = fleet.time();
 		this.runner = runner;
-		this.self = new AgentIdentity(name, place, service, plain, "nonce-" + this.time.random().nextLong());
-		this.machine = AgentMachine.create(this.self, LIMITS, world.operators().keys(), world.invariants(),
+		this.identity = new AgentIdentity(name, failureDomain, service, plain,
+				"nonce-" + this.time.random().nextLong());
+		this.stateMachine = AgentMachine.create(this.identity, LIMITS, fleet.operators().keys(), fleet.invariants(),
 				RandomSource.XO_RO_SHI_RO_128_PP.create(this.time.random().nextLong()));
 		this.loop = LockstepLoop.start(name,
-				(event) -> this.machine.apply(event, this.time.now()).forEach(this::carryOut), world.invariants());
+				(event) -> this.stateMachine.apply(event, this.time.nowNanos()).forEach(this::execute),
+				fleet.invariants());
 		tick();
 	}
 
-	AgentIdentity self() {
-		return this.self;
+	AgentIdentity identity() {
+		return this.identity;
 	}
 
 	SoakRunner runner() {
@@ -82,7 +84,7 @@
 	}
 
 	AgentView view() {
-		return this.machine.view();
+		return this.stateMachine.view();
 	}
 
 	@Override
@@ -95,32 +97,33 @@
 	@Override
 	void leave() {
 		super.leave();
-		// A frozen process hears its signal when it goes on.
+		// A paused process handles the signal when it resumes.
 		step(() -> {
-			this.leavingSince = this.time.now();
+			this.leavingSince = this.time.nowNanos();
 			this.loop.apply(new AgentEvent.LeaveAsked());
 		});
 	}
 
 	/**
-	 * Takes a link that an entry has made.
+	 * Accepts a link that an entry has opened.
 	 */
 	void accept(SoakLink link) {
-		SoakLink.Side side = link.two();
-		linked(link);
-		this.entries.put(side, false);
-		side.hears((frame) -> step(() -> frame(side, frame)), () -> step(() -> closed(side)));
-		side.send(frame()
-			.setHello(Hello.newBuilder()
-				.setVm(name())
-				.setPlace(place())
-				.setRole(Role.AGENT)
-				.setService(this.self.service())
-				.setEpoch(view().epoch()))
-			.build());
+		SoakLink.LinkEnd linkEnd = link.acceptor();
+		addLink(link);
+		this.helloReceived.put(linkEnd, false);
+		linkEnd.listen((frame) -> step(() -> frame(linkEnd, frame)), () -> step(() -> linkClosed(linkEnd)));
+		linkEnd.send(
+				frame()
+					.setHello(Hello.newBuilder()
+						.setVm(name())
+						.setPlace(failureDomain())
+						.setRole(Role.AGENT)
+						.setService(this.identity.service())
+						.setEpoch(view().epoch()))
+					.build());
 	}
 
-	private void hear(AgentEvent event) {
+	private void apply(AgentEvent event) {
 		step(() -> this.loop.apply(event));
 	}
 
@@ -128,10 +131,10 @@
 		if (!alive()) {
 			return;
 		}
-		hear(new AgentEvent.Tick());
+		apply(new AgentEvent.Tick());
 		step(this::report);
-		List<String> peers = this.world.peers(this);
-		this.time.after(VirtualTime.SECOND, () -> hear(new AgentEvent.PeersRead(peers, false)));
+		List<String> peers = this.fleet.peers(this);
+		this.time.after(VirtualTime.SECOND, () -> apply(new AgentEvent.PeersRead(peers, false)));
 		this.time.after(VirtualTime.SECOND, this::tick);
 	}
 
@@ -139,15 +142,15 @@
 		return Frame.newBuilder().setGeneration(view().headGeneration());
 	}
 
-	private void frame(SoakLink.Side side, Frame frame) {
+	private void frame(SoakLink.LinkEnd linkEnd, Frame frame) {
 		if (frame.getGeneration() > view().headGeneration() && !frame.hasHead()) {
-			side.send(frame().setHeadRequest(HeadRequest.getDefaultInstance()).build());
+			linkEnd.send(frame().setHeadRequest(HeadRequest.getDefaultInstance()).build());
 		}
 		switch (frame.getBodyCase()) {
 			case HELLO -> {
-				this.entries.put(side, true);
-				connected();
-				side.send(frame().setReport(currentReport()).build());
+				this.helloReceived.put(linkEnd, true);
+				publishConnectedEntries();
+				linkEnd.send(frame().setReport(currentReport()).build());
 			}
 			case HEAD -> head(frame.getHead());
 			case BUNDLE_REPLY -> {
@@ -155,13 +158,13 @@
 				frame.getBundleReply()
 					.getApprovalsList()
 					.forEach((one) -> signatures.put(one.getOperator(), one.getSignature().toByteArray()));
-				hear(new AgentEvent.BundleArrived(frame.getBundleReply().getDigest(),
+				apply(new AgentEvent.BundleArrived(frame.getBundleReply().getDigest(),
 						frame.getBundleReply().getBundle().toByteArray(), signatures));
 			}
-			case CALL -> call(side, frame.getCall());
+			case CALL -> call(linkEnd, frame.getCall());
 			case CALL_CANCEL -> this.calls.forEach((number, call) -> {
-				if (call.is(side, frame.getCallCancel().getId())) {
-					this.time.after(0, () -> hear(new AgentEvent.CallCancelled(number)));
+				if (call.matches(linkEnd, frame.getCallCancel().getId())) {
+					this.time.after(0, () -> apply(new AgentEvent.CallCancelled(number)));
 				}
 			});
 			default -> {
@@ -170,36 +173,38 @@
 	}
 
 	private void head(Head head) {
-		hear(new AgentEvent.HeadHeard(head.getGeneration(), head.getDigest(), head.getConfirmed(),
+		apply(new AgentEvent.HeadHeard(head.getGeneration(), head.getDigest(), head.getConfirmed(),
 				head.getConfirmedAgeMillis()));
 	}
 
-	private void call(SoakLink.Side side, Call call) {
+	private void call(SoakLink.LinkEnd linkEnd, Call call) {
 		long number = ++this.lastCall;
-		long deadline = this.time.now() + call.getRemainingMillis() * VirtualTime.MILLI;
-		this.calls.put(number, new SoakCall(side, call, this));
-		hear(new AgentEvent.CallArrived(number, Priority.NORMAL, call.getWeightsDigest(), this.time.now(), deadline));
+		long deadline = this.time.nowNanos() + call.getRemainingMillis() * VirtualTime.MILLI;
+		this.calls.put(number, new SoakCall(linkEnd, call, this));
+		apply(new AgentEvent.CallArrived(number, Priority.NORMAL, call.getWeightsDigest(), this.time.nowNanos(),
+				deadline));
 	}
 
-	private void closed(SoakLink.Side side) {
-		this.entries.remove(side);
-		connected();
+	private void linkClosed(SoakLink.LinkEnd linkEnd) {
+		this.helloReceived.remove(linkEnd);
+		publishConnectedEntries();
 		this.calls.forEach((number, call) -> {
-			if (call.side() == side) {
-				this.time.after(0, () -> hear(new AgentEvent.CallCancelled(number)));
+			if (call.linkEnd() == linkEnd) {
+				this.time.after(0, () -> apply(new AgentEvent.CallCancelled(number)));
 			}
 		});
 	}
 
-	private void connected() {
-		hear(new AgentEvent.EntriesConnected((int) this.entries.values().stream().filter((hello) -> hello).count()));
+	private void publishConnectedEntries() {
+		apply(new AgentEvent.EntriesConnected(
+				(int) this.helloReceived.values().stream().filter((hello) -> hello).count()));
 	}
 
 	private void report() {
 		Frame frame = frame().setReport(currentReport()).build();
-		this.entries.forEach((side, hello) -> {
+		this.helloReceived.forEach((linkEnd, hello) -> {
 			if (hello) {
-				side.send(frame);
+				linkEnd.send(frame);
 			}
 		});
 	}
@@ -208,9 +213,9 @@
 		AgentView view = view();
 		return Report.newBuilder()
 			.setVm(name())
-			.setPlace(place())
-			.setService(this.self.service())
-			.setPlain(this.self.plain())
+			.setPlace(failureDomain())
+			.setService(this.identity.service())
+			.setPlain(this.identity.plain())
 			.setAdmitting(view.admitting())
 			.setLeaving(view.leaving())
 			.setWeightsDigest(view.weightsDigest())
@@ -222,26 +227,28 @@
 			.build();
 	}
 
-	// Runs on the loop's thread: what goes out is scheduled, never applied in place.
-	private void carryOut(AgentEffect effect) {
+	// Runs on the event loop's thread, so effects are scheduled: applying an event from
+	// here
+	// would deadlock the lockstep loop.
+	private void execute(AgentEffect effect) {
 		switch (effect) {
-			case AgentEffect.Wake wake -> this.time.after(wake.delayNanos(), () -> hear(new AgentEvent.Tick()));
+			case AgentEffect.Wake wake -> this.time.after(wake.delayNanos(), () -> apply(new AgentEvent.Tick()));
 			case AgentEffect.ReadObject read -> read(read.key());
 			case AgentEffect.WriteObject write -> write(write);
 			case AgentEffect.FetchBundle bundle -> this.time.after(0, () -> fetchBundle(bundle.digest()));
 			case AgentEffect.FetchWeights weights -> fetchWeights(weights);
-			case AgentEffect.ReadEngine read -> this.time.soon(() -> {
-				EngineView seen = this.runner.view();
-				this.time.soon(() -> hear(new AgentEvent.EngineRead(seen)));
+			case AgentEffect.ReadEngine read -> this.time.afterNetworkDelay(() -> {
+				EngineView engine = this.runner.view();
+				this.time.afterNetworkDelay(() -> apply(new AgentEvent.EngineRead(engine)));
 			});
 			case AgentEffect.SendOrder order -> this.time.after(0, () -> step(() -> order(order)));
 			case AgentEffect.StartCall start -> this.time.after(0, () -> step(() -> start(start.call())));
 			case AgentEffect.RefuseCall refuse ->
 				this.time.after(0, () -> Optional.ofNullable(this.calls.remove(refuse.call()))
-					.ifPresent((call) -> call.refused(refuse.code(), refuse.retryAfterMillis())));
+					.ifPresent((call) -> call.refuse(refuse.code(), refuse.retryAfterMillis())));
 			case AgentEffect.CancelCall cancel -> this.time.after(0, () -> this.runner.cancel(cancel.call()));
 			case AgentEffect.ReportNow report -> this.time.after(0, () -> step(this::report));
-			case AgentEffect.SayLeaving leaving -> this.time.after(0, () -> step(this::sayLeaving));
+			case AgentEffect.SayLeaving leaving -> this.time.after(0, () -> step(this::sendLeaving));
 			case AgentEffect.DropWeights drop -> {
 			}
 			case AgentEffect.SlowTransfer slow -> {
@@ -250,9 +257,9 @@
 		}
 	}
 
-	private void sayLeaving() {
+	private void sendLeaving() {
 		Frame frame = frame().setLeaving(Leaving.newBuilder().setVm(name())).build();
-		this.entries.keySet().forEach((side) -> side.send(frame));
+		this.helloReceived.keySet().forEach((linkEnd) -> linkEnd.send(frame));
 	}
 
 	private void stopped(String code) {
@@ -260,106 +267,100 @@
 			return;
 		}
 		if (code.isEmpty()) {
-			this.world.invariants()
+			this.fleet.invariants()
 				.holds(this.calls.values().stream().noneMatch(SoakCall::running), "drain-cuts-nothing", name());
 		}
-		this.world.ledger().count("agentsStopped");
+		this.fleet.ledger().count("agentsStopped");
 		end();
-		this.world.agentEnded(this);
+		this.fleet.agentEnded(this);
 	}
 
 	private void start(long number) {
 		SoakCall call = this.calls.get(number);
 		if (call == null) {
-			hear(new AgentEvent.CallEnded(number));
+			apply(new AgentEvent.CallEnded(number));
 			return;
 		}
-		this.world.invariants()
-			.holds(this.time.now() - LEAVING_GRACE_NANOS < this.leavingSince, "no-new-work-when-leaving", name());
-		call.starts();
-		boolean once = call.call().getMethod().equals("POST");
-		String key = once ? call.call().getBody().toStringUtf8() : "";
+		this.fleet.invariants()
+			.holds(this.time.nowNanos() - LEAVING_GRACE_NANOS < this.leavingSince, "no-new-work-when-leaving", name());
+		call.markRunning();
+		boolean atMostOnce = call.call().getMethod().equals("POST");
+		String key = atMostOnce ? call.call().getBody().toStringUtf8() : "";
 		this.runner.run(number, call.call().getRequestId(), key, call.listener(number));
 	}
 
-	/**
-	 * Hears that a call's answer has begun.
-	 */
-	void answered(long number) {
-		hear(new AgentEvent.CallAnswered(number));
+	void answerStarted(long number) {
+		apply(new AgentEvent.CallAnswered(number));
 	}
 
-	/**
-	 * Hears that a started call is over.
-	 */
-	void over(long number, boolean foreign) {
+	void callEnded(long number, boolean wrongWeights) {
 		this.calls.remove(number);
-		if (foreign) {
-			hear(new AgentEvent.WrongWeightsAnswered());
+		if (wrongWeights) {
+			apply(new AgentEvent.WrongWeightsAnswered());
 		}
-		hear(new AgentEvent.CallEnded(number));
+		apply(new AgentEvent.CallEnded(number));
 	}
 
 	SoakLedger ledger() {
-		return this.world.ledger();
+		return this.fleet.ledger();
 	}
 
 	private void order(AgentEffect.SendOrder order) {
-		if (this.time.now() > order.notAfterNanos()) {
-			hear(new AgentEvent.OrderLapsed());
+		if (this.time.nowNanos() > order.notAfterNanos()) {
+			apply(new AgentEvent.OrderLapsed());
 			return;
 		}
-		this.time.soon(() -> {
-			boolean taken = this.runner.order(order);
-			boolean lost = this.time.chance(0.05);
-			AgentEvent answer = taken ? new AgentEvent.OrderTaken() : new AgentEvent.OrderFenced();
-			this.time.soon(() -> hear(lost ? new AgentEvent.OrderUnconfirmed() : answer));
+		this.time.afterNetworkDelay(() -> {
+			boolean accepted = this.runner.order(order);
+			boolean confirmationLost = this.time.chance(0.05);
+			AgentEvent answer = accepted ? new AgentEvent.OrderTaken() : new AgentEvent.OrderFenced();
+			this.time.afterNetworkDelay(() -> apply(confirmationLost ? new AgentEvent.OrderUnconfirmed() : answer));
 		});
 	}
 
 	private void fetchWeights(AgentEffect.FetchWeights weights) {
-		long needed = this.time.between(VirtualTime.SECOND / 2, 5 * VirtualTime.SECOND);
+		long delayNanos = this.time.randomBetween(VirtualTime.SECOND / 2, 5 * VirtualTime.SECOND);
 		String digest = weights.weightsDigest();
 		AgentEvent result = this.time.chance(0.05) ? new AgentEvent.WeightsFailed(digest, "origin-unavailable")
 				: new AgentEvent.WeightsFetched(digest);
-		this.time.after(needed, () -> hear(result));
+		this.time.after(delayNanos, () -> apply(result));
 	}
 
 	private void fetchBundle(String digest) {
-		List<SoakLink.Side> known = this.entries.keySet().stream().toList();
-		if (!known.isEmpty() && this.time.chance(0.7)) {
-			known.getFirst().send(frame().setBundleRequest(BundleRequest.newBuilder().setDigest(digest)).build());
-			this.time.after(VirtualTime.SECOND, () -> hear(new AgentEvent.BundleMissing(digest)));
+		List<SoakLink.LinkEnd> linkEnds = this.helloReceived.keySet().stream().toList();
+		if (!linkEnds.isEmpty() && this.time.chance(0.7)) {
+			linkEnds.getFirst().send(frame().setBundleRequest(BundleRequest.newBuilder().setDigest(digest)).build());
+			this.time.after(VirtualTime.SECOND, () -> apply(new AgentEvent.BundleMissing(digest)));
 			return;
 		}
-		Platform platform = this.world.platform();
+		Platform platform = this.fleet.platform();
 		platform.get("bundles/" + digest)
 			.thenCombine(platform.list("approvals/" + digest + "/"),
-					(content, approvals) -> this.world.operators().arrived(digest, content, approvals))
+					(content, approvals) -> this.fleet.operators().bundleEvent(digest, content, approvals))
 			.exceptionally((failure) -> new AgentEvent.BundleMissing(digest))
-			.thenAccept(this::hear);
+			.thenAccept(this::apply);
 	}
 
 	private void read(String key) {
-		long sent = this.time.now();
-		this.world.platform().get(key).whenComplete((stored, failure) -> {
+		long sent = this.time.nowNanos();
+		this.fleet.platform().get(key).whenComplete((stored, failure) -> {
 			if (failure != null) {
-				hear(new AgentEvent.ObjectUnread(key));
+				apply(new AgentEvent.ObjectUnread(key));
 				return;
 			}
-			hear(new AgentEvent.ObjectRead(key, stored.map((one) -> new StoredObject(one.value(), one.version())),
+			apply(new AgentEvent.ObjectRead(key, stored.map((one) -> new StoredObject(one.value(), one.version())),
 					sent));
 		});
 	}
 
 	private void write(AgentEffect.WriteObject write) {
 		Platform.Expected expected = expected(write.version());
-		this.world.platform().put(write.key(), write.value(), expected).whenComplete((result, failure) -> {
+		this.fleet.platform().put(write.key(), write.value(), expected).whenComplete((result, failure) -> {
 			if (failure instanceof CodedException) {
-				hear(new AgentEvent.ObjectUnconfirmed(write.key()));
+				apply(new AgentEvent.ObjectUnconfirmed(write.key()));
 				return;
 			}
-			hear(switch (result) {
+			apply(switch (result) {
 				case Platform.PutResult.Written written -> new AgentEvent.ObjectWritten(write.key(), written.version());
 				case Platform.PutResult.Conflict conflict -> new AgentEvent.ObjectConflict(write.key());
 			});
--- a/standin/src/main/java/org/wisteriapost/standin/soak/VirtualTime.java
+++ b/standin/src/main/java/org/wisteriapost/standin/soak/VirtualTime.java
@@ -7,7 +7,8 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Time that passes only from task to task, and all chance of a run.
+ * The scheduler, clock and random generator of a run. Time advances only from task to
+ * task.
  */
 final class VirtualTime {
 
@@ -15,71 +16,71 @@
 
 	static final long SECOND = 1_000 * MILLI;
 
-	// Well away from 0, so that a field nobody has set does not look like a recent time.
-	private static final long START = 3_600 * SECOND;
+	// Far from 0, so that an unset timestamp does not look recent.
+	private static final long START_NANOS = 3_600 * SECOND;
 
 	private final PriorityQueue<Task> tasks = new PriorityQueue<>(
-			Comparator.comparingLong(Task::at).thenComparingLong(Task::number));
+			Comparator.comparingLong(Task::atNanos).thenComparingLong(Task::sequence));
 
 	private final UniformRandomProvider random;
 
-	private long now = START;
+	private long nowNanos = START_NANOS;
 
-	private long number;
+	private long nextSequence;
 
 	VirtualTime(long seed) {
 		this.random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
 	}
 
-	long now() {
-		return this.now;
+	long nowNanos() {
+		return this.nowNanos;
 	}
 
 	long wallMillis() {
-		return 1_800_000_000_000L + this.now / MILLI;
+		return 1_800_000_000_000L + this.nowNanos / MILLI;
 	}
 
 	/**
-	 * Returns how many tasks have run.
+	 * Returns the number of tasks that have run.
 	 */
 	long events() {
-		return this.number - this.tasks.size();
+		return this.nextSequence - this.tasks.size();
 	}
 
 	UniformRandomProvider random() {
 		return this.random;
 	}
 
-	boolean chance(double share) {
-		return this.random.nextDouble() < share;
+	boolean chance(double probability) {
+		return this.random.nextDouble() < probability;
 	}
 
-	long between(long least, long most) {
-		return least + this.random.nextLong(most - least);
+	long randomBetween(long min, long max) {
+		return min + this.random.nextLong(max - min);
 	}
 
 	void after(long delayNanos, Runnable task) {
-		this.tasks.add(new Task(this.now + Math.max(0, delayNanos), this.number++, task));
+		this.tasks.add(new Task(this.nowNanos + Math.max(0, delayNanos), this.nextSequence++, task));
 	}
 
 	/**
-	 * Runs a task after a call's way over the network.
+	 * Schedules a task after a random network delay.
 	 */
-	void soon(Runnable task) {
-		after(between(MILLI / 3, 2 * MILLI), task);
+	void afterNetworkDelay(Runnable task) {
+		after(randomBetween(MILLI / 3, 2 * MILLI), task);
 	}
 
 	void run(long nanos) {
-		long end = this.now + nanos;
-		while (!this.tasks.isEmpty() && this.tasks.peek().at <= end) {
+		long end = this.nowNanos + nanos;
+		while (!this.tasks.isEmpty() && this.tasks.peek().atNanos <= end) {
 			Task next = this.tasks.poll();
-			this.now = next.at;
+			this.nowNanos = next.atNanos;
 			next.action.run();
 		}
-		this.now = end;
+		this.nowNanos = end;
 	}
 
-	private record Task(long at, long number, Runnable action) {
+	private record Task(long atNanos, long sequence, Runnable action) {
 	}
 
 }
--- a/standin/src/main/java/org/wisteriapost/standin/soak/package-info.java
+++ b/standin/src/main/java/org/wisteriapost/standin/soak/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Long seeded random runs: the real state of entries and agents in virtual time, with
- * fakes at the interfaces and faults of every kind. One seed is one run.
+ * Long randomized tests with fault injection: the production state machines of entries
+ * and agents in virtual time, with fakes at the interfaces. A seed determines its run.
  */
 package org.wisteriapost.standin.soak;
--- a/standin/src/test/java/org/wisteriapost/standin/soak/SoakTests.java
+++ b/standin/src/test/java/org/wisteriapost/standin/soak/SoakTests.java
@@ -10,18 +10,16 @@
 import static org.hamcrest.Matchers.is;
 
 /**
- * Random runs of the whole with fixed seeds; a seed that has shown a fault stays.
+ * Randomized runs of a fleet with fixed seeds. Seeds that have exposed a fault are kept.
  */
 class SoakTests {
 
-	// Callers, operators and faults of every kind at once, two at a time now and then.
-	// Seeds
-	// 1, 3, 7 and 21 have shown: a place left without a switching slot by a VM that died,
-	// a late
-	// no to a bundle taken for a failure, and a failed fetch that was not tried again.
+	// These seeds have exposed a switching slot that a dead VM kept from its failure
+	// domain, a late rejection of a bundle taken for a failure, and a failed fetch that
+	// was not retried.
 	@ParameterizedTest
 	@ValueSource(longs = { 1, 3, 7, 21 })
-	void everyPromiseHoldsUnderRandomFaults(long seed) {
+	void invariantsHoldUnderRandomFaults(long seed) {
 		assertThat(Soak.run(seed, 60).get("violations"), is(Map.of()));
 	}
 
