--- a/app/src/main/java/org/wisteriapost/app/Main.java
+++ b/app/src/main/java/org/wisteriapost/app/Main.java
@@ -13,7 +13,7 @@
 import org.wisteriapost.kernel.command.ExitCodes;
 
 /**
- * The one binary: finds the command that its arguments name.
+ * Entry point of the binary: dispatches to the {@link Command} that its arguments name.
  */
 public final class Main {
 
@@ -23,7 +23,7 @@
 	}
 
 	/**
-	 * Runs one command and exits with its code.
+	 * Runs a command and exits with its exit code.
 	 */
 	public static void main(String[] args) {
 		System.exit(run(List.of(args), System.out, System.err));
@@ -34,16 +34,16 @@
 		ServiceLoader.load(Command.class).forEach(commands::add);
 		commands.sort(Comparator.comparing(Command::name));
 		if (args.isEmpty() || args.getFirst().equals("--help") || args.getFirst().equals("help")) {
-			help(commands, out);
+			printHelp(commands, out);
 			return args.isEmpty() ? ExitCodes.BAD_INPUT : ExitCodes.OK;
 		}
 		if (args.getFirst().equals("--version")) {
 			out.println("wisteriapost " + VERSION);
 			return ExitCodes.OK;
 		}
-		Optional<Command> command = commands.stream().filter((one) -> names(one, args)).findFirst();
+		Optional<Command> command = commands.stream().filter((candidate) -> matches(candidate, args)).findFirst();
 		if (command.isEmpty()) {
-			err.println("no such command: " + String.join(" ", args) + "; wisteriapost --help lists them");
+			err.println("no such command: " + String.join(" ", args) + "; wisteriapost --help lists the commands");
 			return ExitCodes.BAD_INPUT;
 		}
 		return run(command.get(), args, out, err);
@@ -59,19 +59,19 @@
 		}
 	}
 
-	private static boolean names(Command command, List<String> args) {
-		List<String> words = List.of(command.name().split(" "));
-		return args.size() >= words.size() && args.subList(0, words.size()).equals(words);
+	private static boolean matches(Command command, List<String> args) {
+		List<String> name = List.of(command.name().split(" "));
+		return args.size() >= name.size() && args.subList(0, name.size()).equals(name);
 	}
 
-	private static void help(List<Command> commands, PrintStream out) {
-		out.println("wisteriapost: brings one signed bundle of model weights to every VM");
+	private static void printHelp(List<Command> commands, PrintStream out) {
+		out.println("wisteriapost: distributes a signed bundle of model weights to every VM");
 		out.println();
 		commands.forEach((command) -> out.printf("  %-18s %s%n", command.name(), command.summary()));
 		out.println();
 		out.println("wisteriapost COMMAND --help shows a command's options.");
 		out.println(
-				"Exit codes: 0 done, 1 failed, 2 bad input and nothing started, 3 an outside system is unavailable.");
+				"Exit codes: 0 success, 1 failure, 2 invalid input (nothing was started), 3 outside system unavailable.");
 	}
 
 }
--- a/app/src/main/java/org/wisteriapost/app/package-info.java
+++ b/app/src/main/java/org/wisteriapost/app/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Placeholder.
+ * The command-line entry point of the binary.
  */
 package org.wisteriapost.app;
--- a/app/src/test/java/org/wisteriapost/app/ArchitectureTests.java
+++ b/app/src/test/java/org/wisteriapost/app/ArchitectureTests.java
@@ -27,7 +27,7 @@
 		.importPackages("org.wisteriapost");
 
 	@Test
-	void modulesDependOneWay() {
+	void modulesFollowTheLayering() {
 		Architectures.layeredArchitecture()
 			.consideringOnlyDependenciesInLayers()
 			.layer("kernel")
@@ -63,9 +63,10 @@
 			.check(this.classes);
 	}
 
-	// A decision that reads a clock or a socket cannot be replayed from its seed.
+	// A policy that reads a clock or a socket cannot be replayed deterministically from
+	// a seed.
 	@Test
-	void decisionsHaveNoInputOutputThreadsOrClock() {
+	void policyUsesNoIoThreadsOrClock() {
 		ArchRuleDefinition.noClasses()
 			.that()
 			.resideInAPackage(ROOT + "policy..")
@@ -86,9 +87,10 @@
 			.check(this.classes);
 	}
 
-	// What speaks of the platform stays in its folder: another site is another adapter.
+	// The platform module is an adapter for one kind of site and must be replaceable by
+	// another adapter without changes to other modules.
 	@Test
-	void nobodyKnowsTheAdapterOfASite() {
+	void noModuleDependsOnThePlatformAdapter() {
 		ArchRuleDefinition.noClasses()
 			.that()
 			.resideOutsideOfPackage(ROOT + "platform..")
@@ -102,7 +104,7 @@
 	@ValueSource(strings = { "X-Wisteriapost-Attempt", "X-Wisteriapost-Deadline", "/v1/objects", "/v1/resolution",
 			"/v1/readyz", "/v1/report", "/v1/order", "stage-put", "sampleCount", "routeType", "apiKeys",
 			"coldRemainingMs", "WISTERIAPOST_SETTINGS" })
-	void thePlatformsNamesStandInItsFolderAlone(String name) throws IOException {
+	void platformNamesAppearOnlyInThePlatformModule(String name) throws IOException {
 		Path root = Path.of(System.getProperty("wisteriapost.root"));
 		try (Stream<Path> files = Files.walk(root)) {
 			List<Path> found = files.filter((file) -> file.toString().matches(".*/src/main/.*[.](java|proto)"))
@@ -123,7 +125,7 @@
 	}
 
 	@Test
-	void nothingStartsAProcess() {
+	void noClassStartsAProcess() {
 		ArchRuleDefinition.noClasses()
 			.should()
 			.dependOnClassesThat()
@@ -134,7 +136,7 @@
 	}
 
 	@Test
-	void httpIsSpokenByUndertowAlone() {
+	void noClassUsesTheJdkHttpClient() {
 		ArchRuleDefinition.noClasses()
 			.that()
 			.resideInAPackage("org.wisteriapost..")
--- a/app/src/test/java/org/wisteriapost/app/RunningSite.java
+++ b/app/src/test/java/org/wisteriapost/app/InProcessSite.java
@@ -16,17 +16,18 @@
 import org.wisteriapost.protocol.site.SiteProvider;
 
 /**
- * An emulated site with entries and agents in this process, and a caller.
+ * An {@link EmulatedSite} with entries and agents that run in this process, and an HTTP
+ * client for requests to them.
  */
-final class RunningSite implements AutoCloseable {
+final class InProcessSite implements AutoCloseable {
 
 	private final SiteProvider provider = SiteProvider.load();
 
-	private final PrintStream quiet = new PrintStream(OutputStream.nullOutputStream());
+	private final PrintStream discardedOutput = new PrintStream(OutputStream.nullOutputStream());
 
 	private final HttpCaller caller = HttpCaller.create(1);
 
-	private final List<AutoCloseable> parts = new ArrayList<>();
+	private final List<AutoCloseable> resources = new ArrayList<>();
 
 	private final EmulatedSite site;
 
@@ -34,20 +35,20 @@
 
 	private int attempts;
 
-	private RunningSite(EmulatedSite site, Path folder) {
+	private InProcessSite(EmulatedSite site, Path folder) {
 		this.site = site;
 		this.folder = folder;
 	}
 
 	/**
-	 * Returns a site without entries and agents.
-	 * @param folder where settings are written
+	 * Starts a site without entries and agents.
+	 * @param folder the folder for settings files
 	 */
-	static RunningSite start(Path folder) throws Exception {
-		return new RunningSite(EmulatedSite.start(), folder);
+	static InProcessSite start(Path folder) throws Exception {
+		return new InProcessSite(EmulatedSite.start(), folder);
 	}
 
-	EmulatedSite emulated() {
+	EmulatedSite emulatedSite() {
 		return this.site;
 	}
 
@@ -59,32 +60,34 @@
 		return this.caller;
 	}
 
-	Path entrySettings(int number) throws Exception {
+	Path writeEntrySettings(int number) throws Exception {
 		return this.site.entrySettings(this.folder, number);
 	}
 
-	Path agentSettings(int number) throws Exception {
+	Path writeAgentSettings(int number) throws Exception {
 		return this.site.agentSettings(this.folder, number);
 	}
 
-	DirectProcess entry(Path settings) {
-		return kept(DirectProcess.start(this.provider.settings(settings), this.provider, this.quiet));
+	DirectProcess startEntry(Path settings) {
+		return closeWithSite(
+				DirectProcess.start(this.provider.settings(settings), this.provider, this.discardedOutput));
 	}
 
-	void agent(int number) throws Exception {
-		kept(SiteAgent.start(this.provider.settings(agentSettings(number)), this.provider, this.quiet));
+	void startAgent(int number) throws Exception {
+		closeWithSite(SiteAgent.start(this.provider.settings(writeAgentSettings(number)), this.provider,
+				this.discardedOutput));
 	}
 
 	/**
-	 * Closes a part before the site.
+	 * Registers a resource to be closed before the site.
 	 */
-	<T extends AutoCloseable> T kept(T part) {
-		this.parts.add(part);
-		return part;
+	<T extends AutoCloseable> T closeWithSite(T resource) {
+		this.resources.add(resource);
+		return resource;
 	}
 
 	/**
-	 * Returns a request of an attempt of its own to an entry.
+	 * Returns a request to an entry, with a new attempt id.
 	 */
 	HttpCall request(int entry, String method, String path, String key) {
 		this.attempts++;
@@ -98,8 +101,8 @@
 
 	@Override
 	public void close() throws Exception {
-		for (AutoCloseable part : this.parts.reversed()) {
-			part.close();
+		for (AutoCloseable resource : this.resources.reversed()) {
+			resource.close();
 		}
 		this.site.close();
 		this.caller.close();
--- a/app/src/test/java/org/wisteriapost/app/MainTests.java
+++ b/app/src/test/java/org/wisteriapost/app/MainTests.java
@@ -28,7 +28,7 @@
 	@TempDir
 	private Path folder;
 
-	static Stream<Arguments> lines() {
+	static Stream<Arguments> commandLines() {
 		return Stream.of(Arguments.of(0, "bundle roll", "--help"), Arguments.of(0, "wisteriapost 0.1.0", "--version"),
 				Arguments.of(2, "no such command", "bundel"),
 				Arguments.of(2, "--settings is required", "bundle history"),
@@ -38,14 +38,14 @@
 	}
 
 	@ParameterizedTest(name = "{2}")
-	@MethodSource("lines")
-	void exitCodeAndTextTellTheResult(int exit, String text, String line) {
+	@MethodSource("commandLines")
+	void exitCodeAndOutputMatchTheCommandLine(int exit, String text, String line) {
 		assertThat(run(line.split(" ")), is(exit));
 		assertThat(this.out.toString(StandardCharsets.UTF_8) + this.err, containsString(text));
 	}
 
 	@Test
-	void outsideSystemThatDoesNotAnswerIsExitThree() throws IOException {
+	void unavailableOutsideSystemExitsWithCodeThree() throws IOException {
 		Path settings = Files.writeString(this.folder.resolve("s.ini"), """
 				[outside]
 				platform = http://127.0.0.1:1
--- a/app/src/test/java/org/wisteriapost/app/ProcessCounts.java
+++ b/app/src/test/java/org/wisteriapost/app/ProcessCounters.java
@@ -8,15 +8,15 @@
 import java.util.stream.Stream;
 
 /**
- * What a running process has used so far: run time and voluntary waits by name of thread,
- * calls that read or write.
+ * Cumulative counters of a running process from {@code /proc}: CPU time and voluntary
+ * context switches by thread name, and read and write system calls.
  */
-final class ProcessCounts {
+final class ProcessCounters {
 
-	private ProcessCounts() {
+	private ProcessCounters() {
 	}
 
-	static Map<String, Long> of(long pid) throws IOException {
+	static Map<String, Long> read(long pid) throws IOException {
 		Map<String, Long> counts = new TreeMap<>();
 		Path process = Path.of("/proc", Long.toString(pid));
 		try (Stream<Path> tasks = Files.list(process.resolve("task"))) {
@@ -41,7 +41,7 @@
 			.orElse(0);
 	}
 
-	static void print(Map<String, Long> before, Map<String, Long> after, long seconds) {
+	static void printRates(Map<String, Long> before, Map<String, Long> after, long seconds) {
 		Map<String, Long> sums = new TreeMap<>();
 		after.forEach((name, count) -> {
 			long change = count - before.getOrDefault(name, 0L);
--- a/app/src/test/java/org/wisteriapost/app/PagesTests.java
+++ b/app/src/test/java/org/wisteriapost/app/ReferencePagesTests.java
@@ -25,21 +25,21 @@
 import static org.hamcrest.Matchers.containsString;
 import static org.hamcrest.Matchers.is;
 
-class PagesTests {
+class ReferencePagesTests {
 
 	private static final Path DOCS = Path.of(System.getProperty("wisteriapost.root"), "docs");
 
 	@Test
 	void everyCodeHasAPageAndEveryPageACode() throws Exception {
 		Set<String> codes = codes().stream().map(Code::name).collect(Collectors.toCollection(TreeSet::new));
-		Set<String> pages = pages(DOCS.resolve("codes"));
-		assertThat("codes without a page", without(codes, pages), is(Set.of()));
-		assertThat("pages without a code", without(pages, codes), is(Set.of()));
+		Set<String> pages = pageNames(DOCS.resolve("codes"));
+		assertThat("codes without a page", difference(codes, pages), is(Set.of()));
+		assertThat("pages without a code", difference(pages, codes), is(Set.of()));
 	}
 
 	@Test
-	void everyCodePageHasItsThreeSections() throws Exception {
-		for (String name : pages(DOCS.resolve("codes"))) {
+	void everyCodePageHasTheRequiredSections() throws Exception {
+		for (String name : pageNames(DOCS.resolve("codes"))) {
 			String page = Files.readString(DOCS.resolve("codes").resolve(name + ".md"));
 			for (String section : List.of("## Problem", "## Why it matters", "## What to do")) {
 				assertThat(name, page, containsString(section));
@@ -47,39 +47,38 @@
 		}
 	}
 
-	// The page is written by this test's own renderer: run it with
-	// -Dwisteriapost.write=true
-	// after changing a key.
+	// After changing a setting, run this test with -Dwisteriapost.write=true, which
+	// regenerates the page.
 	@Test
-	void settingsPageIsWhatTheCodeReads() throws Exception {
+	void settingsPageMatchesTheSchemas() throws Exception {
 		Path page = DOCS.resolve("operations").resolve("settings.md");
-		String rendered = SettingsPage.render(keys());
+		String rendered = SettingsPageRenderer.render(settings());
 		if (Boolean.getBoolean("wisteriapost.write")) {
 			Files.createDirectories(page.getParent());
 			Files.writeString(page, rendered);
 		}
-		Set<String> written = lines(Files.readString(page));
-		assertThat("to be written", without(lines(rendered), written), is(Set.of()));
-		assertThat("no longer true", without(written, lines(rendered)), is(Set.of()));
+		Set<String> committed = lines(Files.readString(page));
+		assertThat("missing from the page", difference(lines(rendered), committed), is(Set.of()));
+		assertThat("not in the schemas", difference(committed, lines(rendered)), is(Set.of()));
 	}
 
 	private static Set<String> lines(String page) {
 		return new TreeSet<>(page.lines().toList());
 	}
 
-	private static Set<String> without(Set<String> all, Set<String> some) {
-		Set<String> rest = new TreeSet<>(all);
-		rest.removeAll(some);
-		return rest;
+	private static Set<String> difference(Set<String> minuend, Set<String> subtrahend) {
+		Set<String> difference = new TreeSet<>(minuend);
+		difference.removeAll(subtrahend);
+		return difference;
 	}
 
-	private static List<Setting<?>> keys() {
-		List<Setting<?>> keys = new ArrayList<>();
-		ServiceLoader.load(SettingsSchema.class).forEach((schema) -> keys.addAll(schema.keys()));
-		return keys;
+	private static List<Setting<?>> settings() {
+		List<Setting<?>> settings = new ArrayList<>();
+		ServiceLoader.load(SettingsSchema.class).forEach((schema) -> settings.addAll(schema.keys()));
+		return settings;
 	}
 
-	private static Set<String> pages(Path folder) throws IOException {
+	private static Set<String> pageNames(Path folder) throws IOException {
 		try (Stream<Path> files = Files.list(folder)) {
 			return files.map((file) -> file.getFileName().toString().replace(".md", ""))
 				.collect(Collectors.toCollection(TreeSet::new));
@@ -95,13 +94,13 @@
 				.anyMatch((field) -> field.getRawType().isEquivalentTo(Code.class)
 						&& field.getModifiers().contains(com.tngtech.archunit.core.domain.JavaModifier.STATIC));
 			if (declares) {
-				codes.addAll(declared(Class.forName(found.getName())));
+				codes.addAll(declaredCodes(Class.forName(found.getName())));
 			}
 		}
 		return codes;
 	}
 
-	private static List<Code> declared(Class<?> type) throws ReflectiveOperationException {
+	private static List<Code> declaredCodes(Class<?> type) throws ReflectiveOperationException {
 		List<Code> codes = new ArrayList<>();
 		for (Field field : type.getDeclaredFields()) {
 			if (field.getType() == Code.class && Modifier.isStatic(field.getModifiers())) {
--- a/app/src/test/java/org/wisteriapost/app/RestingAgent.java
+++ b/app/src/test/java/org/wisteriapost/app/RestingAgent.java
@@ -27,28 +27,29 @@
 import org.wisteriapost.protocol.wire.WeightsNamed;
 
 /**
- * Measures an agent process at rest: run time and voluntary waits by thread, and calls
- * that read or write. Entries and peers are links of this process, the engine is
- * emulated.
+ * Measures an idle agent process: CPU time and voluntary context switches by thread, and
+ * read and write system calls. Entries and peers are simulated by links of this process;
+ * the engine is emulated.
  */
 public final class RestingAgent {
 
 	private static final long SETTLE_SECONDS = 8;
 
-	private static final long APART_MILLIS = 37;
+	private static final long CONNECT_INTERVAL_MILLIS = 37;
 
 	private final Links peers = Links.plain(1);
 
-	private final Set<Link> ofAgent = ConcurrentHashMap.newKeySet();
+	private final Set<Link> openedByAgent = ConcurrentHashMap.newKeySet();
 
-	private final Set<Link> toAgent = ConcurrentHashMap.newKeySet();
+	private final Set<Link> acceptedByAgent = ConcurrentHashMap.newKeySet();
 
 	private RestingAgent() {
 	}
 
 	/**
-	 * Measures once and prints a line a thread.
-	 * @param args seconds, entries, peers, and the agent's command without its role
+	 * Runs one measurement and prints one line per counter.
+	 * @param args duration in seconds, entries, peers, and the agent's command line
+	 * without its role
 	 */
 	public static void main(String[] args) throws Exception {
 		long seconds = Long.parseLong(args[0]);
@@ -66,10 +67,10 @@
 			throws Exception {
 		site.engine(1);
 		Path settings = site.agentSettings(folder, 1);
-		SiteSettings read = SiteProvider.load().settings(settings);
-		Handler peer = new Handler(this.ofAgent, List.of());
+		SiteSettings agentSettings = SiteProvider.load().settings(settings);
+		HandshakeHandler peer = new HandshakeHandler(this.openedByAgent, List.of());
 		for (int i = 2; i < 2 + peers; i++) {
-			this.peers.listen(new InetSocketAddress("127.7.2." + i, read.linkPort()), peer);
+			this.peers.listen(new InetSocketAddress("127.7.2." + i, agentSettings.linkPort()), peer);
 		}
 		ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true)
 			.redirectOutput(folder.resolve("agent.log").toFile());
@@ -77,23 +78,24 @@
 		long startNanos = System.nanoTime();
 		Process agent = builder.start();
 		try {
-			InetSocketAddress at = new InetSocketAddress("127.7.2.1", read.linkPort());
+			InetSocketAddress agentAddress = new InetSocketAddress("127.7.2.1", agentSettings.linkPort());
 			for (int i = 0; i < entries; i++) {
-				connect(at, entry(site, peers));
+				connect(agentAddress, entryHandshake(site, peers));
 				if (i == 0) {
-					System.out.println("millis until the first link: "
+					System.out.println("milliseconds until the first link: "
 							+ TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos));
 				}
 			}
 			for (int i = 0; i < peers; i++) {
-				connect(at, asking());
+				connect(agentAddress, peerHandshake());
 			}
 			TimeUnit.SECONDS.sleep(SETTLE_SECONDS);
-			System.out.println("processor time until then: " + agent.info().totalCpuDuration().orElseThrow());
-			Map<String, Long> before = ProcessCounts.of(agent.pid());
+			System.out.println("CPU time after startup: " + agent.info().totalCpuDuration().orElseThrow());
+			Map<String, Long> before = ProcessCounters.read(agent.pid());
 			TimeUnit.SECONDS.sleep(seconds);
-			ProcessCounts.print(before, ProcessCounts.of(agent.pid()), seconds);
-			System.out.println("links that the agent made: " + this.ofAgent.size() + ", took: " + this.toAgent.size());
+			ProcessCounters.printRates(before, ProcessCounters.read(agent.pid()), seconds);
+			System.out.println("links opened by the agent: " + this.openedByAgent.size() + ", accepted: "
+					+ this.acceptedByAgent.size());
 		}
 		finally {
 			agent.destroy();
@@ -101,19 +103,19 @@
 		}
 	}
 
-	// The process takes a moment to start. Each other side has its own thread and time of
-	// heartbeats, as processes have.
-	private void connect(InetSocketAddress at, List<Frame> first) throws InterruptedException {
+	// Retries until the agent process listens. Each link has its own thread and its own
+	// heartbeat phase, as links of separate processes have.
+	private void connect(InetSocketAddress address, List<Frame> handshake) throws InterruptedException {
 		Links links = Links.plain(1);
-		long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(SETTLE_SECONDS);
+		long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(SETTLE_SECONDS);
 		while (true) {
 			try {
-				links.connect(at, new Handler(this.toAgent, first)).join();
-				TimeUnit.MILLISECONDS.sleep(APART_MILLIS);
+				links.connect(address, new HandshakeHandler(this.acceptedByAgent, handshake)).join();
+				TimeUnit.MILLISECONDS.sleep(CONNECT_INTERVAL_MILLIS);
 				return;
 			}
 			catch (CompletionException ex) {
-				if (System.nanoTime() > until) {
+				if (System.nanoTime() > deadlineNanos) {
 					throw ex;
 				}
 				TimeUnit.MILLISECONDS.sleep(5);
@@ -121,41 +123,41 @@
 		}
 	}
 
-	private static List<Frame> entry(EmulatedSite site, int peers) {
+	private static List<Frame> entryHandshake(EmulatedSite site, int peers) {
 		Roster.Builder roster = Roster.newBuilder();
 		for (int i = 1; i < 2 + peers; i++) {
 			roster.addMembers(RosterMember.newBuilder().setVm("127.7.2." + i).setPlace("hall-a"));
 		}
-		WeightsNamed named = WeightsNamed.newBuilder()
+		WeightsNamed target = WeightsNamed.newBuilder()
 			.setModel(EmulatedSite.MODEL)
 			.setVersion(1)
 			.setOrigin("127.7.0.2:" + site.port())
 			.build();
 		return List.of(Frame.newBuilder().setHello(Hello.newBuilder().setVm("entry").setRole(Role.ENTRY)).build(),
-				Frame.newBuilder().setRoster(roster).build(), Frame.newBuilder().setWeightsNamed(named).build());
+				Frame.newBuilder().setRoster(roster).build(), Frame.newBuilder().setWeightsNamed(target).build());
 	}
 
-	private static List<Frame> asking() {
+	private static List<Frame> peerHandshake() {
 		return List.of(Frame.newBuilder().setHello(Hello.newBuilder().setVm("peer").setRole(Role.AGENT)).build(),
 				Frame.newBuilder().setChunkMapRequest(ChunkMapRequest.newBuilder().setFile("some")).build());
 	}
 
-	private record Handler(Set<Link> open, List<Frame> first) implements LinkHandler {
+	private record HandshakeHandler(Set<Link> openLinks, List<Frame> handshake) implements LinkHandler {
 
 		@Override
 		public void onOpen(Link link) {
-			this.open.add(link);
-			this.first.forEach(link::send);
+			this.openLinks.add(link);
+			this.handshake.forEach(link::send);
 		}
 
 		@Override
 		public void onFrame(Link link, Frame frame) {
-			// What the agent says does not matter here.
+			// Frames from the agent are not part of the measurement.
 		}
 
 		@Override
 		public void onClosed(Link link) {
-			this.open.remove(link);
+			this.openLinks.remove(link);
 		}
 
 	}
--- a/app/src/test/java/org/wisteriapost/app/RestingEntry.java
+++ b/app/src/test/java/org/wisteriapost/app/RestingEntry.java
@@ -26,26 +26,26 @@
 import org.wisteriapost.protocol.site.SiteProvider;
 
 /**
- * Measures one entry process among many entries and agents: run time and voluntary waits
- * by thread, and calls that read or write, at its start and when it has settled. The
- * other entries and the agents are the real ones, all in this process; engines and the
+ * Measures one entry process in a fleet of entries and agents, during startup and in
+ * steady state: CPU time and voluntary context switches by thread, and read and write
+ * system calls. The other entries and the agents run in this process; engines and the
  * store are emulated.
  */
 public final class RestingEntry {
 
-	private static final int MEASURED = 1;
+	private static final int MEASURED_ENTRY = 1;
 
 	private static final long SETTLE_SECONDS = 15;
 
-	private static final List<Long> START_SECONDS = List.of(2L, 5L, 8L);
+	private static final List<Long> STARTUP_SAMPLE_SECONDS = List.of(2L, 5L, 8L);
 
-	private static final long APART_MILLIS = 60;
+	private static final long START_INTERVAL_MILLIS = 60;
 
-	private static final List<String> PLACES = List.of("hall-a", "hall-b", "hall-c");
+	private static final List<String> FAILURE_DOMAINS = List.of("hall-a", "hall-b", "hall-c");
 
 	private final SiteProvider provider = SiteProvider.load();
 
-	private final PrintStream quiet = new PrintStream(OutputStream.nullOutputStream());
+	private final PrintStream discardedOutput = new PrintStream(OutputStream.nullOutputStream());
 
 	private final HttpCaller caller = HttpCaller.create(2);
 
@@ -57,11 +57,11 @@
 
 	private final AtomicLong attempts = new AtomicLong();
 
-	private final AtomicInteger answered = new AtomicInteger();
+	private final AtomicInteger completed = new AtomicInteger();
 
-	private final AtomicInteger refused = new AtomicInteger();
+	private final AtomicInteger failed = new AtomicInteger();
 
-	private final AtomicLong waitedNanos = new AtomicLong();
+	private final AtomicLong latencyNanos = new AtomicLong();
 
 	private RestingEntry(EmulatedSite site, Path folder) {
 		this.site = site;
@@ -69,20 +69,20 @@
 	}
 
 	/**
-	 * Measures once and prints a line a thread.
-	 * @param args seconds, entries, agents, requests a second at each entry, events of an
-	 * answer, sets of further flags parted by semicolons, program and arguments of the
-	 * entry without its main class
+	 * Runs one measurement per set of flags and prints one line per counter.
+	 * @param args duration in seconds, entries, agents, requests per second at each
+	 * entry, events per stream, sets of additional JVM flags separated by semicolons, and
+	 * the entry's command line without its main class
 	 */
 	public static void main(String[] args) throws IOException {
 		Path folder = Files.createTempDirectory("resting-entry");
 		try (EmulatedSite site = EmulatedSite.start()) {
-			RestingEntry measuring = new RestingEntry(site, folder);
-			measuring.surroundings(Integer.parseInt(args[1]), Integer.parseInt(args[2]), Integer.parseInt(args[4]));
-			measuring.load(Integer.parseInt(args[1]), Integer.parseInt(args[3]));
+			RestingEntry measurement = new RestingEntry(site, folder);
+			measurement.startFleet(Integer.parseInt(args[1]), Integer.parseInt(args[2]), Integer.parseInt(args[4]));
+			measurement.startLoad(Integer.parseInt(args[1]), Integer.parseInt(args[3]));
 			for (String flags : args[5].split(";", -1)) {
-				System.out.println("== further flags: " + flags);
-				measuring.measure(command(args, flags), Long.parseLong(args[0]));
+				System.out.println("== additional flags: " + flags);
+				measurement.measure(command(args, flags), Long.parseLong(args[0]));
 			}
 		}
 		catch (Exception ex) {
@@ -99,25 +99,26 @@
 		return command;
 	}
 
-	private void surroundings(int entries, int agents, int events) throws Exception {
+	private void startFleet(int entries, int agents, int eventsPerStream) throws Exception {
 		this.site.plain();
 		for (int i = 1; i <= agents; i++) {
-			this.site.engine(1, place(i)).events(events);
-			SiteAgent.start(this.provider.settings(this.site.agentSettings(this.folder, i, place(i))), this.provider,
-					this.quiet);
+			this.site.engine(1, failureDomain(i)).events(eventsPerStream);
+			SiteAgent.start(this.provider.settings(this.site.agentSettings(this.folder, i, failureDomain(i))),
+					this.provider, this.discardedOutput);
 		}
-		for (int i = MEASURED + 1; i <= entries; i++) {
-			DirectProcess.start(this.provider.settings(this.site.entrySettings(this.folder, i, place(i))),
-					this.provider, this.quiet);
-			TimeUnit.MILLISECONDS.sleep(APART_MILLIS);
+		for (int i = MEASURED_ENTRY + 1; i <= entries; i++) {
+			DirectProcess.start(this.provider.settings(this.site.entrySettings(this.folder, i, failureDomain(i))),
+					this.provider, this.discardedOutput);
+			TimeUnit.MILLISECONDS.sleep(START_INTERVAL_MILLIS);
 		}
 		TimeUnit.SECONDS.sleep(SETTLE_SECONDS);
-		System.out.println("registered beside the measured one: " + this.site.store().count("wisteriapost-entries"));
+		System.out
+			.println("registered entries besides the measured one: " + this.site.store().count("wisteriapost-entries"));
 	}
 
-	private void load(int entries, int rate) {
+	private void startLoad(int entries, int rate) {
 		for (int i = 1; rate > 0 && i <= entries; i++) {
-			call(i, rate);
+			scheduleRequests(i, rate);
 		}
 	}
 
@@ -126,29 +127,30 @@
 			.redirectOutput(this.folder.resolve("entry.log").toFile());
 		builder.environment()
 			.put(this.provider.settingsVariable(),
-					this.site.entrySettings(this.folder, MEASURED, place(MEASURED)).toString());
-		long started = System.nanoTime();
+					this.site.entrySettings(this.folder, MEASURED_ENTRY, failureDomain(MEASURED_ENTRY)).toString());
+		long startNanos = System.nanoTime();
 		Process entry = builder.start();
 		try {
-			for (long at : START_SECONDS) {
-				TimeUnit.NANOSECONDS.sleep(started + TimeUnit.SECONDS.toNanos(at) - System.nanoTime());
-				System.out
-					.println("used " + at + " s after its start: " + entry.info().totalCpuDuration().orElseThrow());
-				ProcessCounts.print(Map.of(), ProcessCounts.of(entry.pid()), 1);
+			for (long sampleSeconds : STARTUP_SAMPLE_SECONDS) {
+				TimeUnit.NANOSECONDS.sleep(startNanos + TimeUnit.SECONDS.toNanos(sampleSeconds) - System.nanoTime());
+				System.out.println("CPU time " + sampleSeconds + " s after start: "
+						+ entry.info().totalCpuDuration().orElseThrow());
+				ProcessCounters.printRates(Map.of(), ProcessCounters.read(entry.pid()), 1);
 			}
 			TimeUnit.SECONDS.sleep(SETTLE_SECONDS);
-			System.out.println("used until it is taken for settled: " + entry.info().totalCpuDuration().orElseThrow());
-			int answeredBefore = this.answered.get();
-			int refusedBefore = this.refused.get();
-			long waitedBefore = this.waitedNanos.get();
-			Map<String, Long> before = ProcessCounts.of(entry.pid());
+			System.out.println(
+					"CPU time before the steady-state measurement: " + entry.info().totalCpuDuration().orElseThrow());
+			int completedBefore = this.completed.get();
+			int failedBefore = this.failed.get();
+			long latencyBefore = this.latencyNanos.get();
+			Map<String, Long> before = ProcessCounters.read(entry.pid());
 			TimeUnit.SECONDS.sleep(seconds);
-			ProcessCounts.print(before, ProcessCounts.of(entry.pid()), seconds);
-			int done = this.answered.get() - answeredBefore;
-			System.out.printf("requests at the measured entry: %d whole, %d not, %.1f ms each%n", done,
-					this.refused.get() - refusedBefore,
-					(this.waitedNanos.get() - waitedBefore) / 1e6 / Math.max(1, done));
-			System.out.println("its log: " + this.folder.resolve("entry.log"));
+			ProcessCounters.printRates(before, ProcessCounters.read(entry.pid()), seconds);
+			int completedRequests = this.completed.get() - completedBefore;
+			System.out.printf("requests at the measured entry: %d completed, %d failed, mean latency %.1f ms%n",
+					completedRequests, this.failed.get() - failedBefore,
+					(this.latencyNanos.get() - latencyBefore) / 1e6 / Math.max(1, completedRequests));
+			System.out.println("log of the measured entry: " + this.folder.resolve("entry.log"));
 		}
 		finally {
 			entry.destroy();
@@ -156,29 +158,29 @@
 		}
 	}
 
-	private static String place(int number) {
-		return PLACES.get(number % PLACES.size());
+	private static String failureDomain(int number) {
+		return FAILURE_DOMAINS.get(number % FAILURE_DOMAINS.size());
 	}
 
-	// Two of three requests are streams.
-	private void call(int entry, int rate) {
-		long everyMicros = TimeUnit.SECONDS.toMicros(1) / rate;
+	// Schedules requests at a fixed rate; two of three are streams.
+	private void scheduleRequests(int entry, int rate) {
+		long intervalMicros = TimeUnit.SECONDS.toMicros(1) / rate;
 		this.timer.scheduleAtFixedRate(() -> {
 			long number = this.attempts.incrementAndGet();
 			long sent = System.nanoTime();
 			this.caller.call(request(entry, number)).whenComplete((reply, failure) -> {
-				if (entry != MEASURED) {
+				if (entry != MEASURED_ENTRY) {
 					return;
 				}
 				if (failure == null && reply.status() == 200) {
-					this.answered.incrementAndGet();
-					this.waitedNanos.addAndGet(System.nanoTime() - sent);
+					this.completed.incrementAndGet();
+					this.latencyNanos.addAndGet(System.nanoTime() - sent);
 				}
 				else {
-					this.refused.incrementAndGet();
+					this.failed.incrementAndGet();
 				}
 			});
-		}, everyMicros * entry % 97, everyMicros, TimeUnit.MICROSECONDS);
+		}, intervalMicros * entry % 97, intervalMicros, TimeUnit.MICROSECONDS);
 	}
 
 	private HttpCall request(int entry, long number) {
--- a/app/src/test/java/org/wisteriapost/app/SiteTests.java
+++ b/app/src/test/java/org/wisteriapost/app/SiteTests.java
@@ -36,13 +36,13 @@
 import static org.hamcrest.MatcherAssert.assertThat;
 
 /**
- * Entries and agents as they run on a site, against an emulated one.
+ * End-to-end tests of entries and agents on an {@link EmulatedSite}.
  */
 class SiteTests {
 
-	private static final long MOST_SECONDS = 30;
+	private static final long TIMEOUT_SECONDS = 30;
 
-	private RunningSite running;
+	private InProcessSite localSite;
 
 	private EmulatedSite site;
 
@@ -51,34 +51,34 @@
 
 	@BeforeEach
 	void start() throws Exception {
-		this.running = RunningSite.start(this.folder);
-		this.site = this.running.emulated();
+		this.localSite = InProcessSite.start(this.folder);
+		this.site = this.localSite.emulatedSite();
 	}
 
 	@AfterEach
 	void stop() throws Exception {
-		this.running.close();
+		this.localSite.close();
 	}
 
-	private DirectProcess entry(int number) throws Exception {
-		return this.running.entry(this.running.entrySettings(number));
+	private DirectProcess startEntry(int number) throws Exception {
+		return this.localSite.startEntry(this.localSite.writeEntrySettings(number));
 	}
 
-	// As the settings of an entry whose way to the store is cut: nothing listens there.
-	private Path withoutStore(int number) throws Exception {
-		Path settings = this.running.entrySettings(number);
+	// Nothing listens at the store address in these settings.
+	private Path writeSettingsWithUnreachableStore(int number) throws Exception {
+		Path settings = this.localSite.writeEntrySettings(number);
 		String text = Files.readString(settings).replaceAll("\"address\":\"[^\"]*\"", "\"address\":\"127.7.9.9:1\"");
 		return Files.writeString(settings, text);
 	}
 
-	private void agent(int number) throws Exception {
-		this.running.agent(number);
+	private void startAgent(int number) throws Exception {
+		this.localSite.startAgent(number);
 	}
 
-	private static void await(String what, BooleanSupplier condition) throws InterruptedException {
-		long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(MOST_SECONDS);
+	private static void await(String description, BooleanSupplier condition) throws InterruptedException {
+		long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
 		while (!condition.getAsBoolean()) {
-			assertThat("in time: " + what, System.nanoTime() < until);
+			assertThat("timed out waiting until " + description, System.nanoTime() < deadlineNanos);
 			TimeUnit.MILLISECONDS.sleep(20);
 		}
 	}
@@ -88,29 +88,29 @@
 	}
 
 	private HttpReply call(int entry, String method, String path, String key, byte[] body) {
-		HttpCall call = this.running.request(entry, method, path, key)
+		HttpCall call = this.localSite.request(entry, method, path, key)
 			.header("X-Wisteriapost-Token-Counts", "100,60")
 			.header("X-Wisteriapost-Tenant-Id", "forged")
 			.body(body);
-		return this.running.caller().call(call).join();
+		return this.localSite.caller().call(call).join();
 	}
 
-	private HttpReply stream() {
+	private HttpReply callStream() {
 		return call("POST", "/draft/x?a=1", EmulatedSite.KEY, "prompt".getBytes(StandardCharsets.UTF_8));
 	}
 
 	private void awaitServing() throws InterruptedException {
-		await("serving", () -> call("GET", "/lookup/x", EmulatedSite.KEY, new byte[0]).status() == 200
-				&& stream().status() == 200);
+		await("requests are served", () -> call("GET", "/lookup/x", EmulatedSite.KEY, new byte[0]).status() == 200
+				&& callStream().status() == 200);
 	}
 
-	private static List<String> ids(HttpReply reply) {
+	private static List<String> eventIds(HttpReply reply) {
 		return new String(reply.body(), StandardCharsets.UTF_8).lines()
 			.filter((line) -> line.startsWith("id: "))
 			.toList();
 	}
 
-	private static List<String> allIds() {
+	private static List<String> allEventIds() {
 		List<String> ids = new ArrayList<>();
 		for (int event = 1; event <= EmulatedRunner.EVENTS; event++) {
 			ids.add("id: " + event);
@@ -119,14 +119,14 @@
 	}
 
 	@Test
-	void aRequestReachesItsRunnerUnchangedAndItsAnswerTheCaller() throws Exception {
+	void aRequestIsForwardedUnchangedAndItsResponseReturned() throws Exception {
 		EmulatedRunner engine = this.site.engine(1);
 		this.site.plain();
-		entry(1);
+		startEntry(1);
 		awaitServing();
-		HttpReply reply = stream();
+		HttpReply reply = callStream();
 		assertThat(reply.status(), Matchers.equalTo(200));
-		assertThat(ids(reply), Matchers.equalTo(allIds()));
+		assertThat(eventIds(reply), Matchers.equalTo(allEventIds()));
 		assertThat(reply.header("X-Wisteriapost-Response-Signature").orElseThrow(),
 				Matchers.equalTo("proof-" + engine.id()));
 		EmulatedRunner.Seen seen = engine.seen().getLast();
@@ -138,102 +138,104 @@
 
 	@ParameterizedTest
 	@CsvSource({ "/draft/x,key-none,401", "/unknown/x,key-one,404", "/lookup/x,key-one,200" })
-	void whatIsNotDeclaredIsRejected(String path, String key, int status) throws Exception {
+	void onlyDeclaredRoutesAndKeysAreServed(String path, String key, int status) throws Exception {
 		this.site.engine(1);
 		this.site.plain();
-		entry(1);
+		startEntry(1);
 		awaitServing();
 		assertThat(call("GET", path, key, new byte[0]).status(), Matchers.equalTo(status));
 	}
 
-	// An engine resets its stream after seven events and the beginning of an eighth. The
-	// caller reads all events once and in order, since the stream goes on at the other
-	// engine after the last whole one.
+	// The first engine resets the stream within its eighth event. The caller must receive
+	// every event once and in order: the stream resumes at the other engine after its
+	// last complete event.
 	@Test
-	void aStreamThatBreaksGoesOnElsewhereAfterItsLastWholeEvent() throws Exception {
+	void aBrokenStreamResumesAtAnotherEngineAfterItsLastCompleteEvent() throws Exception {
 		EmulatedRunner first = this.site.engine(1);
 		EmulatedRunner second = this.site.engine(1);
 		this.site.plain();
-		entry(1);
+		startEntry(1);
 		awaitServing();
 		first.breakAfter(7);
 		second.breakAfter(7);
-		HttpReply reply = stream();
+		HttpReply reply = callStream();
 		assertThat(reply.status(), Matchers.equalTo(200));
-		assertThat(ids(reply), Matchers.equalTo(allIds()));
+		assertThat(eventIds(reply), Matchers.equalTo(allEventIds()));
 		List<EmulatedRunner.Seen> seen = new ArrayList<>(first.seen());
 		seen.addAll(second.seen());
-		assertThat(seen.stream().filter((one) -> "7".equals(one.lastEvent())).count(), Matchers.equalTo(1L));
+		assertThat(seen.stream().filter((request) -> "7".equals(request.lastEvent())).count(), Matchers.equalTo(1L));
 	}
 
-	// New weights are named. The agent brings them to its engine: every piece that the
-	// engine takes is the named version's.
+	// After a new target version is set, every chunk that an engine loads must be of that
+	// version.
 	@Test
-	void namedWeightsReachEveryEngineWhole() throws Exception {
+	void everyEngineLoadsTheTargetWeights() throws Exception {
 		EmulatedRunner first = this.site.engine(1);
 		EmulatedRunner second = this.site.engine(1);
 		this.site.plain();
-		agent(1);
-		agent(2);
-		entry(1);
+		startAgent(1);
+		startAgent(2);
+		startEntry(1);
 		awaitServing();
 		this.site.name(2);
-		await("version 2 everywhere", () -> first.version() == 2 && second.version() == 2);
+		await("all engines serve version 2", () -> first.version() == 2 && second.version() == 2);
 		for (EmulatedRunner engine : List.of(first, second)) {
-			for (int piece = 0; piece < EmulatedSite.pieces(); piece++) {
-				assertThat(engine.taken().get(piece), Matchers.equalTo(EmulatedSite.piece(2, piece)));
+			for (int chunk = 0; chunk < EmulatedSite.pieces(); chunk++) {
+				assertThat(engine.taken().get(chunk), Matchers.equalTo(EmulatedSite.piece(2, chunk)));
 			}
 		}
-		await("requests on version 2",
-				() -> stream().header("X-Wisteriapost-Weight-Versions").map("2"::equals).orElse(false));
+		await("requests are served with version 2",
+				() -> callStream().header("X-Wisteriapost-Weight-Versions").map("2"::equals).orElse(false));
 	}
 
-	// An engine is added without weights; it gets the first version from its peer.
+	// An engine that is added without weights must load them and receive requests.
 	@Test
-	void anAddedEngineIsBroughtUp() throws Exception {
+	void anAddedEngineLoadsWeightsFromItsPeer() throws Exception {
 		EmulatedRunner first = this.site.engine(1);
 		this.site.plain();
-		agent(1);
-		entry(1);
+		startAgent(1);
+		startEntry(1);
 		awaitServing();
 		EmulatedRunner added = this.site.engine(0);
-		agent(2);
-		await("the added engine holds weights", () -> added.version() == 1);
+		startAgent(2);
+		await("the added engine has loaded the weights", () -> added.version() == 1);
 		first.breakAfter(0);
-		await("it gets requests", () -> stream().status() == 200 && !added.seen().isEmpty());
+		await("the added engine receives requests", () -> callStream().status() == 200 && !added.seen().isEmpty());
 	}
 
-	// The store goes away and forgets its history meanwhile. Requests go on as before;
-	// once it is back, a route that was dropped is gone.
+	// The store is unavailable and discards its change history. Requests must be served
+	// meanwhile, and a route that was removed during the outage must be rejected once the
+	// store is back.
 	@Test
-	void anOutageOfTheStoreStopsNoRequestAndItsEndBringsTheChanges() throws Exception {
+	void aStoreOutageFailsNoRequestAndChangesApplyAfterIt() throws Exception {
 		this.site.engine(1);
 		this.site.plain();
-		entry(1);
+		startEntry(1);
 		awaitServing();
 		this.site.store().down(true);
-		assertThat(stream().status(), Matchers.equalTo(200));
+		assertThat(callStream().status(), Matchers.equalTo(200));
 		this.site.configure(false);
 		this.site.store().forget();
 		assertThat(call("GET", "/lookup/x", EmulatedSite.KEY, new byte[0]).status(), Matchers.equalTo(200));
 		this.site.store().down(false);
-		await("the dropped route is gone",
+		await("the removed route is rejected",
 				() -> call("GET", "/lookup/x", EmulatedSite.KEY, new byte[0]).status() == 404);
 	}
 
-	// The store turns one entry away from its start on and answers the other. Callers of
-	// both are served; a route that is dropped and a runner that leaves are so at both,
-	// since the one passes on to the other what it reads.
+	// The second entry cannot reach the store from its start on and follows the first,
+	// which reads the store. It must serve callers and apply the removal of a runner and
+	// of a route.
 	@Test
-	void anEntryThatTheStoreTurnsAwayFollowsItThroughAnother() throws Exception {
+	void anEntryThatCannotReachTheStoreFollowsAnotherEntry() throws Exception {
 		this.site.engine(1);
 		EmulatedRunner leaving = this.site.plain();
 		EmulatedRunner staying = this.site.plain();
-		entry(1);
+		startEntry(1);
 		awaitServing();
 		this.site.registerEntry(2);
-		this.running.entry(withoutStore(2));
-		await("served there", () -> call(2, "GET", "/lookup/x", EmulatedSite.KEY, new byte[0]).status() == 200);
+		this.localSite.startEntry(writeSettingsWithUnreachableStore(2));
+		await("the second entry serves requests",
+				() -> call(2, "GET", "/lookup/x", EmulatedSite.KEY, new byte[0]).status() == 200);
 		this.site.store().remove("servers", leaving.id());
 		TimeUnit.MILLISECONDS.sleep(3000);
 		int before = leaving.seen().size();
@@ -243,16 +245,16 @@
 		assertThat(leaving.seen().size(), Matchers.equalTo(before));
 		assertThat(staying.seen(), Matchers.not(Matchers.empty()));
 		this.site.configure(false);
-		await("the dropped route is gone",
+		await("the removed route is rejected",
 				() -> call(2, "GET", "/lookup/x", EmulatedSite.KEY, new byte[0]).status() == 404);
 	}
 
 	@Test
-	void aDrainedRunnerGetsNothingNew() throws Exception {
+	void aDrainedRunnerReceivesNoNewRequests() throws Exception {
 		this.site.engine(1);
 		EmulatedRunner leaving = this.site.plain();
 		EmulatedRunner staying = this.site.plain();
-		entry(1);
+		startEntry(1);
 		awaitServing();
 		this.site.store().remove("servers", leaving.id());
 		TimeUnit.MILLISECONDS.sleep(300);
@@ -264,99 +266,101 @@
 		assertThat(staying.seen().size(), Matchers.greaterThanOrEqualTo(10));
 	}
 
-	// Two entries name each other to callers. One is told to leave: it is named no more
-	// at once, still answers who comes, and ends in time.
+	// A leaving entry must no longer be advertised by its peer, must still serve callers
+	// that have its address, and must end before the timeout.
 	@Test
-	void aLeavingEntryIsNamedNoMoreAndStillAnswers() throws Exception {
+	void aLeavingEntryIsNoLongerAdvertisedAndStillServes() throws Exception {
 		this.site.engine(1);
 		this.site.plain();
-		DirectProcess first = entry(1);
-		entry(2);
+		DirectProcess first = startEntry(1);
+		startEntry(2);
 		awaitServing();
-		await("both are named", () -> directory(2).contains("127.7.1.1") && directory(2).contains("127.7.1.2"));
+		await("both entries are advertised",
+				() -> resolveEntries(2).contains("127.7.1.1") && resolveEntries(2).contains("127.7.1.2"));
 		first.leave();
-		await("the leaving one is named no more", () -> !directory(2).contains("127.7.1.1"));
-		assertThat(stream().status(), Matchers.equalTo(200));
-		first.leave().get(MOST_SECONDS, TimeUnit.SECONDS);
+		await("the leaving entry is no longer advertised", () -> !resolveEntries(2).contains("127.7.1.1"));
+		assertThat(callStream().status(), Matchers.equalTo(200));
+		first.leave().get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
 	}
 
-	// An entry links to one that leaves at that very moment, and its greeting is read
-	// after the notice was given to all that are known. It must have the notice too, or
-	// it names the leaving one to callers until the link breaks.
+	// Guards against a race: the hello of a new peer is read after the leaving frame was
+	// sent to all known peers. A new peer that receives no leaving frame advertises the
+	// leaving entry until the link breaks.
 	@Test
-	void whoGreetsALeavingEntryIsToldThatItLeaves() throws Exception {
+	void aPeerThatConnectsToALeavingEntryIsNotified() throws Exception {
 		this.site.engine(1);
 		this.site.plain();
-		DirectProcess leaving = entry(1);
+		DirectProcess leaving = startEntry(1);
 		awaitServing();
-		SiteSettings settings = this.running.provider().settings(this.running.entrySettings(1));
-		CompletableFuture<Link> open = new CompletableFuture<>();
-		CompletableFuture<Frame> told = new CompletableFuture<>();
+		SiteSettings settings = this.localSite.provider().settings(this.localSite.writeEntrySettings(1));
+		CompletableFuture<Link> opened = new CompletableFuture<>();
+		CompletableFuture<Frame> received = new CompletableFuture<>();
 		try (Links links = Links.plain(1)) {
 			links
 				.connect(new InetSocketAddress(settings.host(), settings.linkPort()),
-						new Greeter(open, Frame.BodyCase.LEAVING, told))
+						new FrameRecorder(opened, Frame.BodyCase.LEAVING, received))
 				.join();
 			leaving.leave();
-			await("it leaves", () -> directory(1).isEmpty());
+			await("the entry advertises no entries", () -> resolveEntries(1).isEmpty());
 			Hello hello = Hello.newBuilder().setVm("late-entry").setRole(Role.ENTRY).build();
-			open.join().send(Frame.newBuilder().setHello(hello).build());
-			assertThat(told.get(MOST_SECONDS, TimeUnit.SECONDS).getBodyCase(),
+			opened.join().send(Frame.newBuilder().setHello(hello).build());
+			assertThat(received.get(TIMEOUT_SECONDS, TimeUnit.SECONDS).getBodyCase(),
 					Matchers.equalTo(Frame.BodyCase.LEAVING));
 		}
 	}
 
-	// An entry sees by it for how long the link to an engine's VM holds things. One that
-	// gets no stamp back in time sends nothing there.
+	// Entries measure the delay of the link to an engine's VM by echoes, and send no
+	// requests to an engine whose echo is overdue.
 	@Test
-	void anAgentSendsAStampBack() throws Exception {
+	void anAgentAnswersAnEchoRequest() throws Exception {
 		this.site.engine(1);
-		agent(1);
-		SiteSettings settings = this.running.provider().settings(this.running.agentSettings(1));
-		CompletableFuture<Link> open = new CompletableFuture<>();
-		CompletableFuture<Frame> told = new CompletableFuture<>();
+		startAgent(1);
+		SiteSettings settings = this.localSite.provider().settings(this.localSite.writeAgentSettings(1));
+		CompletableFuture<Link> opened = new CompletableFuture<>();
+		CompletableFuture<Frame> received = new CompletableFuture<>();
 		try (Links links = Links.plain(1)) {
 			links
 				.connect(new InetSocketAddress(settings.host(), settings.linkPort()),
-						new Greeter(open, Frame.BodyCase.ECHO, told))
+						new FrameRecorder(opened, Frame.BodyCase.ECHO, received))
 				.join();
-			open.join().send(Frame.newBuilder().setEchoRequest(EchoRequest.newBuilder().setStamp(42)).build());
-			assertThat(told.get(MOST_SECONDS, TimeUnit.SECONDS).getEcho().getStamp(), Matchers.equalTo(42L));
+			opened.join().send(Frame.newBuilder().setEchoRequest(EchoRequest.newBuilder().setStamp(42)).build());
+			assertThat(received.get(TIMEOUT_SECONDS, TimeUnit.SECONDS).getEcho().getStamp(), Matchers.equalTo(42L));
 		}
 	}
 
-	private String directory(int entry) {
+	private String resolveEntries(int entry) {
 		URI target = URI.create("http://127.7.1." + entry + ":" + (this.site.port() + 2)
 				+ "/v1/resolution?name=desk.example&region=here&zone=hall-a");
-		return new String(this.running.caller().call(HttpCall.of("GET", target, Duration.ofSeconds(2))).join().body(),
+		return new String(this.localSite.caller().call(HttpCall.of("GET", target, Duration.ofSeconds(2))).join().body(),
 				StandardCharsets.UTF_8);
 	}
 
 	/**
-	 * Says nothing by itself and waits for a notice.
+	 * Sends nothing and records the first frame of one type.
 	 *
-	 * @param open when the link is up
-	 * @param notice what it waits for
-	 * @param told the notice
+	 * @param opened completes with the link when it is open
+	 * @param expectedFrame the type of the frame to record
+	 * @param received completes with the frame, or fails when the link closes without it
 	 */
-	private record Greeter(CompletableFuture<Link> open, Frame.BodyCase notice,
-			CompletableFuture<Frame> told) implements LinkHandler {
+	private record FrameRecorder(CompletableFuture<Link> opened, Frame.BodyCase expectedFrame,
+			CompletableFuture<Frame> received) implements LinkHandler {
 
 		@Override
 		public void onOpen(Link link) {
-			this.open.complete(link);
+			this.opened.complete(link);
 		}
 
 		@Override
 		public void onFrame(Link link, Frame frame) {
-			if (frame.getBodyCase() == this.notice) {
-				this.told.complete(frame);
+			if (frame.getBodyCase() == this.expectedFrame) {
+				this.received.complete(frame);
 			}
 		}
 
 		@Override
 		public void onClosed(Link link) {
-			this.told.completeExceptionally(new IllegalStateException("closed without a notice"));
+			this.received
+				.completeExceptionally(new IllegalStateException("link closed before the expected frame was received"));
 		}
 
 	}
--- a/app/src/test/java/org/wisteriapost/app/TrainingFleet.java
+++ b/app/src/test/java/org/wisteriapost/app/TrainingFleet.java
@@ -11,32 +11,33 @@
 import org.wisteriapost.protocol.site.SiteProvider;
 
 /**
- * A site with so many entries that places keep to themselves, on which the start of one
- * more entry and of one agent is recorded: all that an entry loads when it hears the
- * store from others and tells them of its load is recorded too.
+ * Fleet of entries on an emulated site, beside which {@code deploy/build.sh} records the
+ * class archives of one entry and one agent. It has enough entries to be scoped by
+ * failure domain, so that the archive also holds the classes that an entry loads when it
+ * follows a leader and reports its in-flight load to peers.
  */
 public final class TrainingFleet {
 
-	// With the recorded one more than EntryLinks links flat.
-	private static final int ENTRIES = 18;
+	// Together with the recorded entry, more than EntryLinks links in a full mesh.
+	private static final int FLEET_ENTRIES = 18;
 
-	private static final String[] PLACES = { EmulatedSite.PLACE, "hall-b" };
+	private static final String[] FAILURE_DOMAINS = { EmulatedSite.PLACE, "hall-b" };
 
 	private TrainingFleet() {
 	}
 
 	/**
-	 * Runs the site.
-	 * @param args the folder, and for how many seconds to call
+	 * Runs the fleet.
+	 * @param args the folder for settings, and the duration of the calls in seconds
 	 */
 	public static void main(String[] args) throws Exception {
-		Path others = Files.createDirectories(Path.of(args[0], "others"));
+		Path folder = Files.createDirectories(Path.of(args[0], "others"));
 		SiteProvider provider = SiteProvider.load();
-		PrintStream quiet = new PrintStream(OutputStream.nullOutputStream());
+		PrintStream discardedOutput = new PrintStream(OutputStream.nullOutputStream());
 		try (EmulatedSite site = EmulatedSite.start()) {
-			for (int i = 2; i < 2 + ENTRIES; i++) {
-				Path settings = site.entrySettings(others, i, PLACES[i % PLACES.length]);
-				DirectProcess.start(provider.settings(settings), provider, quiet);
+			for (int i = 2; i < 2 + FLEET_ENTRIES; i++) {
+				Path settings = site.entrySettings(folder, i, FAILURE_DOMAINS[i % FAILURE_DOMAINS.length]);
+				DirectProcess.start(provider.settings(settings), provider, discardedOutput);
 			}
 			TrainingSite.run(site, Path.of(args[0]), Long.parseLong(args[1]));
 		}
