--- a/deploy/build.sh
+++ b/deploy/build.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# Builds what the site runs, all under target/: the jar, a Java runtime with only the modules that it needs, and for
-# each role an archive of the classes that it loads, made by running it for some seconds on an emulated site with
-# many entries.
-# An ahead-of-time cache would start faster still, but can't be used where a site sets -Xshare for all of Java.
+# Builds the deployment artifacts under target/: the jar, a jlink runtime with only the required modules, and one CDS
+# archive per role, recorded by running the role for a few seconds on an emulated site with many entries.
+# CDS archives are used instead of an AOT cache, which starts faster but does not work at a site that sets -Xshare
+# for all Java processes.
 set -eu
 cd "$(dirname "$0")/.."
 find_jdk() {
@@ -12,11 +12,11 @@
 			return
 		fi
 	done
-	echo "no JDK 25 or later: set JAVA_HOME" >&2
+	echo "deploy/build.sh: no JDK 25 or later with jlink found; set JAVA_HOME" >&2
 	exit 1
 }
 jdk=$(find_jdk)
-# Formatter, linter and tests run in CI, not here.
+# CI runs the formatter, the linter and the tests.
 mvn -q -B -DskipTests -Dcheckstyle.skip=true -Dspring-javaformat.validate.skip=true -pl app -am package
 mkdir -p target
 cp app/target/app-*-all.jar target/wisteriapost.jar
@@ -24,8 +24,8 @@
 "$jdk/bin/jlink" --output target/rt --strip-debug --no-header-files --no-man-pages --generate-cds-archive \
 	--add-modules java.base,java.logging,java.naming,java.management,java.xml,java.sql,java.security.jgss,java.security.sasl,jdk.unsupported,jdk.crypto.ec
 
-# The flags that decide what an archive holds must be those of deploy/system.toml. Without a builder the I/O library
-# registers no management beans, which nobody reads and which cost a start some 50 ms.
+# Flags that affect the content of an archive must match deploy/system.toml. javax.management.builder.initial=none
+# keeps the I/O library from registering MBeans, which nothing reads and which add about 50 ms to startup.
 flags="-Djavax.management.builder.initial=none -Xss256k -XX:+UseSerialGC -XX:TieredStopAtLevel=1 -XX:-UsePerfData --sun-misc-unsafe-memory-access=allow -Dio.netty.machineId=02:00:00:00:00:01 -Dio.netty.processId=1 -Dwisteriapost.log.target=System.out"
 seconds=6
 train() {
@@ -46,5 +46,5 @@
 wait "$site" || true
 kill -TERM "$entry" "$agent" || true
 wait "$entry" "$agent" || true
-# Without an archive a process starts slower, and as well.
+# The archives are optional: without one a process only starts more slowly.
 ls -l target/*.jsa || true
