--- a/agent/src/main/java/org/wisteriapost/agent/AgentLinks.java
+++ b/agent/src/main/java/org/wisteriapost/agent/AgentLinks.java
@@ -7,7 +7,7 @@
 import org.wisteriapost.agent.transfer.Transfer;
 import org.wisteriapost.policy.agent.AgentEvent;
 import org.wisteriapost.policy.agent.AgentIdentity;
-import org.wisteriapost.policy.agent.AgentView;
+import org.wisteriapost.policy.agent.AgentStatus;
 import org.wisteriapost.protocol.link.Link;
 import org.wisteriapost.protocol.link.LinkHandler;
 import org.wisteriapost.protocol.wire.Frame;
@@ -60,7 +60,7 @@
 	Hello newHello() {
 		return Hello.newBuilder()
 			.setVm(this.identity.vm())
-			.setPlace(this.identity.place())
+			.setPlace(this.identity.failureDomain())
 			.setRole(Role.AGENT)
 			.setService(this.identity.service())
 			.setEpoch(this.loop.status().epoch())
@@ -160,7 +160,7 @@
 	 * a lower one. At most once a generation and link.
 	 */
 	private void syncHead(Link link, Peer peer, Frame frame) {
-		AgentView status = this.loop.status();
+		AgentStatus status = this.loop.status();
 		boolean carriesHead = frame.hasHead() || frame.hasHello();
 		if (frame.getGeneration() > status.headGeneration() && frame.getGeneration() > peer.requestedGeneration
 				&& !carriesHead) {
@@ -174,38 +174,38 @@
 	}
 
 	private void handleHead(Head head) {
-		this.loop.post(new AgentEvent.HeadHeard(head.getGeneration(), head.getDigest(), head.getConfirmed(),
+		this.loop.post(new AgentEvent.HeadReceived(head.getGeneration(), head.getDigest(), head.getConfirmed(),
 				head.getConfirmedAgeMillis()));
 	}
 
 	private void handleLeaving(Leaving leaving) {
 		if (leaving.getVm().equals(this.identity.vm())) {
-			this.loop.post(new AgentEvent.LeaveAsked());
+			this.loop.post(new AgentEvent.LeaveRequested());
 		}
 	}
 
 	private Head currentHead() {
-		AgentView status = this.loop.status();
+		AgentStatus status = this.loop.status();
 		return Head.newBuilder().setGeneration(status.headGeneration()).setDigest(status.headDigest()).build();
 	}
 
 	private Report currentReport() {
-		AgentView status = this.loop.status();
+		AgentStatus status = this.loop.status();
 		return Report.newBuilder()
 			.setVm(this.identity.vm())
-			.setPlace(this.identity.place())
+			.setPlace(this.identity.failureDomain())
 			.setService(this.identity.service())
-			.setPlain(this.identity.plain())
+			.setPlain(this.identity.plainService())
 			.setAdmitting(status.admitting())
 			.setLeaving(status.leaving())
 			.setWeightsDigest(status.weightsDigest())
-			.setBundleGeneration(status.generation())
-			.setRunning(status.running())
+			.setBundleGeneration(status.bundleGeneration())
+			.setRunning(status.runningCalls())
 			.setCapacity(status.capacity())
-			.setQueued(status.queued())
-			.setChunksVerified(status.verified())
-			.setChunksTotal(status.total())
-			.setFailing(status.failing())
+			.setQueued(status.queuedCalls())
+			.setChunksVerified(status.verifiedChunks())
+			.setChunksTotal(status.totalChunks())
+			.setFailing(status.failureCode())
 			.addAllPrefixes(this.engineClient.prefixes())
 			.setEpoch(status.epoch())
 			.build();
--- a/agent/src/main/java/org/wisteriapost/agent/AgentLoop.java
+++ b/agent/src/main/java/org/wisteriapost/agent/AgentLoop.java
@@ -7,17 +7,17 @@
 import org.wisteriapost.kernel.EventLoop;
 import org.wisteriapost.policy.agent.AgentEffect;
 import org.wisteriapost.policy.agent.AgentEvent;
-import org.wisteriapost.policy.agent.AgentMachine;
-import org.wisteriapost.policy.agent.AgentView;
+import org.wisteriapost.policy.agent.AgentStateMachine;
+import org.wisteriapost.policy.agent.AgentStatus;
 
 /**
- * Single-threaded event loop that applies events to the {@link AgentMachine}.
+ * Single-threaded event loop that applies events to the {@link AgentStateMachine}.
  */
 final class AgentLoop implements AutoCloseable {
 
 	private static final int QUEUE_CAPACITY = 4096;
 
-	private final AgentMachine stateMachine;
+	private final AgentStateMachine stateMachine;
 
 	private final Consumer<AgentEffect> effectHandler;
 
@@ -29,9 +29,9 @@
 
 	private volatile Thread owner;
 
-	private volatile AgentView status = AgentView.STARTING;
+	private volatile AgentStatus status = AgentStatus.INITIAL;
 
-	AgentLoop(AgentMachine stateMachine, Consumer<AgentEffect> effectHandler) {
+	AgentLoop(AgentStateMachine stateMachine, Consumer<AgentEffect> effectHandler) {
 		this.stateMachine = stateMachine;
 		this.effectHandler = effectHandler;
 	}
@@ -49,7 +49,7 @@
 		return System.nanoTime() - this.startNanos;
 	}
 
-	AgentView status() {
+	AgentStatus status() {
 		return this.status;
 	}
 
@@ -87,7 +87,7 @@
 
 	private void apply(AgentEvent event) {
 		var effects = this.stateMachine.apply(event, nowNanos());
-		this.status = this.stateMachine.view();
+		this.status = this.stateMachine.status();
 		effects.forEach(this.effectHandler);
 	}
 
--- a/agent/src/main/java/org/wisteriapost/agent/AgentMetrics.java
+++ b/agent/src/main/java/org/wisteriapost/agent/AgentMetrics.java
@@ -4,7 +4,7 @@
 import io.micrometer.prometheusmetrics.PrometheusConfig;
 import io.micrometer.prometheusmetrics.PrometheusMeterRegistry;
 import org.wisteriapost.kernel.Invariants;
-import org.wisteriapost.policy.agent.AgentView;
+import org.wisteriapost.policy.agent.AgentStatus;
 import org.wisteriapost.protocol.wire.CallEnd;
 
 /**
@@ -20,12 +20,12 @@
 
 	void registerGauges(AgentLoop loop, Invariants invariants) {
 		gauge("agent.admitting", "1 while calls are taken", loop, (status) -> status.admitting() ? 1 : 0);
-		gauge("agent.generation", "generation of the bundle in force", loop, AgentView::generation);
-		gauge("agent.head.generation", "highest head heard of", loop, AgentView::headGeneration);
-		gauge("agent.calls.running", "calls at the runner", loop, AgentView::running);
-		gauge("agent.calls.queued", "calls waiting at the gate or runner", loop, AgentView::queued);
-		gauge("agent.chunks.verified", "chunks fetched and verified", loop, AgentView::verified);
-		gauge("agent.chunks.total", "chunks needed", loop, AgentView::total);
+		gauge("agent.generation", "generation of the bundle in force", loop, AgentStatus::bundleGeneration);
+		gauge("agent.head.generation", "highest head heard of", loop, AgentStatus::headGeneration);
+		gauge("agent.calls.running", "calls at the runner", loop, AgentStatus::runningCalls);
+		gauge("agent.calls.queued", "calls waiting at the gate or runner", loop, AgentStatus::queuedCalls);
+		gauge("agent.chunks.verified", "chunks fetched and verified", loop, AgentStatus::verifiedChunks);
+		gauge("agent.chunks.total", "chunks needed", loop, AgentStatus::totalChunks);
 		Gauge
 			.builder("agent.invariants.violated", invariants,
 					(source) -> source.violations().values().stream().mapToLong(Long::longValue).sum())
@@ -41,7 +41,7 @@
 	}
 
 	private void gauge(String name, String description, AgentLoop loop,
-			java.util.function.ToDoubleFunction<AgentView> value) {
+			java.util.function.ToDoubleFunction<AgentStatus> value) {
 		Gauge.builder(name, loop, (source) -> value.applyAsDouble(source.status()))
 			.description(description)
 			.register(this.registry);
--- a/agent/src/main/java/org/wisteriapost/agent/AgentProcess.java
+++ b/agent/src/main/java/org/wisteriapost/agent/AgentProcess.java
@@ -24,16 +24,16 @@
 import org.wisteriapost.policy.agent.AgentEffect;
 import org.wisteriapost.policy.agent.AgentEvent;
 import org.wisteriapost.policy.agent.AgentIdentity;
-import org.wisteriapost.policy.agent.AgentMachine;
-import org.wisteriapost.policy.agent.AgentView;
+import org.wisteriapost.policy.agent.AgentStateMachine;
+import org.wisteriapost.policy.agent.AgentStatus;
 import org.wisteriapost.protocol.admin.AdminServer;
 import org.wisteriapost.protocol.link.LinkServer;
 import org.wisteriapost.protocol.link.Links;
 import org.wisteriapost.protocol.tls.TlsSettings;
 
 /**
- * A running agent: connects the {@link AgentMachine} to the I/O that supplies its events
- * and executes its effects.
+ * A running agent: connects the {@link AgentStateMachine} to the I/O that supplies its
+ * events and executes its effects.
  */
 final class AgentProcess implements AutoCloseable {
 
@@ -91,7 +91,7 @@
 		this.externalSystems = externalSystems;
 		this.links = TlsSettings.links(settings, LINK_THREADS);
 		this.identity = AgentSettings.identity(settings, UUID.randomUUID().toString());
-		AgentMachine stateMachine = AgentMachine.create(this.identity, AgentSettings.limits(settings),
+		AgentStateMachine stateMachine = AgentStateMachine.create(this.identity, AgentSettings.limits(settings),
 				AgentSettings.approvalPolicy(settings), this.invariants, RandomSource.XO_RO_SHI_RO_128_PP.create());
 		this.loop = new AgentLoop(stateMachine, this::execute);
 		this.agentLinks = new AgentLinks(this.identity, this.loop);
@@ -124,7 +124,7 @@
 		return this.linkServer.port();
 	}
 
-	AgentView status() {
+	AgentStatus status() {
 		return this.loop.status();
 	}
 
@@ -136,7 +136,7 @@
 	 * Starts to drain the agent, which then stops.
 	 */
 	void leave() {
-		this.loop.post(new AgentEvent.LeaveAsked());
+		this.loop.post(new AgentEvent.LeaveRequested());
 	}
 
 	/**
@@ -186,22 +186,22 @@
 
 	private void execute(AgentEffect effect) {
 		switch (effect) {
-			case AgentEffect.Wake wake -> this.timer.schedule(() -> this.loop.post(new AgentEvent.Tick()),
+			case AgentEffect.ScheduleTick wake -> this.timer.schedule(() -> this.loop.post(new AgentEvent.Tick()),
 					wake.delayNanos(), TimeUnit.NANOSECONDS);
 			case AgentEffect.ReadObject read -> this.platformClient.read(read.key());
 			case AgentEffect.WriteObject write -> this.platformClient.write(write);
 			case AgentEffect.FetchBundle bundle -> this.bundleFetcher.fetch(bundle.digest());
 			case AgentEffect.FetchWeights weights -> fetch(weights);
-			case AgentEffect.DropWeights drop -> drop.files().forEach(this::deleteWeights);
+			case AgentEffect.DeleteWeights drop -> drop.files().forEach(this::deleteWeights);
 			case AgentEffect.ReadEngine read -> this.engineClient.readStatus();
 			case AgentEffect.SendOrder order -> this.engineClient.sendOrder(order);
 			case AgentEffect.StartCall call -> this.runnerCalls.start(call.call());
 			case AgentEffect.RefuseCall refuse ->
 				this.runnerCalls.refuse(refuse.call(), refuse.code(), refuse.retryAfterMillis());
 			case AgentEffect.CancelCall cancel -> this.runnerCalls.cancel(cancel.call());
-			case AgentEffect.ReportNow report -> this.agentLinks.sendReport();
-			case AgentEffect.SayLeaving leaving -> this.agentLinks.sendLeaving();
-			case AgentEffect.SlowTransfer slow -> this.transfer.busy(slow.share());
+			case AgentEffect.SendReport report -> this.agentLinks.sendReport();
+			case AgentEffect.AnnounceLeaving leaving -> this.agentLinks.sendLeaving();
+			case AgentEffect.ThrottleTransfer slow -> this.transfer.setLateShare(slow.lateShare());
 			case AgentEffect.Stop stop -> {
 				LOG.log(Level.INFO, "agent-stopped: " + (stop.code().isEmpty() ? "drained" : stop.code()));
 				this.stopped.complete(stop.code());
@@ -210,7 +210,7 @@
 	}
 
 	private void deleteWeights(String file) {
-		this.externalSystems.store().drop(file).exceptionally((failure) -> {
+		this.externalSystems.store().delete(file).exceptionally((failure) -> {
 			LOG.log(Level.WARNING, "weights-not-dropped: " + file + ": " + failure.getMessage());
 			return null;
 		});
@@ -229,7 +229,7 @@
 			}
 			else if (!next.isCancelled()) {
 				LOG.log(Level.ERROR, "fetch-failed: " + failure.getMessage());
-				this.loop.post(new AgentEvent.WeightsFailed(weights.weightsDigest(), codeOf(failure)));
+				this.loop.post(new AgentEvent.WeightsFetchFailed(weights.weightsDigest(), codeOf(failure)));
 			}
 		});
 	}
@@ -244,8 +244,8 @@
 		String name = AgentSettings.transferPolicy(this.settings);
 		TransferProvider provider = Plugins.find(TransferProvider.class, (candidate) -> candidate.name().equals(name))
 			.orElseThrow(() -> CodedException.of(POLICY_UNKNOWN, name));
-		return provider.create(new TransferContext(this.settings, this.identity.vm(), this.identity.place(), this.links,
-				this.agentLinks::newHello, this.agentLinks::newFrame, this.agentLinks::onControlFrame,
+		return provider.create(new TransferContext(this.settings, this.identity.vm(), this.identity.failureDomain(),
+				this.links, this.agentLinks::newHello, this.agentLinks::newFrame, this.agentLinks::onControlFrame,
 				this.externalSystems.origin(), this.externalSystems.store(), this.timer, this.metrics.registry()));
 	}
 
--- a/agent/src/main/java/org/wisteriapost/agent/AgentSettings.java
+++ b/agent/src/main/java/org/wisteriapost/agent/AgentSettings.java
@@ -16,7 +16,7 @@
 import org.wisteriapost.kernel.settings.SettingsSchema;
 import org.wisteriapost.policy.agent.AgentIdentity;
 import org.wisteriapost.policy.agent.AgentLimits;
-import org.wisteriapost.policy.agent.OperatorKeys;
+import org.wisteriapost.policy.agent.ApprovalPolicy;
 
 /**
  * Settings of the section {@code [agent]}.
@@ -107,7 +107,7 @@
 		.orElse("2000");
 
 	/** Required settings, reported as missing even if their whole section is. */
-	private static final List<Setting<?>> REQUIRED = List.of(CommonSettings.VM, CommonSettings.PLACE,
+	private static final List<Setting<?>> REQUIRED = List.of(CommonSettings.VM, CommonSettings.FAILURE_DOMAIN,
 			CommonSettings.PLATFORM, CommonSettings.VM_LIST, CommonSettings.ORIGIN, SERVICE, LINK_HOST, RUNNER);
 
 	@Override
@@ -139,7 +139,7 @@
 	}
 
 	static AgentIdentity identity(Settings settings, String nonce) {
-		return new AgentIdentity(CommonSettings.VM.get(settings), CommonSettings.PLACE.get(settings),
+		return new AgentIdentity(CommonSettings.VM.get(settings), CommonSettings.FAILURE_DOMAIN.get(settings),
 				SERVICE.get(settings), PLAIN_SERVICE.get(settings), nonce);
 	}
 
@@ -149,12 +149,12 @@
 				MAX_SWITCHING_SHARE.get(settings), DRAIN_TIMEOUT.get(settings));
 	}
 
-	static OperatorKeys approvalPolicy(Settings settings) {
-		Map<String, String> keys = settings.named("operator")
+	static ApprovalPolicy approvalPolicy(Settings settings) {
+		Map<String, String> keys = settings.sectionsOfKind("operator")
 			.stream()
 			.collect(Collectors.toMap((name) -> name,
 					(name) -> CommonSettings.OPERATOR_KEY.get(settings, "operator " + name)));
-		return new OperatorKeys(keys, CommonSettings.APPROVALS.get(settings).intValue());
+		return new ApprovalPolicy(keys, CommonSettings.APPROVALS.get(settings).intValue());
 	}
 
 	static String transferPolicy(Settings settings) {
--- a/agent/src/main/java/org/wisteriapost/agent/BundleFetcher.java
+++ b/agent/src/main/java/org/wisteriapost/agent/BundleFetcher.java
@@ -16,8 +16,8 @@
 /**
  * Fetches a bundle from an entry, from a second entry if the first one is slow, and from
  * the platform if neither replies. The first reply is posted to the {@link AgentLoop}
- * unverified; {@link org.wisteriapost.policy.agent.AgentMachine} checks its digest and
- * approvals.
+ * unverified; {@link org.wisteriapost.policy.agent.AgentStateMachine} checks its digest
+ * and approvals.
  */
 final class BundleFetcher {
 
@@ -90,7 +90,7 @@
 			.thenCombine(this.platform.list(prefix), (stored, listing) -> stored.map((bundle) -> {
 				Map<String, byte[]> signatures = new HashMap<>();
 				listing.items().forEach((item) -> signatures.put(item.key().substring(prefix.length()), item.value()));
-				return new AgentEvent.BundleArrived(digest, bundle.value(), signatures);
+				return new AgentEvent.BundleReceived(digest, bundle.value(), signatures);
 			}))
 			.whenComplete((found, failure) -> {
 				if (!this.pendingDigest.equals(digest)) {
@@ -98,7 +98,7 @@
 				}
 				if (failure != null || found.isEmpty()) {
 					this.pendingDigest = "";
-					this.loop.post(new AgentEvent.BundleMissing(digest));
+					this.loop.post(new AgentEvent.BundleUnavailable(digest));
 					return;
 				}
 				bundleReceived(digest, found.get().content(), found.get().signatures());
@@ -107,12 +107,12 @@
 
 	private void bundleReceived(String digest, byte[] content, Map<String, byte[]> signatures) {
 		this.pendingDigest = "";
-		this.loop.post(new AgentEvent.BundleArrived(digest, content, signatures));
+		this.loop.post(new AgentEvent.BundleReceived(digest, content, signatures));
 	}
 
-	static BundleReply createReply(String digest, org.wisteriapost.policy.agent.AgentView status) {
+	static BundleReply createReply(String digest, org.wisteriapost.policy.agent.AgentStatus status) {
 		BundleReply.Builder reply = BundleReply.newBuilder().setDigest(digest);
-		if (status.digest().equals(digest)) {
+		if (status.bundleDigest().equals(digest)) {
 			status.bundle().ifPresent((copy) -> {
 				reply.setBundle(com.google.protobuf.ByteString.copyFrom(copy.content()));
 				copy.signatures()
--- a/agent/src/main/java/org/wisteriapost/agent/EngineClient.java
+++ b/agent/src/main/java/org/wisteriapost/agent/EngineClient.java
@@ -6,7 +6,7 @@
 
 import org.wisteriapost.policy.agent.AgentEffect;
 import org.wisteriapost.policy.agent.AgentEvent;
-import org.wisteriapost.policy.agent.EngineView;
+import org.wisteriapost.policy.agent.LocalEngineStatus;
 import org.wisteriapost.protocol.outside.Engine;
 
 /**
@@ -38,11 +38,11 @@
 	void readStatus() {
 		this.engine.state().whenComplete((state, failure) -> {
 			if (failure != null) {
-				this.loop.post(new AgentEvent.EngineUnread());
+				this.loop.post(new AgentEvent.EngineStatusReadFailed());
 				return;
 			}
 			this.prefixes = state.prefixes().stream().limit(MAX_PREFIXES).toList();
-			this.loop.post(new AgentEvent.EngineRead(new EngineView(state.weightsDigest(), state.loading(),
+			this.loop.post(new AgentEvent.EngineStatusRead(new LocalEngineStatus(state.weightsDigest(), state.loading(),
 					state.running(), state.queued(), state.capacity(), state.generation(), state.epoch())));
 		});
 	}
@@ -51,13 +51,13 @@
 		// The process may have been paused since the order was decided. The clock is read
 		// immediately before sending, so that no order is sent after the lease expired.
 		if (this.loop.nowNanos() > order.notAfterNanos()) {
-			this.loop.post(new AgentEvent.OrderLapsed());
+			this.loop.post(new AgentEvent.OrderLeaseExpired());
 			return;
 		}
 		this.engine.load(new Engine.Order(order.weightsDigest(), order.files(), order.generation(), order.epoch()))
 			.whenComplete((none, failure) -> {
 				if (failure == null) {
-					this.loop.post(new AgentEvent.OrderTaken());
+					this.loop.post(new AgentEvent.OrderAccepted());
 					return;
 				}
 				LOG.log(Level.WARNING, "order-failed: generation " + order.generation() + ": " + failure.getMessage());
--- a/agent/src/main/java/org/wisteriapost/agent/ExternalSystems.java
+++ b/agent/src/main/java/org/wisteriapost/agent/ExternalSystems.java
@@ -4,11 +4,11 @@
 
 import org.wisteriapost.kernel.settings.CommonSettings;
 import org.wisteriapost.kernel.settings.Settings;
-import org.wisteriapost.protocol.http.HttpCaller;
+import org.wisteriapost.protocol.http.PooledHttpClient;
 import org.wisteriapost.protocol.outside.Engine;
+import org.wisteriapost.protocol.outside.ExternalSystemsProvider;
+import org.wisteriapost.protocol.outside.ExternalSystemsProviders;
 import org.wisteriapost.protocol.outside.Origin;
-import org.wisteriapost.protocol.outside.OutsideProvider;
-import org.wisteriapost.protocol.outside.OutsideProviders;
 import org.wisteriapost.protocol.outside.Platform;
 import org.wisteriapost.protocol.outside.VmList;
 import org.wisteriapost.protocol.outside.WeightStore;
@@ -23,14 +23,14 @@
  * @param store the VM's weight store
  * @param engine the engine's orders and state; not used for a plain service
  */
-record ExternalSystems(HttpCaller caller, Platform platform, VmList vmList, Origin origin, WeightStore store,
+record ExternalSystems(PooledHttpClient caller, Platform platform, VmList vmList, Origin origin, WeightStore store,
 		Engine engine) implements AutoCloseable {
 
 	private static final int IO_THREADS = 2;
 
 	static ExternalSystems of(Settings settings) {
-		OutsideProvider provider = OutsideProviders.of(settings);
-		HttpCaller caller = HttpCaller.create(IO_THREADS);
+		ExternalSystemsProvider provider = ExternalSystemsProviders.of(settings);
+		PooledHttpClient caller = PooledHttpClient.create(IO_THREADS);
 		URI runner = AgentSettings.RUNNER.get(settings);
 		URI store = AgentSettings.WEIGHT_STORE.get(settings).orElse(runner);
 		return new ExternalSystems(caller, provider.platform(caller, CommonSettings.PLATFORM.get(settings)),
--- a/agent/src/main/java/org/wisteriapost/agent/MembershipWatcher.java
+++ b/agent/src/main/java/org/wisteriapost/agent/MembershipWatcher.java
@@ -71,9 +71,10 @@
 	private void vmListRead(List<VmList.Vm> vms) {
 		List<VmList.Vm> agents = vms.stream().filter((vm) -> vm.role().equals(AGENT_ROLE)).toList();
 		List<VmList.Vm> live = agents.stream().filter((vm) -> !vm.leaving()).toList();
-		this.transfer.peers(live);
+		this.transfer.setPeers(live);
 		Stream<String> peers = live.stream()
-			.filter((vm) -> vm.service().equals(this.identity.service()) && vm.place().equals(this.identity.place()))
+			.filter((vm) -> vm.service().equals(this.identity.service())
+					&& vm.place().equals(this.identity.failureDomain()))
 			.map(VmList.Vm::vm);
 		boolean leaving = agents.stream().anyMatch((vm) -> vm.vm().equals(this.identity.vm()) && vm.leaving());
 		this.loop.post(new AgentEvent.PeersRead(Stream.concat(peers, Stream.of(this.identity.vm())).distinct().toList(),
@@ -104,7 +105,7 @@
 
 	private void leavingMarkRead(Platform.Listing listing) {
 		if (listing.items().stream().anyMatch((item) -> item.key().equals(leavingMarkKey()))) {
-			this.loop.post(new AgentEvent.LeaveAsked());
+			this.loop.post(new AgentEvent.LeaveRequested());
 			return;
 		}
 		schedule(0, () -> watchLeavingMark(listing.revision()));
--- a/agent/src/main/java/org/wisteriapost/agent/PlatformClient.java
+++ b/agent/src/main/java/org/wisteriapost/agent/PlatformClient.java
@@ -5,7 +5,7 @@
 import org.wisteriapost.policy.agent.AgentEvent;
 import org.wisteriapost.policy.agent.StoredObject;
 import org.wisteriapost.protocol.outside.Platform;
-import org.wisteriapost.protocol.outside.Platform.Expected;
+import org.wisteriapost.protocol.outside.Platform.Precondition;
 import org.wisteriapost.protocol.outside.Platform.PutResult;
 
 /**
@@ -26,7 +26,7 @@
 		long requestedAtNanos = this.loop.nowNanos();
 		this.platform.get(key).whenComplete((stored, failure) -> {
 			if (failure != null) {
-				this.loop.post(new AgentEvent.ObjectUnread(key));
+				this.loop.post(new AgentEvent.ObjectReadFailed(key));
 				return;
 			}
 			this.loop.post(new AgentEvent.ObjectRead(key,
@@ -35,23 +35,25 @@
 	}
 
 	void write(AgentEffect.WriteObject write) {
-		this.platform.put(write.key(), write.value(), expected(write.version())).whenComplete((result, failure) -> {
-			if (failure != null) {
-				this.loop.post(new AgentEvent.ObjectUnconfirmed(write.key()));
-				return;
-			}
-			this.loop.post(switch (result) {
-				case PutResult.Written written -> new AgentEvent.ObjectWritten(write.key(), written.version());
-				case PutResult.Conflict conflict -> new AgentEvent.ObjectConflict(write.key());
+		this.platform.put(write.key(), write.value(), expected(write.expectedVersion()))
+			.whenComplete((result, failure) -> {
+				if (failure != null) {
+					this.loop.post(new AgentEvent.ObjectWriteUnconfirmed(write.key()));
+					return;
+				}
+				this.loop.post(switch (result) {
+					case PutResult.Written written -> new AgentEvent.ObjectWritten(write.key(), written.version());
+					case PutResult.Conflict conflict -> new AgentEvent.ObjectWriteConflict(write.key());
+				});
 			});
-		});
 	}
 
-	private static Expected expected(long version) {
+	private static Precondition expected(long version) {
 		if (version == AgentEffect.WriteObject.ABSENT) {
-			return new Expected.Absent();
+			return new Precondition.Absent();
 		}
-		return (version == AgentEffect.WriteObject.ANYTHING) ? new Expected.Anything() : new Expected.Version(version);
+		return (version == AgentEffect.WriteObject.ANY_VERSION) ? new Precondition.Anything()
+				: new Precondition.Version(version);
 	}
 
 	static boolean hasCode(Throwable failure, org.wisteriapost.kernel.Code code) {
--- a/agent/src/main/java/org/wisteriapost/agent/RunnerCall.java
+++ b/agent/src/main/java/org/wisteriapost/agent/RunnerCall.java
@@ -11,7 +11,7 @@
 import org.wisteriapost.policy.agent.AgentEvent;
 import org.wisteriapost.protocol.CallerHeaders;
 import org.wisteriapost.protocol.http.HttpExchange;
-import org.wisteriapost.protocol.http.HttpListener;
+import org.wisteriapost.protocol.http.HttpResponseListener;
 import org.wisteriapost.protocol.link.Link;
 import org.wisteriapost.protocol.wire.Call;
 import org.wisteriapost.protocol.wire.CallData;
@@ -23,7 +23,7 @@
 /**
  * A call at the runner, whose response is streamed to the entry.
  */
-final class RunnerCall implements HttpListener {
+final class RunnerCall implements HttpResponseListener {
 
 	private static final Code NOT_REACHED = Code.warning("runner-not-reached",
 			"No connection to the runner could be made; not a byte of the call was sent.");
@@ -123,7 +123,7 @@
 
 	@Override
 	public void onHead(int status, Map<String, String> headers) {
-		this.runnerCalls.loop().post(new AgentEvent.CallAnswered(this.key));
+		this.runnerCalls.loop().post(new AgentEvent.ResponseStarted(this.key));
 		if (status == SERVICE_UNAVAILABLE && NOT_RUN.equals(headers.get(lowerCase(CallerHeaders.OUTCOME)))) {
 			this.decidedEnd = Optional.of(callEnd(Outcome.NOT_RUN, RUNNER_REFUSED.name(), retryAfter(headers)));
 			return;
@@ -133,7 +133,7 @@
 			// Checked before the first byte is sent, so that the caller never reads
 			// tokens of a model other than the one in the bundle.
 			this.decidedEnd = Optional.of(callEnd(Outcome.UNKNOWN, WITHHELD.name(), 0));
-			this.runnerCalls.loop().post(new AgentEvent.WrongWeightsAnswered());
+			this.runnerCalls.loop().post(new AgentEvent.WrongWeightsDetected());
 			cancel();
 			return;
 		}
--- a/agent/src/main/java/org/wisteriapost/agent/RunnerCalls.java
+++ b/agent/src/main/java/org/wisteriapost/agent/RunnerCalls.java
@@ -15,7 +15,7 @@
 import org.wisteriapost.policy.request.Priority;
 import org.wisteriapost.protocol.CallerHeaders;
 import org.wisteriapost.protocol.http.HttpCall;
-import org.wisteriapost.protocol.http.HttpCaller;
+import org.wisteriapost.protocol.http.PooledHttpClient;
 import org.wisteriapost.protocol.link.Link;
 import org.wisteriapost.protocol.wire.Call;
 import org.wisteriapost.protocol.wire.Header;
@@ -44,7 +44,7 @@
 
 	private final long maxCallNanos;
 
-	private final HttpCaller caller;
+	private final PooledHttpClient caller;
 
 	private final AgentLoop loop;
 
@@ -58,7 +58,7 @@
 
 	private AgentLinks agentLinks;
 
-	RunnerCalls(String service, URI runner, Duration maxCallDuration, HttpCaller caller, AgentLoop loop,
+	RunnerCalls(String service, URI runner, Duration maxCallDuration, PooledHttpClient caller, AgentLoop loop,
 			AgentMetrics metrics) {
 		this.service = service;
 		this.runner = runner;
--- a/agent/src/main/java/org/wisteriapost/agent/site/RolloutExecutor.java
+++ b/agent/src/main/java/org/wisteriapost/agent/site/RolloutExecutor.java
@@ -15,7 +15,7 @@
 import java.util.function.Consumer;
 
 import io.micrometer.core.instrument.simple.SimpleMeterRegistry;
-import org.wisteriapost.agent.transfer.PeerTransfers;
+import org.wisteriapost.agent.transfer.PeerTransferProvider;
 import org.wisteriapost.agent.transfer.Progress;
 import org.wisteriapost.agent.transfer.Transfer;
 import org.wisteriapost.agent.transfer.TransferContext;
@@ -28,13 +28,13 @@
 import org.wisteriapost.policy.rollout.RolloutEffect;
 import org.wisteriapost.policy.transfer.LinkShare;
 import org.wisteriapost.policy.transfer.TransferLimits;
-import org.wisteriapost.protocol.http.HttpCaller;
+import org.wisteriapost.protocol.http.PooledHttpClient;
 import org.wisteriapost.protocol.link.Link;
 import org.wisteriapost.protocol.link.Links;
 import org.wisteriapost.protocol.outside.Origin;
 import org.wisteriapost.protocol.outside.VmList;
 import org.wisteriapost.protocol.site.EngineControl;
-import org.wisteriapost.protocol.site.EngineFrames;
+import org.wisteriapost.protocol.site.EngineStatusCodec;
 import org.wisteriapost.protocol.site.SiteProvider;
 import org.wisteriapost.protocol.site.SiteSettings;
 import org.wisteriapost.protocol.wire.Frame;
@@ -85,7 +85,7 @@
 
 	private final SiteProvider site;
 
-	private final HttpCaller caller;
+	private final PooledHttpClient caller;
 
 	private final Links links;
 
@@ -113,7 +113,7 @@
 
 	private Optional<CompletableFuture<Void>> currentFetch = Optional.empty();
 
-	RolloutExecutor(SiteSettings settings, SiteProvider site, HttpCaller caller, Links links,
+	RolloutExecutor(SiteSettings settings, SiteProvider site, PooledHttpClient caller, Links links,
 			ScheduledExecutorService timer, Consumer<Runnable> executor, DecisionLog log) {
 		this.settings = settings;
 		this.site = site;
@@ -123,7 +123,7 @@
 		this.executor = executor;
 		this.log = log;
 		this.engine = site.engine(caller, settings.runner().orElseThrow());
-		this.rollout = Rollout.create(settings.bounds().weightsInForce());
+		this.rollout = Rollout.create(settings.guarantees().weightsActivationDelay());
 	}
 
 	void onFrame(Link link, Frame frame) {
@@ -145,7 +145,7 @@
 		this.modelTransfer.filter((active) -> this.currentFetch.isPresent()).ifPresent((active) -> {
 			Progress progress = active.transfer.progress();
 			double share = (progress.total() > 0) ? (double) progress.verified() / progress.total() : 0;
-			this.rollout.fetching(share, System.nanoTime());
+			this.rollout.fetchProgressed(share, System.nanoTime());
 		});
 		this.rollout.tick(System.nanoTime());
 		executeEffects();
@@ -161,37 +161,37 @@
 	private void handleHello(Link link, Hello hello) {
 		if (hello.getRole() == Role.ENTRY) {
 			this.entries.add(link);
-			this.rollout.latest().ifPresent((tell) -> link.send(engineStateFrame(tell)));
+			this.rollout.lastStatus().ifPresent((tell) -> link.send(engineStateFrame(tell)));
 		}
 	}
 
 	private void handleTargetVersion(WeightsNamed message) {
 		if (this.modelTransfer.isEmpty()) {
 			this.modelTransfer = Optional.of(createModelTransfer(message));
-			this.modelTransfer.get().transfer.peers(this.agents);
+			this.modelTransfer.get().transfer.setPeers(this.agents);
 		}
 		if (message.getModel().equals(this.modelTransfer.get().model)) {
-			this.rollout.named(message.getVersion(), System.nanoTime());
+			this.rollout.setTarget(message.getVersion(), System.nanoTime());
 		}
 	}
 
 	private ModelTransfer createModelTransfer(WeightsNamed message) {
 		String address = this.settings.runner().orElseThrow();
 		Origin origin = this.site.origin(this.caller, message.getOrigin());
-		TransferLimits limits = new TransferLimits(TransferLimits.Design.SWARM, 1, MAX_ORIGIN_READS, MAX_PEERS,
+		TransferLimits limits = new TransferLimits(TransferLimits.Distribution.SWARM, 1, MAX_ORIGIN_READS, MAX_PEERS,
 				MAX_CHUNKS_IN_PROGRESS, MAX_CHUNKS_PER_PEER, PROGRESS_DEADLINE, ANNOUNCE_INTERVAL, RAREST_SAMPLE_SIZE,
 				true, true);
 		LinkShare share = new LinkShare(this.settings.linkBytesPerSecond(), LINK_SHARE, LINK_SHARE_WHILE_LATE);
 		Hello hello = Hello.newBuilder()
 			.setVm(this.settings.host())
-			.setPlace(this.settings.place())
+			.setPlace(this.settings.failureDomain())
 			.setRole(Role.AGENT)
 			.build();
 		TransferContext context = new TransferContext(Settings.parse("site", ""), this.settings.host(),
-				this.settings.place(), this.links, () -> hello, Frame::newBuilder, (link, frame) -> {
+				this.settings.failureDomain(), this.links, () -> hello, Frame::newBuilder, (link, frame) -> {
 				}, origin, this.site.staging(this.caller, address, message.getModel()), this.timer,
 				new SimpleMeterRegistry());
-		Transfer transfer = PeerTransfers.create(context,
+		Transfer transfer = PeerTransferProvider.create(context,
 				new TransferOptions(limits, share, MAX_QUEUED_UPLOADS, VM_LIST_TIMEOUT));
 		return new ModelTransfer(message.getModel(), origin, transfer);
 	}
@@ -215,10 +215,10 @@
 			return;
 		}
 		this.agents = members;
-		this.modelTransfer.ifPresent((active) -> active.transfer.peers(members));
+		this.modelTransfer.ifPresent((active) -> active.transfer.setPeers(members));
 		for (int i = 0; i < members.size(); i++) {
 			if (members.get(i).vm().equals(this.settings.host())) {
-				this.rollout.turn((double) i / members.size());
+				this.rollout.setPosition((double) i / members.size());
 			}
 		}
 	}
@@ -234,7 +234,8 @@
 				case RolloutEffect.Abandon abandon -> this.currentFetch.ifPresent((running) -> running.cancel(false));
 				case RolloutEffect.Verify verify -> verify(verify.version());
 				case RolloutEffect.Take take -> sendOrder(take.version(), take.sequence());
-				case RolloutEffect.Tell tell -> this.entries.forEach((link) -> link.send(engineStateFrame(tell)));
+				case RolloutEffect.PublishStatus tell ->
+					this.entries.forEach((link) -> link.send(engineStateFrame(tell)));
 			}
 		}
 	}
@@ -242,13 +243,13 @@
 	private void readReport() {
 		this.engine.report().whenComplete((report, failure) -> runOnLoop(() -> {
 			if (failure != null) {
-				this.rollout.silent(System.nanoTime());
+				this.rollout.reportFailed(System.nanoTime());
 				return;
 			}
 			Integer version = this.modelTransfer.map((active) -> report.versions().get(active.model)).orElse(null);
 			updateIdle(report);
-			this.rollout.reported((version != null) ? OptionalInt.of(version) : OptionalInt.empty(), report.busy(),
-					report.sequence(), report.start(), System.nanoTime());
+			this.rollout.reportReceived((version != null) ? OptionalInt.of(version) : OptionalInt.empty(),
+					report.busy(), report.sequence(), report.incarnation(), System.nanoTime());
 		}));
 	}
 
@@ -256,7 +257,7 @@
 		boolean now = report.versions().isEmpty() && report.active() == 0;
 		this.modelTransfer.filter((active) -> now != this.idle).ifPresent((active) -> {
 			this.idle = now;
-			active.transfer.idle(now);
+			active.transfer.setIdle(now);
 		});
 	}
 
@@ -269,7 +270,7 @@
 		active.origin.manifest(path).whenComplete((manifest, failure) -> runOnLoop(() -> {
 			if (failure != null) {
 				this.log.failure("manifest-failed", "version", version, "cause", failure.getMessage());
-				this.rollout.fetched(version, false, System.nanoTime());
+				this.rollout.fetchEnded(version, false, System.nanoTime());
 				return;
 			}
 			WeightFile wanted = new WeightFile(active.model, Integer.toString(version), path, manifest.etag(),
@@ -281,7 +282,7 @@
 				if (broken != null) {
 					this.log.failure("fetch-failed", "version", version, "cause", broken.getMessage());
 				}
-				this.rollout.fetched(version, broken == null, System.nanoTime());
+				this.rollout.fetchEnded(version, broken == null, System.nanoTime());
 			}));
 		}));
 	}
@@ -290,19 +291,19 @@
 		ModelTransfer active = this.modelTransfer.orElseThrow();
 		active.transfer.verify(List.of(this.fetchedFile.orElseThrow()))
 			.whenComplete((good, failure) -> runOnLoop(
-					() -> this.rollout.verified(version, failure == null && good, System.nanoTime())));
+					() -> this.rollout.verificationEnded(version, failure == null && good, System.nanoTime())));
 	}
 
 	private void sendOrder(int version, long sequence) {
 		ModelTransfer active = this.modelTransfer.orElseThrow();
-		this.engine.take(active.model, version, sequence).whenComplete((reply, failure) -> runOnLoop(() -> {
+		this.engine.switchTo(active.model, version, sequence).whenComplete((reply, failure) -> runOnLoop(() -> {
 			this.log.decision("ordered", "version", version, "sequence", sequence, "reply",
 					(failure != null) ? failure.getMessage() : reply);
 			// An order without a reply may have been accepted; the next report shows
 			// that.
-			boolean accepted = failure != null || reply == EngineControl.Reply.BEGUN
-					|| reply == EngineControl.Reply.IN_FORCE;
-			this.rollout.ordered(accepted, System.nanoTime());
+			boolean accepted = failure != null || reply == EngineControl.Reply.STARTED
+					|| reply == EngineControl.Reply.ALREADY_ACTIVE;
+			this.rollout.orderAnswered(accepted, System.nanoTime());
 		}));
 	}
 
@@ -313,9 +314,11 @@
 		});
 	}
 
-	private Frame engineStateFrame(RolloutEffect.Tell status) {
+	private Frame engineStateFrame(RolloutEffect.PublishStatus status) {
 		String address = this.settings.runner().orElseThrow();
-		return Frame.newBuilder().setEngineState(EngineFrames.of(address, status.word(), System.nanoTime())).build();
+		return Frame.newBuilder()
+			.setEngineState(EngineStatusCodec.encode(address, status.status(), System.nanoTime()))
+			.build();
 	}
 
 	@Override
--- a/agent/src/main/java/org/wisteriapost/agent/site/SiteAgent.java
+++ b/agent/src/main/java/org/wisteriapost/agent/site/SiteAgent.java
@@ -11,7 +11,7 @@
 
 import org.wisteriapost.kernel.EventLoop;
 import org.wisteriapost.kernel.log.DecisionLog;
-import org.wisteriapost.protocol.http.HttpCaller;
+import org.wisteriapost.protocol.http.PooledHttpClient;
 import org.wisteriapost.protocol.link.Link;
 import org.wisteriapost.protocol.link.LinkHandler;
 import org.wisteriapost.protocol.link.LinkServer;
@@ -34,7 +34,7 @@
 	// spin and take a core from the engine. No step of a rollout needs shorter ticks.
 	private static final long MIN_TICK_INTERVAL_MILLIS = 10;
 
-	private final HttpCaller caller;
+	private final PooledHttpClient caller;
 
 	private final Links links;
 
@@ -55,7 +55,7 @@
 
 	private SiteAgent(SiteSettings settings, SiteProvider site, PrintStream out) {
 		this.log = DecisionLog.start(settings.name(), out);
-		this.caller = HttpCaller.create(1);
+		this.caller = PooledHttpClient.create(1);
 		this.links = Links.plain(1);
 		this.timer = new ScheduledThreadPoolExecutor(1, Thread.ofPlatform().daemon().factory());
 		this.timer.setRemoveOnCancelPolicy(true);
--- a/agent/src/main/java/org/wisteriapost/agent/transfer/ChunkServer.java
+++ b/agent/src/main/java/org/wisteriapost/agent/transfer/ChunkServer.java
@@ -11,7 +11,7 @@
 
 import com.google.protobuf.ByteString;
 import org.wisteriapost.kernel.Code;
-import org.wisteriapost.policy.transfer.Uploads;
+import org.wisteriapost.policy.transfer.UploadQueue;
 import org.wisteriapost.protocol.link.Link;
 import org.wisteriapost.protocol.wire.ChunkMap;
 import org.wisteriapost.protocol.wire.ChunkMapRequest;
@@ -53,7 +53,7 @@
 
 	private final VerifiedChunks verifiedChunks;
 
-	private final Uploads<Upload> uploadQueue;
+	private final UploadQueue<Upload> uploadQueue;
 
 	private final ReplyPacer replyPacer;
 
@@ -70,7 +70,7 @@
 		this.thread = thread;
 		this.metrics = metrics;
 		this.verifiedChunks = verifiedChunks;
-		this.uploadQueue = Uploads.create(maxQueuedUploads, MAX_UPLOADS_PER_PEER);
+		this.uploadQueue = UploadQueue.create(maxQueuedUploads, MAX_UPLOADS_PER_PEER);
 		this.replyPacer = new ReplyPacer(context.frameFactory(), context.timer(), thread::execute,
 				(chunk) -> thread.execute(this::uploadEnded));
 	}
@@ -141,7 +141,7 @@
 
 	void linkClosed(Link link) {
 		this.subscriptions.remove(link);
-		this.uploadQueue.drop(link);
+		this.uploadQueue.removePeer(link);
 		this.replyPacer.removeLink(link);
 	}
 
--- a/agent/src/main/java/org/wisteriapost/agent/transfer/Fetch.java
+++ b/agent/src/main/java/org/wisteriapost/agent/transfer/Fetch.java
@@ -14,18 +14,18 @@
 import org.apache.commons.rng.simple.RandomSource;
 import org.wisteriapost.kernel.CodedException;
 import org.wisteriapost.kernel.Invariants;
+import org.wisteriapost.policy.transfer.ChunkIndex;
 import org.wisteriapost.policy.transfer.Peer;
-import org.wisteriapost.policy.transfer.Pieces;
 import org.wisteriapost.policy.transfer.TransferEffect;
 import org.wisteriapost.policy.transfer.TransferEvent;
 import org.wisteriapost.policy.transfer.TransferLimits;
-import org.wisteriapost.policy.transfer.TransferMachine;
+import org.wisteriapost.policy.transfer.TransferStateMachine;
 import org.wisteriapost.protocol.outside.Origin;
 import org.wisteriapost.protocol.outside.VmList;
 
 /**
- * Executes the effects of one fetch's {@link TransferMachine}. Confined to the transfer
- * thread unless a method says otherwise.
+ * Executes the effects of one fetch's {@link TransferStateMachine}. Confined to the
+ * transfer thread unless a method says otherwise.
  */
 final class Fetch implements PeerLinks.Receiver {
 
@@ -43,9 +43,9 @@
 
 	private final ChunkServer server;
 
-	private final Pieces chunks;
+	private final ChunkIndex chunks;
 
-	private final TransferMachine stateMachine;
+	private final TransferStateMachine stateMachine;
 
 	private final PeerLinks links;
 
@@ -60,7 +60,7 @@
 	private volatile int verifiedCount;
 
 	Fetch(TransferContext context, TransferThread thread, TransferMetrics metrics, VerifiedChunks verifiedChunks,
-			ChunkServer server, Pieces chunks, TransferLimits limits, CompletableFuture<Void> result) {
+			ChunkServer server, ChunkIndex chunks, TransferLimits limits, CompletableFuture<Void> result) {
 		this.context = context;
 		this.thread = thread;
 		this.metrics = metrics;
@@ -69,7 +69,7 @@
 		this.chunks = chunks;
 		this.result = result;
 		long seed = System.nanoTime() ^ context.vm().hashCode();
-		this.stateMachine = TransferMachine.create(chunks, new Peer(context.vm(), context.failureDomain()), limits,
+		this.stateMachine = TransferStateMachine.create(chunks, new Peer(context.vm(), context.failureDomain()), limits,
 				RandomSource.XO_RO_SHI_RO_128_PP.create(seed), Invariants.create());
 		this.links = new PeerLinks(context, thread, metrics, chunks, this);
 		this.tickTimer = context.timer()
@@ -77,7 +77,7 @@
 					TICK_MILLIS, TimeUnit.MILLISECONDS);
 	}
 
-	Pieces chunks() {
+	ChunkIndex chunks() {
 		return this.chunks;
 	}
 
@@ -93,12 +93,13 @@
 	}
 
 	void updatePeers(List<VmList.Vm> agents) {
-		event(new TransferEvent.PeersSeen(this.links.updatePeers(agents)));
+		event(new TransferEvent.PeersChanged(this.links.updatePeers(agents)));
 	}
 
 	void start(BitSet held) {
-		held.stream().forEach((chunk) -> this.verifiedChunks.add(this.chunks.digest(chunk), this.chunks.index(chunk)));
-		event(new TransferEvent.Held(held));
+		held.stream()
+			.forEach((chunk) -> this.verifiedChunks.add(this.chunks.digest(chunk), this.chunks.indexInFile(chunk)));
+		event(new TransferEvent.StoreScanned(held));
 	}
 
 	void stop() {
@@ -114,7 +115,7 @@
 			return;
 		}
 		List<TransferEffect> effects = this.stateMachine.apply(event, System.nanoTime());
-		this.verifiedCount = this.stateMachine.verified();
+		this.verifiedCount = this.stateMachine.verifiedCount();
 		effects.forEach(this::execute);
 	}
 
@@ -133,7 +134,7 @@
 			event(new TransferEvent.Corrupt(chunk, source));
 			return;
 		}
-		boolean origin = source.equals(TransferMachine.ORIGIN);
+		boolean origin = source.equals(TransferStateMachine.ORIGIN);
 		(origin ? this.metrics.bytesFromOrigin() : this.metrics.bytesFromPeers()).increment(bytes.length);
 		this.unstoredChunks.put(chunk, bytes);
 		event(new TransferEvent.Verified(chunk, source));
@@ -145,43 +146,45 @@
 			case TransferEffect.Connect connect -> this.links.connect(connect.vm());
 			case TransferEffect.Disconnect disconnect -> this.links.disconnect(disconnect.vm());
 			case TransferEffect.Request request -> this.links.request(request);
-			case TransferEffect.Drop drop -> this.links.discardParts(drop.vm(), drop.piece());
-			case TransferEffect.ReadOrigin read -> readOrigin(read.piece());
-			case TransferEffect.Store store -> store(store.piece(), this.unstoredChunks.get(store.piece()));
+			case TransferEffect.DiscardParts drop -> this.links.discardParts(drop.vm(), drop.chunk());
+			case TransferEffect.ReadOrigin read -> readOrigin(read.chunk());
+			case TransferEffect.Store store -> store(store.chunk(), this.unstoredChunks.get(store.chunk()));
 			case TransferEffect.Copy copy -> copy(copy.from(), copy.to());
-			case TransferEffect.Announce announce -> announce(announce.pieces());
+			case TransferEffect.Announce announce -> announce(announce.chunks());
 			case TransferEffect.Complete complete -> complete();
-			case TransferEffect.Changed changed -> fail(CodedException.of(Origin.CHANGED, describe(changed.piece())));
-			case TransferEffect.Fail fail -> fail(CodedException.of(fail.code(), describe(fail.piece())));
+			case TransferEffect.VersionChanged changed ->
+				fail(CodedException.of(Origin.CHANGED, describe(changed.chunk())));
+			case TransferEffect.Fail fail -> fail(CodedException.of(fail.code(), describe(fail.chunk())));
 			case TransferEffect.Notice notice -> notice(notice);
 		}
 	}
 
 	private void readOrigin(int chunk) {
-		long offset = (long) this.chunks.index(chunk) * this.chunks.file(chunk).chunkBytes();
+		long offset = (long) this.chunks.indexInFile(chunk) * this.chunks.file(chunk).chunkBytes();
 		this.context.origin()
 			.read(this.chunks.file(chunk).path(), this.chunks.file(chunk).etag(), offset, this.chunks.length(chunk))
 			.whenComplete((bytes, failure) -> {
 				if (failure == null) {
-					chunkReceived(chunk, TransferMachine.ORIGIN, bytes);
+					chunkReceived(chunk, TransferStateMachine.ORIGIN, bytes);
 					return;
 				}
 				boolean changed = cause(failure) instanceof CodedException coded && coded.code().equals(Origin.CHANGED);
-				this.thread.execute(() -> event(new TransferEvent.OriginFailed(chunk, changed)));
+				this.thread.execute(() -> event(new TransferEvent.OriginReadFailed(chunk, changed)));
 			});
 	}
 
 	private void store(int chunk, byte[] bytes) {
-		completeStore(this.context.store().put(this.chunks.digest(chunk), this.chunks.index(chunk), bytes), chunk);
+		completeStore(this.context.store().put(this.chunks.digest(chunk), this.chunks.indexInFile(chunk), bytes),
+				chunk);
 	}
 
 	private void copy(int from, int to) {
-		completeStore(
-				this.context.store().get(this.chunks.digest(from), this.chunks.index(from)).thenCompose((bytes) -> {
-					byte[] found = bytes.filter((some) -> VerifiedChunks.matches(some, this.chunks.hash(to)))
-						.orElseThrow();
-					return this.context.store().put(this.chunks.digest(to), this.chunks.index(to), found);
-				}), to);
+		completeStore(this.context.store()
+			.get(this.chunks.digest(from), this.chunks.indexInFile(from))
+			.thenCompose((bytes) -> {
+				byte[] found = bytes.filter((some) -> VerifiedChunks.matches(some, this.chunks.hash(to))).orElseThrow();
+				return this.context.store().put(this.chunks.digest(to), this.chunks.indexInFile(to), found);
+			}), to);
 	}
 
 	private void completeStore(CompletableFuture<Void> put, int chunk) {
@@ -191,14 +194,14 @@
 				event(new TransferEvent.Lost(chunk));
 				return;
 			}
-			this.verifiedChunks.add(this.chunks.digest(chunk), this.chunks.index(chunk));
+			this.verifiedChunks.add(this.chunks.digest(chunk), this.chunks.indexInFile(chunk));
 			event(new TransferEvent.Stored(chunk));
 		}));
 	}
 
 	private void announce(BitSet added) {
 		for (int fileNumber = 0; fileNumber < this.chunks.files().size(); fileNumber++) {
-			int firstChunk = this.chunks.firstOf(fileNumber);
+			int firstChunk = this.chunks.firstChunkOf(fileNumber);
 			BitSet addedToFile = added.get(firstChunk,
 					firstChunk + this.chunks.files().get(fileNumber).chunks().size());
 			if (!addedToFile.isEmpty()) {
@@ -220,11 +223,11 @@
 
 	private void notice(TransferEffect.Notice notice) {
 		this.metrics.notices().increment();
-		LOG.log(Level.WARNING, notice.code().name() + ": " + notice.source() + ", " + describe(notice.piece()));
+		LOG.log(Level.WARNING, notice.code().name() + ": " + notice.source() + ", " + describe(notice.chunk()));
 	}
 
 	private String describe(int chunk) {
-		return this.chunks.file(chunk).path() + " chunk " + this.chunks.index(chunk);
+		return this.chunks.file(chunk).path() + " chunk " + this.chunks.indexInFile(chunk);
 	}
 
 	private static Throwable cause(Throwable failure) {
--- a/agent/src/main/java/org/wisteriapost/agent/transfer/OriginTransfer.java
+++ b/agent/src/main/java/org/wisteriapost/agent/transfer/OriginTransfer.java
@@ -63,7 +63,7 @@
 			return;
 		}
 		WeightFile file = files.get(index);
-		this.context.store().held(file.digest()).whenComplete((held, failure) -> {
+		this.context.store().storedChunks(file.digest()).whenComplete((held, failure) -> {
 			if (failure != null) {
 				retryUnlessChanged(result, failure, () -> fetchFile(files, index, result));
 				return;
@@ -144,7 +144,7 @@
 	}
 
 	@Override
-	public void peers(List<VmList.Vm> agents) {
+	public void setPeers(List<VmList.Vm> agents) {
 	}
 
 	@Override
@@ -156,11 +156,11 @@
 	}
 
 	@Override
-	public void busy(double share) {
+	public void setLateShare(double share) {
 	}
 
 	@Override
-	public void idle(boolean now) {
+	public void setIdle(boolean now) {
 	}
 
 	@Override
--- a/agent/src/main/java/org/wisteriapost/agent/transfer/PeerLinks.java
+++ b/agent/src/main/java/org/wisteriapost/agent/transfer/PeerLinks.java
@@ -8,8 +8,8 @@
 import java.util.Optional;
 import java.util.concurrent.ConcurrentHashMap;
 
+import org.wisteriapost.policy.transfer.ChunkIndex;
 import org.wisteriapost.policy.transfer.Peer;
-import org.wisteriapost.policy.transfer.Pieces;
 import org.wisteriapost.policy.transfer.TransferEffect;
 import org.wisteriapost.policy.transfer.TransferEvent;
 import org.wisteriapost.protocol.link.Link;
@@ -34,7 +34,7 @@
 
 	private final TransferMetrics metrics;
 
-	private final Pieces chunks;
+	private final ChunkIndex chunks;
 
 	private final Receiver receiver;
 
@@ -44,7 +44,7 @@
 
 	private long nextId = 1;
 
-	PeerLinks(TransferContext context, TransferThread thread, TransferMetrics metrics, Pieces chunks,
+	PeerLinks(TransferContext context, TransferThread thread, TransferMetrics metrics, ChunkIndex chunks,
 			Receiver receiver) {
 		this.context = context;
 		this.thread = thread;
@@ -223,7 +223,7 @@
 		}
 
 		private void request(long id, TransferEffect.Request request) {
-			int chunk = request.piece();
+			int chunk = request.chunk();
 			int chunkLength = PeerLinks.this.chunks.length(chunk);
 			int end = (request.length() == 0) ? chunkLength : request.offset() + request.length();
 			PendingRequest part = new PendingRequest(chunk, chunkLength, request.offset(), end);
@@ -232,7 +232,7 @@
 			ChunkRequest message = ChunkRequest.newBuilder()
 				.setId(id)
 				.setFile(PeerLinks.this.chunks.digest(chunk))
-				.setIndex(PeerLinks.this.chunks.index(chunk))
+				.setIndex(PeerLinks.this.chunks.indexInFile(chunk))
 				.setOffset(pending.offset())
 				.setLength((pending.end() == chunkLength) ? 0 : pending.end() - pending.offset())
 				.build();
@@ -245,7 +245,7 @@
 			}
 			int fileNumber = (int) map.getId();
 			int chunkCount = PeerLinks.this.chunks.files().get(fileNumber).chunks().size();
-			int firstChunk = PeerLinks.this.chunks.firstOf(fileNumber);
+			int firstChunk = PeerLinks.this.chunks.firstChunkOf(fileNumber);
 			BitSet held = new BitSet();
 			BitSet.valueOf(map.getBits().toByteArray())
 				.stream()
@@ -258,8 +258,8 @@
 			// A full map states the file's chunk count, 0 if the peer does not know the
 			// file; an update lists the added chunks.
 			boolean fileUnknown = map.getChunks() == 0 && held.isEmpty();
-			notifyReceiver(
-					fileUnknown ? new TransferEvent.PeerIdle(this.vm) : new TransferEvent.PeerHolds(this.vm, held));
+			notifyReceiver(fileUnknown ? new TransferEvent.PeerNotFetching(this.vm)
+					: new TransferEvent.PeerHolds(this.vm, held));
 		}
 
 		// Ignores replies that match no pending request, such as duplicates.
@@ -311,7 +311,7 @@
 			}
 			this.pendingRequests.remove(reply.getId());
 			if (request.end() < chunkLength) {
-				notifyReceiver(new TransferEvent.PartCame(chunk, this.vm, request.end()));
+				notifyReceiver(new TransferEvent.PartReceived(chunk, this.vm, request.end()));
 				return;
 			}
 			this.partialChunks.remove(chunk);
--- a/agent/src/main/java/org/wisteriapost/agent/transfer/PeerTransfer.java
+++ b/agent/src/main/java/org/wisteriapost/agent/transfer/PeerTransfer.java
@@ -10,8 +10,8 @@
 import org.wisteriapost.kernel.Code;
 import org.wisteriapost.kernel.CodedException;
 import org.wisteriapost.policy.bundle.WeightFile;
-import org.wisteriapost.policy.transfer.LocalCopies;
-import org.wisteriapost.policy.transfer.Pieces;
+import org.wisteriapost.policy.transfer.ChunkIndex;
+import org.wisteriapost.policy.transfer.LocalCopyPlanner;
 import org.wisteriapost.policy.transfer.TransferEvent;
 import org.wisteriapost.protocol.link.Link;
 import org.wisteriapost.protocol.link.Links;
@@ -61,7 +61,7 @@
 
 	static PeerTransfer start(TransferContext context, TransferOptions options) {
 		PeerTransfer transfer = new PeerTransfer(context, options);
-		transfer.busy(0);
+		transfer.setLateShare(0);
 		return transfer;
 	}
 
@@ -74,11 +74,11 @@
 		if (oversized.isPresent()) {
 			return CompletableFuture.failedFuture(CodedException.of(CHUNK_TOO_LARGE, oversized.get().path()));
 		}
-		this.thread.execute(() -> startFetch(Pieces.of(files), result));
+		this.thread.execute(() -> startFetch(ChunkIndex.of(files), result));
 		return result;
 	}
 
-	private void startFetch(Pieces chunks, CompletableFuture<Void> result) {
+	private void startFetch(ChunkIndex chunks, CompletableFuture<Void> result) {
 		if (this.current != null) {
 			this.current.stop();
 		}
@@ -105,28 +105,28 @@
 
 	@Override
 	public CompletableFuture<Boolean> verify(List<WeightFile> files) {
-		Pieces chunks = Pieces.of(files);
+		ChunkIndex chunks = ChunkIndex.of(files);
 		CompletableFuture<Boolean> result = new CompletableFuture<>();
 		new StoreScanner(this.context.store(), this.thread, chunks).findValidChunks(new BitSet())
 			.thenAccept((found) -> this.thread.execute(() -> {
 				for (int chunk = found.nextClearBit(0); chunk < chunks.count(); chunk = found.nextClearBit(chunk + 1)) {
-					this.verifiedChunks.remove(chunks.digest(chunk), chunks.index(chunk));
+					this.verifiedChunks.remove(chunks.digest(chunk), chunks.indexInFile(chunk));
 				}
 				result.complete(found.cardinality() == chunks.count());
 			}));
 		return result;
 	}
 
-	private BitSet alreadyVerified(Pieces chunks) {
+	private BitSet alreadyVerified(ChunkIndex chunks) {
 		BitSet verified = new BitSet();
 		for (int chunk = 0; chunk < chunks.count(); chunk++) {
-			verified.set(chunk, this.verifiedChunks.chunks(chunks.digest(chunk)).get(chunks.index(chunk)));
+			verified.set(chunk, this.verifiedChunks.chunks(chunks.digest(chunk)).get(chunks.indexInFile(chunk)));
 		}
 		return verified;
 	}
 
 	private void copyFromOtherFiles(Fetch fetch, StoreScanner scanner, BitSet held) {
-		List<LocalCopies.Copy> copies = LocalCopies.plan(fetch.chunks(), this.verifiedChunks.files(), held);
+		List<LocalCopyPlanner.Copy> copies = LocalCopyPlanner.plan(fetch.chunks(), this.verifiedChunks.files(), held);
 		scanner.copy(copies).thenAccept((copied) -> this.thread.execute(() -> {
 			held.or(copied);
 			startWhenPeersKnown(fetch, () -> fetch.start(held));
@@ -161,7 +161,7 @@
 	}
 
 	@Override
-	public void peers(List<VmList.Vm> liveAgents) {
+	public void setPeers(List<VmList.Vm> liveAgents) {
 		this.thread.execute(() -> {
 			this.agents = Optional.of(List.copyOf(liveAgents));
 			if (this.current != null) {
@@ -189,7 +189,7 @@
 	}
 
 	@Override
-	public void busy(double share) {
+	public void setLateShare(double share) {
 		this.thread.execute(() -> {
 			this.lateShare = share;
 			updateRate();
@@ -197,7 +197,7 @@
 	}
 
 	@Override
-	public void idle(boolean now) {
+	public void setIdle(boolean now) {
 		this.thread.execute(() -> {
 			this.idle = now;
 			updateRate();
@@ -217,14 +217,14 @@
 
 	private void chunkLost(String file, int index) {
 		this.verifiedChunks.remove(file, index);
-		if (this.current == null || this.current.chunks().piece(file, index).isEmpty()) {
+		if (this.current == null || this.current.chunks().chunk(file, index).isEmpty()) {
 			return;
 		}
 		if (this.current.stopped()) {
 			startFetch(this.current.chunks(), new CompletableFuture<>());
 			return;
 		}
-		OptionalInt chunk = this.current.chunks().piece(file, index);
+		OptionalInt chunk = this.current.chunks().chunk(file, index);
 		chunk.ifPresent((found) -> this.current.event(new TransferEvent.Lost(found)));
 	}
 
--- a/agent/src/main/java/org/wisteriapost/agent/transfer/PeerTransfers.java
+++ b/agent/src/main/java/org/wisteriapost/agent/transfer/PeerTransferProvider.java
@@ -3,7 +3,7 @@
 /**
  * The policy {@code peers}: VMs exchange chunks, so that the origin is read about once.
  */
-public final class PeerTransfers implements TransferProvider {
+public final class PeerTransferProvider implements TransferProvider {
 
 	@Override
 	public String name() {
--- a/agent/src/main/java/org/wisteriapost/agent/transfer/ReplyPacer.java
+++ b/agent/src/main/java/org/wisteriapost/agent/transfer/ReplyPacer.java
@@ -9,8 +9,8 @@
 
 import com.google.protobuf.ByteString;
 import com.google.protobuf.UnsafeByteOperations;
-import org.wisteriapost.policy.transfer.Pacer;
 import org.wisteriapost.policy.transfer.PartSize;
+import org.wisteriapost.policy.transfer.TokenBucket;
 import org.wisteriapost.protocol.link.Link;
 import org.wisteriapost.protocol.wire.ChunkReply;
 import org.wisteriapost.protocol.wire.ChunkRequest;
@@ -40,7 +40,7 @@
 
 	private final Consumer<OutgoingChunk> onSent;
 
-	private final Pacer tokenBucket = Pacer.create(BURST_SECONDS);
+	private final TokenBucket tokenBucket = TokenBucket.create(BURST_SECONDS);
 
 	private final Deque<OutgoingChunk> queue = new ArrayDeque<>();
 
@@ -63,7 +63,7 @@
 	}
 
 	void setRate(double bytesPerSecond) {
-		this.tokenBucket.rate(bytesPerSecond, System.nanoTime());
+		this.tokenBucket.setRate(bytesPerSecond, System.nanoTime());
 		this.partBytes = PartSize.of(bytesPerSecond);
 	}
 
@@ -94,7 +94,7 @@
 			}
 			OutgoingChunk next = this.queue.poll();
 			int length = Math.min(this.partBytes, next.end - next.offset);
-			this.tokenBucket.take(length);
+			this.tokenBucket.consume(length);
 			next.link.send(this.frameFactory.get().setChunkReply(reply(next, length)).build());
 			next.offset += length;
 			if (next.offset < next.end) {
--- a/agent/src/main/java/org/wisteriapost/agent/transfer/StoreScanner.java
+++ b/agent/src/main/java/org/wisteriapost/agent/transfer/StoreScanner.java
@@ -8,8 +8,8 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.atomic.AtomicInteger;
 
-import org.wisteriapost.policy.transfer.LocalCopies;
-import org.wisteriapost.policy.transfer.Pieces;
+import org.wisteriapost.policy.transfer.ChunkIndex;
+import org.wisteriapost.policy.transfer.LocalCopyPlanner;
 import org.wisteriapost.protocol.outside.WeightStore;
 
 /**
@@ -25,9 +25,9 @@
 
 	private final TransferThread thread;
 
-	private final Pieces chunks;
+	private final ChunkIndex chunks;
 
-	StoreScanner(WeightStore store, TransferThread thread, Pieces chunks) {
+	StoreScanner(WeightStore store, TransferThread thread, ChunkIndex chunks) {
 		this.store = store;
 		this.thread = thread;
 		this.chunks = chunks;
@@ -40,9 +40,9 @@
 	CompletableFuture<BitSet> findValidChunks(BitSet alreadyVerified) {
 		CompletableFuture<BitSet> listed = CompletableFuture.completedFuture(new BitSet());
 		for (int fileNumber = 0; fileNumber < this.chunks.files().size(); fileNumber++) {
-			int firstChunk = this.chunks.firstOf(fileNumber);
+			int firstChunk = this.chunks.firstChunkOf(fileNumber);
 			int chunkCount = this.chunks.files().get(fileNumber).chunks().size();
-			CompletableFuture<BitSet> listedInFile = this.store.held(this.chunks.digestOfFile(fileNumber))
+			CompletableFuture<BitSet> listedInFile = this.store.storedChunks(this.chunks.digestOfFile(fileNumber))
 				.exceptionally((failure) -> new BitSet());
 			listed = listed.thenCombine(listedInFile, (all, some) -> {
 				some.stream().filter((index) -> index < chunkCount).forEach((index) -> all.set(firstChunk + index));
@@ -51,8 +51,9 @@
 		}
 		return listed.thenCompose((all) -> {
 			all.andNot(alreadyVerified);
-			List<LocalCopies.Copy> checks = all.stream()
-				.mapToObj((chunk) -> new LocalCopies.Copy(this.chunks.digest(chunk), this.chunks.index(chunk), chunk))
+			List<LocalCopyPlanner.Copy> checks = all.stream()
+				.mapToObj((chunk) -> new LocalCopyPlanner.Copy(this.chunks.digest(chunk),
+						this.chunks.indexInFile(chunk), chunk))
 				.toList();
 			return runBatch(checks, false);
 		});
@@ -61,11 +62,11 @@
 	/**
 	 * Copies chunks within the store and returns those that were copied.
 	 */
-	CompletableFuture<BitSet> copy(List<LocalCopies.Copy> copies) {
+	CompletableFuture<BitSet> copy(List<LocalCopyPlanner.Copy> copies) {
 		return runBatch(copies, true);
 	}
 
-	private CompletableFuture<BitSet> runBatch(List<LocalCopies.Copy> copies, boolean storeCopies) {
+	private CompletableFuture<BitSet> runBatch(List<LocalCopyPlanner.Copy> copies, boolean storeCopies) {
 		CompletableFuture<BitSet> result = new CompletableFuture<>();
 		Batch batch = new Batch(new ArrayDeque<>(copies), new BitSet(), new AtomicInteger(MAX_CONCURRENT_READS),
 				storeCopies, result);
@@ -76,20 +77,20 @@
 	}
 
 	private void processNext(Batch batch) {
-		LocalCopies.Copy copy = batch.poll();
+		LocalCopyPlanner.Copy copy = batch.poll();
 		if (copy == null) {
 			if (batch.activeWorkers.decrementAndGet() == 0) {
 				batch.result.complete(batch.validChunks);
 			}
 			return;
 		}
-		this.store.get(copy.digest(), copy.index())
+		this.store.get(copy.sourceDigest(), copy.sourceIndex())
 			.thenCompose((bytes) -> verify(batch, copy, bytes))
 			.whenComplete((none, failure) -> this.thread.executeHashing(() -> processNext(batch)));
 	}
 
-	private CompletableFuture<Void> verify(Batch batch, LocalCopies.Copy copy, Optional<byte[]> bytes) {
-		int chunk = copy.piece();
+	private CompletableFuture<Void> verify(Batch batch, LocalCopyPlanner.Copy copy, Optional<byte[]> bytes) {
+		int chunk = copy.chunk();
 		if (bytes.isEmpty() || !VerifiedChunks.matches(bytes.get(), this.chunks.hash(chunk))) {
 			return CompletableFuture.completedFuture(null);
 		}
@@ -97,14 +98,14 @@
 			batch.add(chunk);
 			return CompletableFuture.completedFuture(null);
 		}
-		return this.store.put(this.chunks.digest(chunk), this.chunks.index(chunk), bytes.get())
+		return this.store.put(this.chunks.digest(chunk), this.chunks.indexInFile(chunk), bytes.get())
 			.thenRun(() -> batch.add(chunk));
 	}
 
-	private record Batch(Queue<LocalCopies.Copy> queue, BitSet validChunks, AtomicInteger activeWorkers,
+	private record Batch(Queue<LocalCopyPlanner.Copy> queue, BitSet validChunks, AtomicInteger activeWorkers,
 			boolean storeCopies, CompletableFuture<BitSet> result) {
 
-		private LocalCopies.Copy poll() {
+		private LocalCopyPlanner.Copy poll() {
 			synchronized (this.queue) {
 				return this.queue.poll();
 			}
--- a/agent/src/main/java/org/wisteriapost/agent/transfer/Transfer.java
+++ b/agent/src/main/java/org/wisteriapost/agent/transfer/Transfer.java
@@ -39,7 +39,7 @@
 	/**
 	 * Sets the live agents, this VM included. Called after each read of the VM list.
 	 */
-	void peers(List<VmList.Vm> agents);
+	void setPeers(List<VmList.Vm> liveAgents);
 
 	/**
 	 * Receives a chunk frame ({@code ChunkMapRequest}, {@code ChunkMap},
@@ -55,15 +55,15 @@
 	/**
 	 * Sets the share of live responses that are late. The more are late, the less of the
 	 * link the transfer uses.
-	 * @param share between 0, none is late, and 1, every response is late
+	 * @param lateShare between 0, none is late, and 1, every response is late
 	 */
-	void busy(double share);
+	void setLateShare(double lateShare);
 
 	/**
 	 * Sets whether this VM has no live traffic, so that the transfer may use nearly all
 	 * of the link.
 	 */
-	void idle(boolean now);
+	void setIdle(boolean idle);
 
 	@Override
 	void close();
--- a/agent/src/main/java/org/wisteriapost/agent/transfer/TransferOptions.java
+++ b/agent/src/main/java/org/wisteriapost/agent/transfer/TransferOptions.java
@@ -5,7 +5,7 @@
 import org.wisteriapost.kernel.settings.Settings;
 import org.wisteriapost.policy.transfer.LinkShare;
 import org.wisteriapost.policy.transfer.TransferLimits;
-import org.wisteriapost.policy.transfer.TransferLimits.Design;
+import org.wisteriapost.policy.transfer.TransferLimits.Distribution;
 
 /**
  * Options of one VM's transfer.
@@ -24,12 +24,13 @@
 	 */
 	public static TransferOptions of(Settings settings) {
 		TransferLimits defaults = TransferLimits.standard();
-		TransferLimits limits = new TransferLimits(Design.SWARM,
+		TransferLimits limits = new TransferLimits(Distribution.SWARM,
 				toInt(TransferSettings.ORIGIN_READERS_PER_CHUNK, settings),
 				toInt(TransferSettings.MAX_ORIGIN_READS, settings), toInt(TransferSettings.MAX_PEERS, settings),
 				toInt(TransferSettings.MAX_CHUNKS_IN_PROGRESS, settings),
 				toInt(TransferSettings.MAX_CHUNKS_PER_PEER, settings), TransferSettings.PROGRESS_DEADLINE.get(settings),
-				TransferSettings.ANNOUNCE_INTERVAL.get(settings), defaults.rarestOf(), defaults.samePlaceFirst());
+				TransferSettings.ANNOUNCE_INTERVAL.get(settings), defaults.rarestSampleSize(),
+				defaults.preferSameFailureDomain());
 		LinkShare linkShare = new LinkShare(TransferSettings.LINK_BYTES_PER_SECOND.get(settings),
 				TransferSettings.LINK_SHARE.get(settings), TransferSettings.LINK_SHARE_WHILE_LATE.get(settings));
 		return new TransferOptions(limits, linkShare, toInt(TransferSettings.MAX_QUEUED_UPLOADS, settings),
--- a/agent/src/main/java/org/wisteriapost/agent/transfer/VerifiedChunks.java
+++ b/agent/src/main/java/org/wisteriapost/agent/transfer/VerifiedChunks.java
@@ -7,7 +7,7 @@
 
 import org.wisteriapost.policy.bundle.Digests;
 import org.wisteriapost.policy.bundle.WeightFile;
-import org.wisteriapost.policy.transfer.LocalCopies.HeldFile;
+import org.wisteriapost.policy.transfer.LocalCopyPlanner.HeldFile;
 
 /**
  * Chunks in the VM's weight store that this process has verified, by file digest.
--- a/agent/src/test/java/org/wisteriapost/agent/AgentProcessTests.java
+++ b/agent/src/test/java/org/wisteriapost/agent/AgentProcessTests.java
@@ -13,7 +13,7 @@
 import org.wisteriapost.kernel.Invariants;
 import org.wisteriapost.kernel.settings.Settings;
 import org.wisteriapost.policy.agent.AgentEffect;
-import org.wisteriapost.policy.agent.AgentMachine;
+import org.wisteriapost.policy.agent.AgentStateMachine;
 import org.wisteriapost.policy.bundle.Approvals;
 import org.wisteriapost.policy.bundle.Bundle;
 import org.wisteriapost.policy.bundle.BundleCodec;
@@ -21,7 +21,7 @@
 import org.wisteriapost.policy.bundle.Head;
 import org.wisteriapost.policy.bundle.ServiceSpec;
 import org.wisteriapost.policy.bundle.WeightFile;
-import org.wisteriapost.protocol.http.HttpCaller;
+import org.wisteriapost.protocol.http.PooledHttpClient;
 import org.wisteriapost.protocol.link.Links;
 import org.wisteriapost.protocol.outside.VmList;
 import org.wisteriapost.protocol.wire.CallEnd;
@@ -201,7 +201,7 @@
 	@Test
 	void orderIsNotSentAfterItsLeaseExpired() {
 		Settings settings = Settings.parse("agent.ini", settings());
-		AgentMachine stateMachine = AgentMachine.create(AgentSettings.identity(settings, "n"),
+		AgentStateMachine stateMachine = AgentStateMachine.create(AgentSettings.identity(settings, "n"),
 				AgentSettings.limits(settings), AgentSettings.approvalPolicy(settings), Invariants.create(),
 				RandomSource.XO_RO_SHI_RO_128_PP.create(1));
 		AgentLoop loop = new AgentLoop(stateMachine, (effect) -> {
@@ -227,8 +227,8 @@
 				// Nothing to close.
 			}
 		};
-		AgentProcess agent = AgentProcess.start(settings,
-				new ExternalSystems(HttpCaller.create(1), this.platform, none, this.origin, this.store, this.engine));
+		AgentProcess agent = AgentProcess.start(settings, new ExternalSystems(PooledHttpClient.create(1), this.platform,
+				none, this.origin, this.store, this.engine));
 		this.agents.add(agent);
 		return agent;
 	}
--- a/agent/src/test/java/org/wisteriapost/agent/FakePlatform.java
+++ b/agent/src/test/java/org/wisteriapost/agent/FakePlatform.java
@@ -37,14 +37,14 @@
 	}
 
 	@Override
-	public synchronized CompletableFuture<PutResult> put(String key, byte[] value, Expected expected) {
+	public synchronized CompletableFuture<PutResult> put(String key, byte[] value, Precondition expected) {
 		if (this.down) {
 			return unavailable();
 		}
 		boolean conditionMet = switch (expected) {
-			case Expected.Absent absent -> !this.objects.containsKey(key);
-			case Expected.Version version -> version(key) == version.version();
-			case Expected.Anything anything -> true;
+			case Precondition.Absent absent -> !this.objects.containsKey(key);
+			case Precondition.Version version -> version(key) == version.version();
+			case Precondition.Anything anything -> true;
 		};
 		if (!conditionMet) {
 			return CompletableFuture.completedFuture(new PutResult.Conflict(peek(key)));
--- a/agent/src/test/java/org/wisteriapost/agent/FakeStore.java
+++ b/agent/src/test/java/org/wisteriapost/agent/FakeStore.java
@@ -28,14 +28,14 @@
 	}
 
 	@Override
-	public CompletableFuture<BitSet> held(String file) {
+	public CompletableFuture<BitSet> storedChunks(String file) {
 		BitSet held = new BitSet();
 		this.files.getOrDefault(file, Map.of()).keySet().forEach(held::set);
 		return CompletableFuture.completedFuture(held);
 	}
 
 	@Override
-	public CompletableFuture<Void> drop(String file) {
+	public CompletableFuture<Void> delete(String file) {
 		this.files.remove(file);
 		return CompletableFuture.completedFuture(null);
 	}
--- a/agent/src/test/java/org/wisteriapost/agent/transfer/ChunkServerTests.java
+++ b/agent/src/test/java/org/wisteriapost/agent/transfer/ChunkServerTests.java
@@ -61,7 +61,7 @@
 	// from it. Guards against responses of the engine queueing behind chunks for
 	// seconds, after which entries would consider the engine unreachable.
 	@Test
-	void answersOfTheEngineWaitLittleBehindUploads() throws Exception {
+	void uploadsDelayEngineResponsesOnlyBriefly() throws Exception {
 		ChunkServer server = server();
 		this.thread.execute(() -> server.setRate(CONFIGURED_BYTES_PER_SECOND));
 		for (int i = 0; i < PEERS; i++) {
--- a/agent/src/test/java/org/wisteriapost/agent/transfer/MemoryStore.java
+++ b/agent/src/test/java/org/wisteriapost/agent/transfer/MemoryStore.java
@@ -46,7 +46,7 @@
 	}
 
 	@Override
-	public CompletableFuture<BitSet> held(String file) {
+	public CompletableFuture<BitSet> storedChunks(String file) {
 		BitSet held = new BitSet();
 		for (String key : this.chunks.keySet()) {
 			if (key.startsWith(file)) {
@@ -57,7 +57,7 @@
 	}
 
 	@Override
-	public CompletableFuture<Void> drop(String file) {
+	public CompletableFuture<Void> delete(String file) {
 		this.chunks.keySet().removeIf((key) -> key.startsWith(file));
 		return CompletableFuture.completedFuture(null);
 	}
--- a/agent/src/test/java/org/wisteriapost/agent/transfer/OlderVersionPeerTests.java
+++ b/agent/src/test/java/org/wisteriapost/agent/transfer/OlderVersionPeerTests.java
@@ -77,7 +77,7 @@
 		fetchAll();
 		Vm newer = new Vm("newer");
 		List<VmList.Vm> all = vmList();
-		this.vms.forEach((vm) -> vm.transfer.peers(all));
+		this.vms.forEach((vm) -> vm.transfer.setPeers(all));
 		newer.transfer.fetch(List.of(this.model)).get(60, TimeUnit.SECONDS);
 		assertThat(newer.store.content(this.model), is(this.content));
 		assertThat("ratio of bytes sent by the older peer to the file size of " + this.content.length,
@@ -86,7 +86,7 @@
 
 	private void fetchAll() throws Exception {
 		List<VmList.Vm> all = vmList();
-		this.vms.forEach((vm) -> vm.transfer.peers(all));
+		this.vms.forEach((vm) -> vm.transfer.setPeers(all));
 		for (var fetched : this.vms.stream().map((vm) -> vm.transfer.fetch(List.of(this.model))).toList()) {
 			fetched.get(60, TimeUnit.SECONDS);
 		}
@@ -134,7 +134,7 @@
 					}, OlderVersionPeerTests.this.origin, this.store, OlderVersionPeerTests.this.timer,
 					new SimpleMeterRegistry());
 			TransferOptions options = TransferOptions.of(context.settings());
-			this.transfer = PeerTransfers.create(context, new TransferOptions(options.limits(),
+			this.transfer = PeerTransferProvider.create(context, new TransferOptions(options.limits(),
 					new LinkShare(665_000, 0.85, 0.85), 16, Duration.ofSeconds(60)));
 			this.server = OlderVersionPeerTests.this.links.listen(new InetSocketAddress("127.0.0.1", 0), this);
 			OlderVersionPeerTests.this.vms.add(this);
--- a/agent/src/test/java/org/wisteriapost/agent/transfer/PeerTransferTests.java
+++ b/agent/src/test/java/org/wisteriapost/agent/transfer/PeerTransferTests.java
@@ -180,10 +180,10 @@
 		Vm early = new Vm("early", LONG_PROGRESS_DEADLINE);
 		Vm second = new Vm("second");
 		var waiting = early.transfer.fetch(List.of(this.model));
-		second.transfer.peers(vmList());
+		second.transfer.setPeers(vmList());
 		second.transfer.fetch(List.of(this.model)).get(60, TimeUnit.SECONDS);
 		assertThat(early.transfer.progress().verified(), is(0L));
-		early.transfer.peers(vmList());
+		early.transfer.setPeers(vmList());
 		waiting.get(60, TimeUnit.SECONDS);
 		assertThat(this.origin.reads(), is(CHUNKS));
 	}
@@ -192,7 +192,7 @@
 	void changedVersionAtOriginFailsFetch() {
 		this.origin.change();
 		Vm vm = new Vm("vm");
-		vm.transfer.peers(vmList());
+		vm.transfer.setPeers(vmList());
 		CompletionException failure = assertThrows(CompletionException.class,
 				() -> vm.transfer.fetch(List.of(this.model)).orTimeout(60, TimeUnit.SECONDS).join());
 		assertThat(((CodedException) failure.getCause()).code(), is(Origin.CHANGED));
@@ -200,7 +200,7 @@
 
 	private void fetchAll() throws Exception {
 		List<VmList.Vm> all = vmList();
-		this.vms.forEach((vm) -> vm.transfer.peers(all));
+		this.vms.forEach((vm) -> vm.transfer.setPeers(all));
 		for (var fetched : this.vms.stream().map((vm) -> vm.transfer.fetch(List.of(this.model))).toList()) {
 			fetched.get(60, TimeUnit.SECONDS);
 		}
@@ -246,7 +246,7 @@
 					}, PeerTransferTests.this.origin, this.store, PeerTransferTests.this.timer,
 					new SimpleMeterRegistry());
 			TransferOptions options = TransferOptions.of(context.settings());
-			this.transfer = PeerTransfers.create(context,
+			this.transfer = PeerTransferProvider.create(context,
 					new TransferOptions(options.limits(), options.linkShare(), 16, Duration.ofSeconds(60)));
 			this.server = PeerTransferTests.this.links.listen(new InetSocketAddress("127.0.0.1", 0), this);
 			PeerTransferTests.this.vms.add(this);
--- a/app/src/test/java/org/wisteriapost/app/InProcessSite.java
+++ b/app/src/test/java/org/wisteriapost/app/InProcessSite.java
@@ -12,7 +12,7 @@
 import org.wisteriapost.entry.direct.DirectProcess;
 import org.wisteriapost.platform.emulator.EmulatedSite;
 import org.wisteriapost.protocol.http.HttpCall;
-import org.wisteriapost.protocol.http.HttpCaller;
+import org.wisteriapost.protocol.http.PooledHttpClient;
 import org.wisteriapost.protocol.site.SiteProvider;
 
 /**
@@ -25,7 +25,7 @@
 
 	private final PrintStream discardedOutput = new PrintStream(OutputStream.nullOutputStream());
 
-	private final HttpCaller caller = HttpCaller.create(1);
+	private final PooledHttpClient caller = PooledHttpClient.create(1);
 
 	private final List<AutoCloseable> resources = new ArrayList<>();
 
@@ -56,16 +56,16 @@
 		return this.provider;
 	}
 
-	HttpCaller caller() {
+	PooledHttpClient caller() {
 		return this.caller;
 	}
 
 	Path writeEntrySettings(int number) throws Exception {
-		return this.site.entrySettings(this.folder, number);
+		return this.site.writeEntrySettings(this.folder, number);
 	}
 
 	Path writeAgentSettings(int number) throws Exception {
-		return this.site.agentSettings(this.folder, number);
+		return this.site.writeAgentSettings(this.folder, number);
 	}
 
 	DirectProcess startEntry(Path settings) {
--- a/app/src/test/java/org/wisteriapost/app/LargeRouteTableTests.java
+++ b/app/src/test/java/org/wisteriapost/app/LargeRouteTableTests.java
@@ -44,7 +44,7 @@
 	void start() throws Exception {
 		this.localSite = InProcessSite.start(this.folder);
 		this.site = this.localSite.emulatedSite();
-		this.site.plain();
+		this.site.addPlainRunner();
 	}
 
 	@AfterEach
@@ -92,7 +92,7 @@
 		startEntries(entries, proxy);
 		awaitRouteServed(entries, "/lookup/x");
 		this.site.configure(true, EXTRA_ROUTES);
-		awaitRouteServed(entries, "/" + EmulatedSite.further(EXTRA_ROUTES - 1) + "/x");
+		awaitRouteServed(entries, "/" + EmulatedSite.extraRoute(EXTRA_ROUTES - 1) + "/x");
 	}
 
 	// Guards against restarting the fetch whenever the table changes: all changes take
@@ -107,7 +107,7 @@
 			this.site.configure(true, EXTRA_ROUTES + change);
 			TimeUnit.MILLISECONDS.sleep(300);
 		}
-		awaitRouteServed(1, "/" + EmulatedSite.further(EXTRA_ROUTES + 7) + "/x");
+		awaitRouteServed(1, "/" + EmulatedSite.extraRoute(EXTRA_ROUTES + 7) + "/x");
 	}
 
 	// The table takes 20 s over the link, longer than the activation delay. An entry
@@ -125,7 +125,7 @@
 		TimeUnit.NANOSECONDS.sleep(ACTIVATION_DELAY_NANOS - (System.nanoTime() - declaredNanos));
 		for (int round = 0; round < 3; round++) {
 			for (int entry = 1; entry <= entries; entry++) {
-				int status = status(entry, "/" + EmulatedSite.further(EXTRA_ROUTES - 1) + "/x");
+				int status = status(entry, "/" + EmulatedSite.extraRoute(EXTRA_ROUTES - 1) + "/x");
 				assertThat("entry " + entry, status, Matchers.isOneOf(200, 503));
 			}
 		}
--- a/app/src/test/java/org/wisteriapost/app/RestingAgent.java
+++ b/app/src/test/java/org/wisteriapost/app/RestingAgent.java
@@ -65,8 +65,8 @@
 
 	private void measure(EmulatedSite site, Path folder, List<String> command, long seconds, int entries, int peers)
 			throws Exception {
-		site.engine(1);
-		Path settings = site.agentSettings(folder, 1);
+		site.addEngine(1);
+		Path settings = site.writeAgentSettings(folder, 1);
 		SiteSettings agentSettings = SiteProvider.load().settings(settings);
 		HandshakeHandler peer = new HandshakeHandler(this.openedByAgent, List.of());
 		for (int i = 2; i < 2 + peers; i++) {
--- a/app/src/test/java/org/wisteriapost/app/RestingEntry.java
+++ b/app/src/test/java/org/wisteriapost/app/RestingEntry.java
@@ -22,7 +22,7 @@
 import org.wisteriapost.entry.direct.DirectProcess;
 import org.wisteriapost.platform.emulator.EmulatedSite;
 import org.wisteriapost.protocol.http.HttpCall;
-import org.wisteriapost.protocol.http.HttpCaller;
+import org.wisteriapost.protocol.http.PooledHttpClient;
 import org.wisteriapost.protocol.site.SiteProvider;
 
 /**
@@ -47,7 +47,7 @@
 
 	private final PrintStream discardedOutput = new PrintStream(OutputStream.nullOutputStream());
 
-	private final HttpCaller caller = HttpCaller.create(2);
+	private final PooledHttpClient caller = PooledHttpClient.create(2);
 
 	private final ScheduledExecutorService timer = Executors.newScheduledThreadPool(2);
 
@@ -100,14 +100,14 @@
 	}
 
 	private void startFleet(int entries, int agents, int eventsPerStream) throws Exception {
-		this.site.plain();
+		this.site.addPlainRunner();
 		for (int i = 1; i <= agents; i++) {
-			this.site.engine(1, failureDomain(i)).events(eventsPerStream);
-			SiteAgent.start(this.provider.settings(this.site.agentSettings(this.folder, i, failureDomain(i))),
+			this.site.addEngine(1, failureDomain(i)).eventsPerStream(eventsPerStream);
+			SiteAgent.start(this.provider.settings(this.site.writeAgentSettings(this.folder, i, failureDomain(i))),
 					this.provider, this.discardedOutput);
 		}
 		for (int i = MEASURED_ENTRY + 1; i <= entries; i++) {
-			DirectProcess.start(this.provider.settings(this.site.entrySettings(this.folder, i, failureDomain(i))),
+			DirectProcess.start(this.provider.settings(this.site.writeEntrySettings(this.folder, i, failureDomain(i))),
 					this.provider, this.discardedOutput);
 			TimeUnit.MILLISECONDS.sleep(START_INTERVAL_MILLIS);
 		}
@@ -127,7 +127,8 @@
 			.redirectOutput(this.folder.resolve("entry.log").toFile());
 		builder.environment()
 			.put(this.provider.settingsVariable(),
-					this.site.entrySettings(this.folder, MEASURED_ENTRY, failureDomain(MEASURED_ENTRY)).toString());
+					this.site.writeEntrySettings(this.folder, MEASURED_ENTRY, failureDomain(MEASURED_ENTRY))
+						.toString());
 		long startNanos = System.nanoTime();
 		Process entry = builder.start();
 		try {
--- a/app/src/test/java/org/wisteriapost/app/SettingsPageRenderer.java
+++ b/app/src/test/java/org/wisteriapost/app/SettingsPageRenderer.java
@@ -33,14 +33,16 @@
 				.append("]\n\n| key | value | default | meaning |\n|---|---|---|---|\n");
 			sectionSettings.stream()
 				.sorted(Comparator.comparing((Setting<?> setting) -> setting.key()))
-				.forEach((setting) -> page.append("| `%s` | %s | %s | %s |\n".formatted(setting.key(), setting.shape(),
+				.forEach((setting) -> page.append("| `%s` | %s | %s | %s |\n".formatted(setting.key(), setting.format(),
 						defaultValue(setting), setting.doc())));
 		});
 		return page.toString();
 	}
 
 	private static String defaultValue(Setting<?> setting) {
-		return setting.fallback().map((value) -> value.isEmpty() ? "empty" : "`" + value + "`").orElse("must be given");
+		return setting.defaultText()
+			.map((value) -> value.isEmpty() ? "empty" : "`" + value + "`")
+			.orElse("must be given");
 	}
 
 }
--- a/app/src/test/java/org/wisteriapost/app/SiteTests.java
+++ b/app/src/test/java/org/wisteriapost/app/SiteTests.java
@@ -23,7 +23,7 @@
 import org.wisteriapost.platform.emulator.EmulatedRunner;
 import org.wisteriapost.platform.emulator.EmulatedSite;
 import org.wisteriapost.protocol.http.HttpCall;
-import org.wisteriapost.protocol.http.HttpReply;
+import org.wisteriapost.protocol.http.HttpResponse;
 import org.wisteriapost.protocol.link.Link;
 import org.wisteriapost.protocol.link.LinkHandler;
 import org.wisteriapost.protocol.link.Links;
@@ -83,11 +83,11 @@
 		}
 	}
 
-	private HttpReply call(String method, String path, String key, byte[] body) {
+	private HttpResponse call(String method, String path, String key, byte[] body) {
 		return call(1, method, path, key, body);
 	}
 
-	private HttpReply call(int entry, String method, String path, String key, byte[] body) {
+	private HttpResponse call(int entry, String method, String path, String key, byte[] body) {
 		HttpCall call = this.localSite.request(entry, method, path, key)
 			.header("X-Wisteriapost-Token-Counts", "100,60")
 			.header("X-Wisteriapost-Tenant-Id", "forged")
@@ -95,7 +95,7 @@
 		return this.localSite.caller().call(call).join();
 	}
 
-	private HttpReply callStream() {
+	private HttpResponse callStream() {
 		return call("POST", "/draft/x?a=1", EmulatedSite.KEY, "prompt".getBytes(StandardCharsets.UTF_8));
 	}
 
@@ -104,7 +104,7 @@
 				&& callStream().status() == 200);
 	}
 
-	private static List<String> eventIds(HttpReply reply) {
+	private static List<String> eventIds(HttpResponse reply) {
 		return new String(reply.body(), StandardCharsets.UTF_8).lines()
 			.filter((line) -> line.startsWith("id: "))
 			.toList();
@@ -112,7 +112,7 @@
 
 	private static List<String> allEventIds() {
 		List<String> ids = new ArrayList<>();
-		for (int event = 1; event <= EmulatedRunner.EVENTS; event++) {
+		for (int event = 1; event <= EmulatedRunner.DEFAULT_EVENTS_PER_STREAM; event++) {
 			ids.add("id: " + event);
 		}
 		return ids;
@@ -120,16 +120,16 @@
 
 	@Test
 	void aRequestIsForwardedUnchangedAndItsResponseReturned() throws Exception {
-		EmulatedRunner engine = this.site.engine(1);
-		this.site.plain();
+		EmulatedRunner engine = this.site.addEngine(1);
+		this.site.addPlainRunner();
 		startEntry(1);
 		awaitServing();
-		HttpReply reply = callStream();
+		HttpResponse reply = callStream();
 		assertThat(reply.status(), Matchers.equalTo(200));
 		assertThat(eventIds(reply), Matchers.equalTo(allEventIds()));
 		assertThat(reply.header("X-Wisteriapost-Response-Signature").orElseThrow(),
 				Matchers.equalTo("proof-" + engine.id()));
-		EmulatedRunner.Seen seen = engine.seen().getLast();
+		EmulatedRunner.ExecutedRequest seen = engine.executedRequests().getLast();
 		assertThat(seen.path(), Matchers.equalTo("/draft/x"));
 		assertThat(new String(seen.body(), StandardCharsets.UTF_8), Matchers.equalTo("prompt"));
 		assertThat(seen.organisation(), Matchers.equalTo("org-one"));
@@ -139,8 +139,8 @@
 	@ParameterizedTest
 	@CsvSource({ "/draft/x,key-none,401", "/unknown/x,key-one,404", "/lookup/x,key-one,200" })
 	void onlyDeclaredRoutesAndKeysAreServed(String path, String key, int status) throws Exception {
-		this.site.engine(1);
-		this.site.plain();
+		this.site.addEngine(1);
+		this.site.addPlainRunner();
 		startEntry(1);
 		awaitServing();
 		assertThat(call("GET", path, key, new byte[0]).status(), Matchers.equalTo(status));
@@ -151,37 +151,37 @@
 	// last complete event.
 	@Test
 	void aBrokenStreamResumesAtAnotherEngineAfterItsLastCompleteEvent() throws Exception {
-		EmulatedRunner first = this.site.engine(1);
-		EmulatedRunner second = this.site.engine(1);
-		this.site.plain();
+		EmulatedRunner first = this.site.addEngine(1);
+		EmulatedRunner second = this.site.addEngine(1);
+		this.site.addPlainRunner();
 		startEntry(1);
 		awaitServing();
-		first.breakAfter(7);
-		second.breakAfter(7);
-		HttpReply reply = callStream();
+		first.resetStreamsAfter(7);
+		second.resetStreamsAfter(7);
+		HttpResponse reply = callStream();
 		assertThat(reply.status(), Matchers.equalTo(200));
 		assertThat(eventIds(reply), Matchers.equalTo(allEventIds()));
-		List<EmulatedRunner.Seen> seen = new ArrayList<>(first.seen());
-		seen.addAll(second.seen());
-		assertThat(seen.stream().filter((request) -> "7".equals(request.lastEvent())).count(), Matchers.equalTo(1L));
+		List<EmulatedRunner.ExecutedRequest> seen = new ArrayList<>(first.executedRequests());
+		seen.addAll(second.executedRequests());
+		assertThat(seen.stream().filter((request) -> "7".equals(request.lastEventId())).count(), Matchers.equalTo(1L));
 	}
 
 	// After a new target version is set, every chunk that an engine loads must be of that
 	// version.
 	@Test
 	void everyEngineLoadsTheTargetWeights() throws Exception {
-		EmulatedRunner first = this.site.engine(1);
-		EmulatedRunner second = this.site.engine(1);
-		this.site.plain();
+		EmulatedRunner first = this.site.addEngine(1);
+		EmulatedRunner second = this.site.addEngine(1);
+		this.site.addPlainRunner();
 		startAgent(1);
 		startAgent(2);
 		startEntry(1);
 		awaitServing();
-		this.site.name(2);
+		this.site.setTargetVersion(2);
 		await("all engines serve version 2", () -> first.version() == 2 && second.version() == 2);
 		for (EmulatedRunner engine : List.of(first, second)) {
-			for (int chunk = 0; chunk < EmulatedSite.pieces(); chunk++) {
-				assertThat(engine.taken().get(chunk), Matchers.equalTo(EmulatedSite.piece(2, chunk)));
+			for (int chunk = 0; chunk < EmulatedSite.chunkCount(); chunk++) {
+				assertThat(engine.loadedChunks().get(chunk), Matchers.equalTo(EmulatedSite.chunk(2, chunk)));
 			}
 		}
 		await("requests are served with version 2",
@@ -191,16 +191,17 @@
 	// An engine that is added without weights must load them and receive requests.
 	@Test
 	void anAddedEngineLoadsWeightsFromItsPeer() throws Exception {
-		EmulatedRunner first = this.site.engine(1);
-		this.site.plain();
+		EmulatedRunner first = this.site.addEngine(1);
+		this.site.addPlainRunner();
 		startAgent(1);
 		startEntry(1);
 		awaitServing();
-		EmulatedRunner added = this.site.engine(0);
+		EmulatedRunner added = this.site.addEngine(0);
 		startAgent(2);
 		await("the added engine has loaded the weights", () -> added.version() == 1);
-		first.breakAfter(0);
-		await("the added engine receives requests", () -> callStream().status() == 200 && !added.seen().isEmpty());
+		first.resetStreamsAfter(0);
+		await("the added engine receives requests",
+				() -> callStream().status() == 200 && !added.executedRequests().isEmpty());
 	}
 
 	// The store is unavailable and discards its change history. Requests must be served
@@ -208,16 +209,16 @@
 	// store is back.
 	@Test
 	void aStoreOutageFailsNoRequestAndChangesApplyAfterIt() throws Exception {
-		this.site.engine(1);
-		this.site.plain();
+		this.site.addEngine(1);
+		this.site.addPlainRunner();
 		startEntry(1);
 		awaitServing();
-		this.site.store().down(true);
+		this.site.store().setUnavailable(true);
 		assertThat(callStream().status(), Matchers.equalTo(200));
 		this.site.configure(false);
-		this.site.store().forget();
+		this.site.store().discardHistory();
 		assertThat(call("GET", "/lookup/x", EmulatedSite.KEY, new byte[0]).status(), Matchers.equalTo(200));
-		this.site.store().down(false);
+		this.site.store().setUnavailable(false);
 		await("the removed route is rejected",
 				() -> call("GET", "/lookup/x", EmulatedSite.KEY, new byte[0]).status() == 404);
 	}
@@ -227,9 +228,9 @@
 	// of a route.
 	@Test
 	void anEntryThatCannotReachTheStoreFollowsAnotherEntry() throws Exception {
-		this.site.engine(1);
-		EmulatedRunner leaving = this.site.plain();
-		EmulatedRunner staying = this.site.plain();
+		this.site.addEngine(1);
+		EmulatedRunner leaving = this.site.addPlainRunner();
+		EmulatedRunner staying = this.site.addPlainRunner();
 		startEntry(1);
 		awaitServing();
 		this.site.registerEntry(2);
@@ -238,12 +239,12 @@
 				() -> call(2, "GET", "/lookup/x", EmulatedSite.KEY, new byte[0]).status() == 200);
 		this.site.store().remove("servers", leaving.id());
 		TimeUnit.MILLISECONDS.sleep(3000);
-		int before = leaving.seen().size();
+		int before = leaving.executedRequests().size();
 		for (int i = 0; i < 10; i++) {
 			assertThat(call(2, "GET", "/lookup/x", EmulatedSite.KEY, new byte[0]).status(), Matchers.equalTo(200));
 		}
-		assertThat(leaving.seen().size(), Matchers.equalTo(before));
-		assertThat(staying.seen(), Matchers.not(Matchers.empty()));
+		assertThat(leaving.executedRequests().size(), Matchers.equalTo(before));
+		assertThat(staying.executedRequests(), Matchers.not(Matchers.empty()));
 		this.site.configure(false);
 		await("the removed route is rejected",
 				() -> call(2, "GET", "/lookup/x", EmulatedSite.KEY, new byte[0]).status() == 404);
@@ -251,27 +252,27 @@
 
 	@Test
 	void aDrainedRunnerReceivesNoNewRequests() throws Exception {
-		this.site.engine(1);
-		EmulatedRunner leaving = this.site.plain();
-		EmulatedRunner staying = this.site.plain();
+		this.site.addEngine(1);
+		EmulatedRunner leaving = this.site.addPlainRunner();
+		EmulatedRunner staying = this.site.addPlainRunner();
 		startEntry(1);
 		awaitServing();
 		this.site.store().remove("servers", leaving.id());
 		TimeUnit.MILLISECONDS.sleep(300);
-		int before = leaving.seen().size();
+		int before = leaving.executedRequests().size();
 		for (int i = 0; i < 10; i++) {
 			assertThat(call("GET", "/lookup/x", EmulatedSite.KEY, new byte[0]).status(), Matchers.equalTo(200));
 		}
-		assertThat(leaving.seen().size(), Matchers.equalTo(before));
-		assertThat(staying.seen().size(), Matchers.greaterThanOrEqualTo(10));
+		assertThat(leaving.executedRequests().size(), Matchers.equalTo(before));
+		assertThat(staying.executedRequests().size(), Matchers.greaterThanOrEqualTo(10));
 	}
 
 	// A leaving entry must no longer be advertised by its peer, must still serve callers
 	// that have its address, and must end before the timeout.
 	@Test
 	void aLeavingEntryIsNoLongerAdvertisedAndStillServes() throws Exception {
-		this.site.engine(1);
-		this.site.plain();
+		this.site.addEngine(1);
+		this.site.addPlainRunner();
 		DirectProcess first = startEntry(1);
 		startEntry(2);
 		awaitServing();
@@ -288,8 +289,8 @@
 	// leaving entry until the link breaks.
 	@Test
 	void aPeerThatConnectsToALeavingEntryIsNotified() throws Exception {
-		this.site.engine(1);
-		this.site.plain();
+		this.site.addEngine(1);
+		this.site.addPlainRunner();
 		DirectProcess leaving = startEntry(1);
 		awaitServing();
 		SiteSettings settings = this.localSite.provider().settings(this.localSite.writeEntrySettings(1));
@@ -313,7 +314,7 @@
 	// requests to an engine whose echo is overdue.
 	@Test
 	void anAgentAnswersAnEchoRequest() throws Exception {
-		this.site.engine(1);
+		this.site.addEngine(1);
 		startAgent(1);
 		SiteSettings settings = this.localSite.provider().settings(this.localSite.writeAgentSettings(1));
 		CompletableFuture<Link> opened = new CompletableFuture<>();
--- a/app/src/test/java/org/wisteriapost/app/TrainingFleet.java
+++ b/app/src/test/java/org/wisteriapost/app/TrainingFleet.java
@@ -7,7 +7,7 @@
 
 import org.wisteriapost.entry.direct.DirectProcess;
 import org.wisteriapost.platform.emulator.EmulatedSite;
-import org.wisteriapost.platform.emulator.TrainingSite;
+import org.wisteriapost.platform.emulator.TrainingWorkload;
 import org.wisteriapost.protocol.site.SiteProvider;
 
 /**
@@ -21,7 +21,7 @@
 	// Together with the recorded entry, more than EntryLinks links in a full mesh.
 	private static final int FLEET_ENTRIES = 18;
 
-	private static final String[] FAILURE_DOMAINS = { EmulatedSite.PLACE, "hall-b" };
+	private static final String[] FAILURE_DOMAINS = { EmulatedSite.FAILURE_DOMAIN, "hall-b" };
 
 	private TrainingFleet() {
 	}
@@ -36,10 +36,10 @@
 		PrintStream discardedOutput = new PrintStream(OutputStream.nullOutputStream());
 		try (EmulatedSite site = EmulatedSite.start()) {
 			for (int i = 2; i < 2 + FLEET_ENTRIES; i++) {
-				Path settings = site.entrySettings(folder, i, FAILURE_DOMAINS[i % FAILURE_DOMAINS.length]);
+				Path settings = site.writeEntrySettings(folder, i, FAILURE_DOMAINS[i % FAILURE_DOMAINS.length]);
 				DirectProcess.start(provider.settings(settings), provider, discardedOutput);
 			}
-			TrainingSite.run(site, Path.of(args[0]), Long.parseLong(args[1]));
+			TrainingWorkload.run(site, Path.of(args[0]), Long.parseLong(args[1]));
 		}
 		System.exit(0);
 	}
--- a/entry/src/main/java/org/wisteriapost/entry/EntryCommand.java
+++ b/entry/src/main/java/org/wisteriapost/entry/EntryCommand.java
@@ -22,10 +22,10 @@
 import org.wisteriapost.kernel.settings.CommonSettings;
 import org.wisteriapost.kernel.settings.Settings;
 import org.wisteriapost.kernel.settings.SettingsCheck;
-import org.wisteriapost.protocol.http.HttpCaller;
+import org.wisteriapost.protocol.http.PooledHttpClient;
 import org.wisteriapost.protocol.link.Links;
-import org.wisteriapost.protocol.outside.OutsideProvider;
-import org.wisteriapost.protocol.outside.OutsideProviders;
+import org.wisteriapost.protocol.outside.ExternalSystemsProvider;
+import org.wisteriapost.protocol.outside.ExternalSystemsProviders;
 import org.wisteriapost.protocol.outside.Platform;
 import org.wisteriapost.protocol.outside.VmList;
 import org.wisteriapost.protocol.tls.TlsSettings;
@@ -91,11 +91,11 @@
 			findings.list().forEach(err::println);
 			return ExitCodes.BAD_INPUT;
 		}
-		return serve(settings, OutsideProviders.of(settings), out);
+		return serve(settings, ExternalSystemsProviders.of(settings), out);
 	}
 
-	private static int serve(Settings settings, OutsideProvider provider, PrintStream out) {
-		try (HttpCaller caller = HttpCaller.create(1);
+	private static int serve(Settings settings, ExternalSystemsProvider provider, PrintStream out) {
+		try (PooledHttpClient caller = PooledHttpClient.create(1);
 				Platform platform = provider.platform(caller, CommonSettings.PLATFORM.get(settings));
 				VmList vms = provider.vmList(caller, CommonSettings.VM_LIST.get(settings));
 				Links links = TlsSettings.links(settings, LINK_IO_THREADS);
--- a/entry/src/main/java/org/wisteriapost/entry/EntrySettings.java
+++ b/entry/src/main/java/org/wisteriapost/entry/EntrySettings.java
@@ -129,13 +129,14 @@
 
 	@Override
 	public void check(Settings settings, Findings findings) {
-		settings.named(ORGANISATION).forEach((name) -> checkToken(settings, ORGANISATION + " " + name, findings));
+		settings.sectionsOfKind(ORGANISATION)
+			.forEach((name) -> checkToken(settings, ORGANISATION + " " + name, findings));
 		if (!settings.sections().contains(SECTION)) {
 			return;
 		}
 		// The check of each key covers only sections that are present, so required keys
 		// of absent sections are checked here.
-		List.of(CommonSettings.VM, CommonSettings.PLACE, CommonSettings.PLATFORM, CommonSettings.VM_LIST)
+		List.of(CommonSettings.VM, CommonSettings.FAILURE_DOMAIN, CommonSettings.PLATFORM, CommonSettings.VM_LIST)
 			.stream()
 			.filter((setting) -> !settings.sections().contains(setting.section()))
 			.forEach((setting) -> setting.read(settings, findings));
--- a/entry/src/main/java/org/wisteriapost/entry/caller/AnswerSink.java
+++ b/entry/src/main/java/org/wisteriapost/entry/caller/AnswerSink.java
@@ -18,7 +18,7 @@
 	/**
 	 * Sends a complete answer.
 	 */
-	void whole(int status, List<Map.Entry<String, String>> headers, String weights, byte[] body);
+	void complete(int status, List<Map.Entry<String, String>> headers, String weights, byte[] body);
 
 	/**
 	 * Sends the head of a streamed answer. Its outcome header says "ran" although the run
@@ -30,7 +30,7 @@
 	 * Sends a chunk of the body; returns false if the caller reads too slowly and its
 	 * connection was reset.
 	 */
-	boolean data(byte[] data);
+	boolean write(byte[] data);
 
 	/**
 	 * Ends a streamed answer regularly.
--- a/entry/src/main/java/org/wisteriapost/entry/caller/CallHandler.java
+++ b/entry/src/main/java/org/wisteriapost/entry/caller/CallHandler.java
@@ -108,23 +108,24 @@
 
 	private Refusal refusal(HttpServerExchange exchange, CodedException ex) {
 		if (ex.code().equals(CallParser.TOKEN_UNKNOWN) && !this.parser.mayRejectToken(exchange)) {
-			return Refusal.later(TOKEN_DOUBTFUL.name(), TOKEN_DOUBTFUL.summary(), STALE_STATE_RETRY_MILLIS);
+			return Refusal.temporary(TOKEN_DOUBTFUL.name(), TOKEN_DOUBTFUL.summary(), STALE_STATE_RETRY_MILLIS);
 		}
 		return invalidRequest(ex);
 	}
 
 	private Optional<Refusal> refusal(int now, HttpServerExchange exchange) {
-		ServiceView view = this.intake.view();
+		EntryView view = this.intake.view();
 		if (view.leaving()) {
-			Refusal leaving = Refusal.later(ENTRY_LEAVING.name(), ENTRY_LEAVING.summary(), LEAVING_RETRY_MILLIS);
+			Refusal leaving = Refusal.temporary(ENTRY_LEAVING.name(), ENTRY_LEAVING.summary(), LEAVING_RETRY_MILLIS);
 			return Optional.of(new Refusal(leaving.status(), leaving.code(), leaving.message(), leaving.outcome(),
 					leaving.retryAfterMillis(), view.entries()));
 		}
 		if (now > this.limits.maxRequests()) {
-			return Optional.of(Refusal.later(ENTRY_FULL.name(), ENTRY_FULL.summary(), FULL_RETRY_MILLIS));
+			return Optional.of(Refusal.temporary(ENTRY_FULL.name(), ENTRY_FULL.summary(), FULL_RETRY_MILLIS));
 		}
 		if (view.generation() == 0) {
-			return Optional.of(Refusal.later(BUNDLE_ABSENT.name(), BUNDLE_ABSENT.summary(), STALE_STATE_RETRY_MILLIS));
+			return Optional
+				.of(Refusal.temporary(BUNDLE_ABSENT.name(), BUNDLE_ABSENT.summary(), STALE_STATE_RETRY_MILLIS));
 		}
 		if (exchange.getRequestContentLength() > this.limits.maxBodyBytes()) {
 			return Optional
@@ -167,14 +168,14 @@
 	private void submit(HttpServerExchange exchange, String requestId, String organisation, long deadlineNanos,
 			byte[] body, CallerAnswer answer) {
 		exchange.dispatch(SameThreadExecutor.INSTANCE, () -> {
-			ServiceView view = this.intake.view();
+			EntryView view = this.intake.view();
 			try {
 				CallerCall call = this.parser.parse(this.ids.incrementAndGet(), requestId, organisation, deadlineNanos,
 						exchange, body, view, answer);
-				HangUpWatch.start(exchange, () -> this.intake.callerDisconnected(call.id()));
+				DisconnectWatch.start(exchange, () -> this.intake.callerDisconnected(call.id()));
 				if (!this.intake.submit(call)) {
 					this.intake.rejected(ENTRY_FULL.name());
-					answer.refuse(Refusal.later(ENTRY_FULL.name(), ENTRY_FULL.summary(), FULL_RETRY_MILLIS));
+					answer.refuse(Refusal.temporary(ENTRY_FULL.name(), ENTRY_FULL.summary(), FULL_RETRY_MILLIS));
 				}
 			}
 			catch (CodedException ex) {
@@ -188,10 +189,10 @@
 	// A service or model that the bundle lacks may be in a newer one, so it is rejected
 	// for good only by a recent bundle; see RejectionGuard. The permit must be that of
 	// the view which the request was checked against.
-	private static Refusal refusal(CodedException ex, ServiceView view) {
+	private static Refusal refusal(CodedException ex, EntryView view) {
 		boolean byBundle = ex.code().equals(CallParser.SERVICE_UNKNOWN) || ex.code().equals(CallParser.MODEL_UNKNOWN);
 		if (byBundle && !view.mayReject(System.nanoTime(), System.currentTimeMillis())) {
-			return Refusal.later(BUNDLE_DOUBTFUL.name(), BUNDLE_DOUBTFUL.summary(), STALE_STATE_RETRY_MILLIS);
+			return Refusal.temporary(BUNDLE_DOUBTFUL.name(), BUNDLE_DOUBTFUL.summary(), STALE_STATE_RETRY_MILLIS);
 		}
 		return invalidRequest(ex);
 	}
@@ -202,7 +203,7 @@
 	}
 
 	static Refusal invalidRequest(CodedException ex) {
-		return Refusal.bad(STATUS.getOrDefault(ex.code(), BAD_REQUEST), ex.code().name(),
+		return Refusal.invalidRequest(STATUS.getOrDefault(ex.code(), BAD_REQUEST), ex.code().name(),
 				ex.code().summary() + " " + ex.getMessage());
 	}
 
--- a/entry/src/main/java/org/wisteriapost/entry/caller/CallIntake.java
+++ b/entry/src/main/java/org/wisteriapost/entry/caller/CallIntake.java
@@ -24,6 +24,6 @@
 	/**
 	 * Returns the state that was published last.
 	 */
-	ServiceView view();
+	EntryView view();
 
 }
--- a/entry/src/main/java/org/wisteriapost/entry/caller/CallParser.java
+++ b/entry/src/main/java/org/wisteriapost/entry/caller/CallParser.java
@@ -70,11 +70,11 @@
 
 	private static final ObjectMapper MAPPER = new ObjectMapper();
 
-	private final Organisations organisations;
+	private final OrganisationTokens organisations;
 
 	private final HttpLimits limits;
 
-	CallParser(Organisations organisations, HttpLimits limits) {
+	CallParser(OrganisationTokens organisations, HttpLimits limits) {
 		this.organisations = organisations;
 		this.limits = limits;
 	}
@@ -120,7 +120,7 @@
 	 * Returns the call; throws if the request is invalid.
 	 */
 	CallerCall parse(long id, String requestId, String organisation, long deadlineNanos, HttpServerExchange exchange,
-			byte[] body, ServiceView view, AnswerSink answer) {
+			byte[] body, EntryView view, AnswerSink answer) {
 		String path = exchange.getRequestURI();
 		if (path.equals(CHAT)) {
 			return chatCall(id, requestId, organisation, deadlineNanos, exchange, body, view, answer);
@@ -129,7 +129,7 @@
 	}
 
 	private CallerCall chatCall(long id, String requestId, String organisation, long deadlineNanos,
-			HttpServerExchange exchange, byte[] body, ServiceView view, AnswerSink answer) {
+			HttpServerExchange exchange, byte[] body, EntryView view, AnswerSink answer) {
 		JsonNode tree = chatBody(body);
 		String model = tree.path("model").asText("");
 		String named = exchange.getRequestHeaders().getFirst(CallerHeaders.SERVICE);
@@ -148,7 +148,7 @@
 	}
 
 	private CallerCall plainServiceCall(long id, String requestId, String organisation, long deadlineNanos,
-			HttpServerExchange exchange, byte[] body, ServiceView view, AnswerSink answer) {
+			HttpServerExchange exchange, byte[] body, EntryView view, AnswerSink answer) {
 		String rest = exchange.getRequestURI().substring(SERVICES.length());
 		int slash = rest.indexOf('/');
 		String name = (slash < 0) ? rest : rest.substring(0, slash);
@@ -160,7 +160,7 @@
 			throw CodedException.of(METHOD_UNKNOWN, printable(method));
 		}
 		boolean idempotent = IDEMPOTENT.contains(method);
-		Optional<CallKey> key = idempotent ? Optional.empty() : Optional.of(key(exchange.getRequestHeaders()));
+		Optional<IdempotencyKey> key = idempotent ? Optional.empty() : Optional.of(key(exchange.getRequestHeaders()));
 		String query = exchange.getQueryString().isEmpty() ? "" : "?" + exchange.getQueryString();
 		String path = ((slash < 0) ? "/" : rest.substring(slash)) + query;
 		Request request = new Request(id, organisation, spec.name(), priority(exchange), deadlineNanos, idempotent, 0,
@@ -168,7 +168,7 @@
 		return new CallerCall(request, requestId, method, path, headers(exchange, requestId), body, false, key, answer);
 	}
 
-	private static CallKey key(HeaderMap headers) {
+	private static IdempotencyKey key(HeaderMap headers) {
 		String text = headers.getFirst(CallerHeaders.IDEMPOTENCY_KEY);
 		if (text == null || text.isBlank()) {
 			throw CodedException.of(KEY_MISSING, "send " + CallerHeaders.IDEMPOTENCY_KEY);
--- a/entry/src/main/java/org/wisteriapost/entry/caller/CallerAnswer.java
+++ b/entry/src/main/java/org/wisteriapost/entry/caller/CallerAnswer.java
@@ -67,7 +67,8 @@
 	 * {@code Retry-After}.
 	 * @param maxUnsentBytes the limit of the bytes queued for a slow caller
 	 */
-	public static CallerAnswer withFractions(HttpServerExchange exchange, String requestId, long maxUnsentBytes) {
+	public static CallerAnswer withFractionalRetryAfter(HttpServerExchange exchange, String requestId,
+			long maxUnsentBytes) {
 		return new CallerAnswer(exchange, requestId, maxUnsentBytes, true);
 	}
 
@@ -85,7 +86,7 @@
 	}
 
 	@Override
-	public void whole(int status, List<Map.Entry<String, String>> headers, String weights, byte[] body) {
+	public void complete(int status, List<Map.Entry<String, String>> headers, String weights, byte[] body) {
 		synchronized (this) {
 			if (this.headSent || this.ended) {
 				return;
@@ -113,7 +114,7 @@
 	}
 
 	@Override
-	public boolean data(byte[] data) {
+	public boolean write(byte[] data) {
 		synchronized (this) {
 			if (this.ended) {
 				return true;
--- a/entry/src/main/java/org/wisteriapost/entry/caller/CallerCall.java
+++ b/entry/src/main/java/org/wisteriapost/entry/caller/CallerCall.java
@@ -21,7 +21,7 @@
  * @param answer receives the answer
  */
 public record CallerCall(Request request, String requestId, String method, String path,
-		List<Map.Entry<String, String>> headers, byte[] body, boolean streamed, Optional<CallKey> key,
+		List<Map.Entry<String, String>> headers, byte[] body, boolean streamed, Optional<IdempotencyKey> key,
 		AnswerSink answer) {
 
 	/**
--- a/entry/src/main/java/org/wisteriapost/entry/caller/HangUpWatch.java
+++ b/entry/src/main/java/org/wisteriapost/entry/caller/DisconnectWatch.java
@@ -18,7 +18,7 @@
  * runner would be occupied until then. The watch reads from the connection, and returns
  * bytes that belong to its next request to the server.
  */
-public final class HangUpWatch implements ReadReadyHandler {
+public final class DisconnectWatch implements ReadReadyHandler {
 
 	private final HttpServerConnection connection;
 
@@ -28,7 +28,7 @@
 
 	private boolean stopped;
 
-	private HangUpWatch(HttpServerConnection connection, Runnable onDisconnect) {
+	private DisconnectWatch(HttpServerConnection connection, Runnable onDisconnect) {
 		this.connection = connection;
 		this.source = connection.getOriginalSourceConduit();
 		this.onDisconnect = onDisconnect;
@@ -47,7 +47,7 @@
 		if (!(connection instanceof HttpServerConnection http) || http.getExtraBytes() != null) {
 			return;
 		}
-		HangUpWatch watch = new HangUpWatch(http, onDisconnect);
+		DisconnectWatch watch = new DisconnectWatch(http, onDisconnect);
 		exchange.addExchangeCompleteListener((done, next) -> {
 			watch.stop();
 			next.proceed();
--- a/entry/src/main/java/org/wisteriapost/entry/caller/ServiceView.java
+++ b/entry/src/main/java/org/wisteriapost/entry/caller/EntryView.java
@@ -18,13 +18,13 @@
  * @param ready whether it has a bundle and a link to an agent
  * @param rejectionPermit until when requests may be rejected by the bundle
  */
-public record ServiceView(long generation, Map<String, ServiceSpec> services, List<String> entries, boolean leaving,
+public record EntryView(long generation, Map<String, ServiceSpec> services, List<String> entries, boolean leaving,
 		boolean ready, RejectionPermit rejectionPermit) {
 
 	/** The state before the first bundle. */
-	public static final ServiceView EMPTY = new ServiceView(0, Map.of(), List.of(), false, false, RejectionPermit.NONE);
+	public static final EntryView EMPTY = new EntryView(0, Map.of(), List.of(), false, false, RejectionPermit.NONE);
 
-	public ServiceView {
+	public EntryView {
 		services = Map.copyOf(services);
 		entries = List.copyOf(entries);
 	}
--- a/entry/src/main/java/org/wisteriapost/entry/caller/HttpFront.java
+++ b/entry/src/main/java/org/wisteriapost/entry/caller/HttpFront.java
@@ -53,7 +53,7 @@
 	 * Returns a running server; throws if the address cannot be bound.
 	 * @param tls the TLS configuration towards callers, empty for plain HTTP
 	 */
-	public static HttpFront start(InetSocketAddress address, HttpLimits limits, Organisations organisations,
+	public static HttpFront start(InetSocketAddress address, HttpLimits limits, OrganisationTokens organisations,
 			CallIntake intake, Optional<ReloadingTls> tls) {
 		HttpFront front = new HttpFront(intake, limits,
 				new CallHandler(new CallParser(organisations, limits), limits, intake));
--- a/entry/src/main/java/org/wisteriapost/entry/caller/CallKey.java
+++ b/entry/src/main/java/org/wisteriapost/entry/caller/IdempotencyKey.java
@@ -6,5 +6,5 @@
  * @param text the key as sent by the caller
  * @param issuedMillis the time of issue, in milliseconds since 1970
  */
-public record CallKey(String text, long issuedMillis) {
+public record IdempotencyKey(String text, long issuedMillis) {
 }
--- a/entry/src/main/java/org/wisteriapost/entry/caller/IdempotencyKeyParser.java
+++ b/entry/src/main/java/org/wisteriapost/entry/caller/IdempotencyKeyParser.java
@@ -40,17 +40,17 @@
 	 * Returns a key with its time of issue, empty if there is none.
 	 * @param header the value of the time header, or null
 	 */
-	static Optional<CallKey> parse(String text, String header) {
+	static Optional<IdempotencyKey> parse(String text, String header) {
 		if (header != null) {
-			return MILLIS.matcher(header).matches() ? Optional.of(new CallKey(text, Long.parseLong(header)))
+			return MILLIS.matcher(header).matches() ? Optional.of(new IdempotencyKey(text, Long.parseLong(header)))
 					: Optional.empty();
 		}
 		Matcher first = MILLIS_PREFIX.matcher(text);
 		if (first.matches()) {
-			return Optional.of(new CallKey(text, Long.parseLong(first.group(1))));
+			return Optional.of(new IdempotencyKey(text, Long.parseLong(first.group(1))));
 		}
 		return uuid(text).filter((uuid) -> uuid.version() == TIME_ORDERED_VERSION)
-			.map((uuid) -> new CallKey(text, uuid.getMostSignificantBits() >>> TIMESTAMP_SHIFT));
+			.map((uuid) -> new IdempotencyKey(text, uuid.getMostSignificantBits() >>> TIMESTAMP_SHIFT));
 	}
 
 	private static Optional<UUID> uuid(String text) {
--- a/entry/src/main/java/org/wisteriapost/entry/caller/Organisations.java
+++ b/entry/src/main/java/org/wisteriapost/entry/caller/OrganisationTokens.java
@@ -21,9 +21,9 @@
  * Maps bearer tokens to organisations. Only hashes of tokens are kept, so that none can
  * appear in a log or a heap dump.
  */
-public final class Organisations {
+public final class OrganisationTokens {
 
-	private static final Logger LOG = System.getLogger(Organisations.class.getName());
+	private static final Logger LOG = System.getLogger(OrganisationTokens.class.getName());
 
 	private static final String SCHEME = "Bearer ";
 
@@ -43,11 +43,11 @@
 
 	private volatile Tokens tokens = new Tokens(Map.of(), RejectionPermit.NONE);
 
-	private Organisations(Settings settings, LongSupplier clock, LongSupplier wallMillis) {
+	private OrganisationTokens(Settings settings, LongSupplier clock, LongSupplier wallMillis) {
 		this.settings = settings;
 		this.clock = clock;
 		this.wallMillis = wallMillis;
-		this.hasTokenFiles = settings.named(EntrySettings.ORGANISATION)
+		this.hasTokenFiles = settings.sectionsOfKind(EntrySettings.ORGANISATION)
 			.stream()
 			.anyMatch((name) -> settings.text(EntrySettings.ORGANISATION + " " + name, EntrySettings.TOKEN_FILE.key())
 				.isPresent());
@@ -56,7 +56,7 @@
 	/**
 	 * Returns the organisations that are declared in the settings.
 	 */
-	public static Organisations of(Settings settings) {
+	public static OrganisationTokens of(Settings settings) {
 		return of(settings, System::nanoTime, System::currentTimeMillis);
 	}
 
@@ -65,8 +65,8 @@
 	 * @param clock the monotonic clock, in nanoseconds
 	 * @param wallMillis the wall clock, in milliseconds since 1970
 	 */
-	static Organisations of(Settings settings, LongSupplier clock, LongSupplier wallMillis) {
-		Organisations organisations = new Organisations(settings, clock, wallMillis);
+	static OrganisationTokens of(Settings settings, LongSupplier clock, LongSupplier wallMillis) {
+		OrganisationTokens organisations = new OrganisationTokens(settings, clock, wallMillis);
 		organisations.reload();
 		return organisations;
 	}
@@ -117,7 +117,7 @@
 	// Returns whether all files could be read.
 	private boolean read(Map<String, String> byHash) {
 		boolean complete = true;
-		for (String name : this.settings.named(EntrySettings.ORGANISATION)) {
+		for (String name : this.settings.sectionsOfKind(EntrySettings.ORGANISATION)) {
 			String section = EntrySettings.ORGANISATION + " " + name;
 			Optional<String> file = this.settings.text(section, EntrySettings.TOKEN_FILE.key());
 			if (file.isEmpty()) {
--- a/entry/src/main/java/org/wisteriapost/entry/caller/Refusal.java
+++ b/entry/src/main/java/org/wisteriapost/entry/caller/Refusal.java
@@ -32,21 +32,21 @@
 	/**
 	 * Returns the refusal of an invalid request, which was not started.
 	 */
-	public static Refusal bad(int status, String code, String message) {
+	public static Refusal invalidRequest(int status, String code, String message) {
 		return new Refusal(status, code, message, Outcome.NOT_RUN, 0, List.of());
 	}
 
 	/**
 	 * Returns a temporary refusal of a request, which was not started.
 	 */
-	public static Refusal later(String code, String message, long retryAfterMillis) {
+	public static Refusal temporary(String code, String message, long retryAfterMillis) {
 		return new Refusal(503, code, message, Outcome.NOT_RUN, Math.max(1, retryAfterMillis), List.of());
 	}
 
 	/**
 	 * Returns the answer to a request that may have run.
 	 */
-	public static Refusal unknown(int status, String code, String message) {
+	public static Refusal outcomeUnknown(int status, String code, String message) {
 		return new Refusal(status, code, message, Outcome.UNKNOWN, 0, List.of());
 	}
 
--- a/entry/src/main/java/org/wisteriapost/entry/claim/ClaimStore.java
+++ b/entry/src/main/java/org/wisteriapost/entry/claim/ClaimStore.java
@@ -45,8 +45,8 @@
 	 * Starts a conditional write.
 	 */
 	public void write(ClaimEffect.Write write) {
-		Platform.Expected expected = (write.version() == 0) ? new Platform.Expected.Absent()
-				: new Platform.Expected.Version(write.version());
+		Platform.Precondition expected = (write.version() == 0) ? new Platform.Precondition.Absent()
+				: new Platform.Precondition.Version(write.version());
 		this.platform.put(write.object(), write.value(), expected)
 			.whenComplete((result, failure) -> this.listener
 				.accept((failure != null) ? new ClaimReply.Failed(write.object(), !definitelyNotApplied(failure))
--- a/entry/src/main/java/org/wisteriapost/entry/direct/DirectEvent.java
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/DirectEvent.java
@@ -2,8 +2,8 @@
 
 import java.util.List;
 
-import org.wisteriapost.policy.dispatch.Outcome;
-import org.wisteriapost.protocol.site.Kind;
+import org.wisteriapost.policy.dispatch.DispatchOutcome;
+import org.wisteriapost.protocol.site.ObjectKind;
 import org.wisteriapost.protocol.site.ObjectStore;
 import org.wisteriapost.protocol.wire.EngineState;
 import org.wisteriapost.protocol.wire.LoadReport;
@@ -58,7 +58,7 @@
 	 * @param outcome the result
 	 * @param detail for the log
 	 */
-	record DispatchEnded(DirectCall call, int dispatch, Outcome outcome, String detail) implements DirectEvent {
+	record DispatchEnded(DirectCall call, int dispatch, DispatchOutcome outcome, String detail) implements DirectEvent {
 	}
 
 	/**
@@ -66,9 +66,9 @@
 	 *
 	 * @param kind the kind
 	 * @param items the complete listing
-	 * @param at the store's revision when the listing began
+	 * @param revision the store's revision when the listing began
 	 */
-	record AllObjects(Kind kind, List<ObjectStore.Item> items, long at) implements DirectEvent {
+	record ObjectsListed(ObjectKind kind, List<ObjectStore.Item> items, long revision) implements DirectEvent {
 	}
 
 	/**
@@ -77,7 +77,7 @@
 	 * @param kind the kind of the object
 	 * @param change the change
 	 */
-	record ObjectChanged(Kind kind, ObjectStore.Change change) implements DirectEvent {
+	record ObjectChanged(ObjectKind kind, ObjectStore.Change change) implements DirectEvent {
 	}
 
 	/**
@@ -86,7 +86,7 @@
 	 * @param kind the kind of objects that were requested
 	 * @param reachable whether the store answers
 	 */
-	record StoreReachable(Kind kind, boolean reachable) implements DirectEvent {
+	record StoreReachability(ObjectKind kind, boolean reachable) implements DirectEvent {
 	}
 
 	/**
@@ -95,7 +95,7 @@
 	 * @param kind the kind
 	 * @param asOfNanos the confirmed time, on this process's {@link System#nanoTime}
 	 */
-	record StoreConfirmed(Kind kind, long asOfNanos) implements DirectEvent {
+	record StoreConfirmed(ObjectKind kind, long asOfNanos) implements DirectEvent {
 	}
 
 	/**
@@ -111,7 +111,7 @@
 	 * @param peer the peer's name
 	 * @param up whether the link is established
 	 */
-	record PeerLink(String peer, boolean up) implements DirectEvent {
+	record PeerLinkChanged(String peer, boolean up) implements DirectEvent {
 	}
 
 	/**
@@ -127,7 +127,7 @@
 	 *
 	 * @param peer the peer's name
 	 */
-	record PeerMet(String peer) implements DirectEvent {
+	record PeerIdentified(String peer) implements DirectEvent {
 	}
 
 	/**
@@ -136,7 +136,7 @@
 	 * @param peer the peer's name
 	 * @param report the changes since its last report
 	 */
-	record PeerLoads(String peer, LoadReport report) implements DirectEvent {
+	record PeerLoadReported(String peer, LoadReport report) implements DirectEvent {
 	}
 
 	/**
@@ -144,18 +144,18 @@
 	 * domain.
 	 *
 	 * @param peer the peer's name
-	 * @param state the changes since its last report
+	 * @param report the changes since its last report
 	 */
-	record PlaceSays(String peer, PlaceState state) implements DirectEvent {
+	record FailureDomainReported(String peer, PlaceState report) implements DirectEvent {
 	}
 
 	/**
 	 * Another entry forwarded state updates of the store.
 	 *
 	 * @param peer the peer's name
-	 * @param news the updates
+	 * @param update the updates
 	 */
-	record PeerNews(String peer, News news) implements DirectEvent {
+	record PeerStateUpdated(String peer, News update) implements DirectEvent {
 	}
 
 	/**
@@ -164,15 +164,15 @@
 	 * @param peer the peer's name
 	 * @param request the request
 	 */
-	record PeerWantsNews(String peer, NewsRequest request) implements DirectEvent {
+	record PeerSubscriptionChanged(String peer, NewsRequest request) implements DirectEvent {
 	}
 
 	/**
 	 * An agent reported its engine's status.
 	 *
-	 * @param state the status
+	 * @param status the status
 	 */
-	record AgentSays(EngineState state) implements DirectEvent {
+	record EngineStatusReported(EngineState status) implements DirectEvent {
 	}
 
 	/**
@@ -181,7 +181,7 @@
 	 * @param address the address of the engine on the agent's VM
 	 * @param stampNanos when the echo request was sent
 	 */
-	record AgentEcho(String address, long stampNanos) implements DirectEvent {
+	record EchoReceived(String address, long stampNanos) implements DirectEvent {
 	}
 
 	/** The state machine's timer fired. */
--- a/entry/src/main/java/org/wisteriapost/entry/direct/DirectHttpServer.java
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/DirectHttpServer.java
@@ -21,12 +21,12 @@
 import io.undertow.util.Headers;
 import io.undertow.util.SameThreadExecutor;
 import org.wisteriapost.entry.caller.CallerAnswer;
-import org.wisteriapost.entry.caller.HangUpWatch;
+import org.wisteriapost.entry.caller.DisconnectWatch;
 import org.wisteriapost.entry.caller.Refusal;
 import org.wisteriapost.kernel.Code;
 import org.wisteriapost.policy.routing.CallLimits;
-import org.wisteriapost.protocol.site.CallDialect;
-import org.wisteriapost.protocol.site.CallerFields;
+import org.wisteriapost.protocol.site.CallProtocol;
+import org.wisteriapost.protocol.site.CallerRequestFields;
 import org.wisteriapost.protocol.site.SiteSettings;
 import org.xnio.IoUtils;
 import org.xnio.XnioWorker;
@@ -74,18 +74,18 @@
 
 	private final EntryHandle entry;
 
-	private final CallDialect dialect;
+	private final CallProtocol dialect;
 
 	private final AtomicLong requestIds = new AtomicLong();
 
 	private Undertow server;
 
-	private DirectHttpServer(EntryHandle entry, CallDialect dialect) {
+	private DirectHttpServer(EntryHandle entry, CallProtocol dialect) {
 		this.entry = entry;
 		this.dialect = dialect;
 	}
 
-	static DirectHttpServer start(SiteSettings settings, CallDialect dialect, XnioWorker worker, EntryHandle entry) {
+	static DirectHttpServer start(SiteSettings settings, CallProtocol dialect, XnioWorker worker, EntryHandle entry) {
 		DirectHttpServer httpServer = new DirectHttpServer(entry, dialect);
 		Undertow.Builder builder = Undertow.builder()
 			.setWorker(worker)
@@ -96,9 +96,9 @@
 			.setServerOption(UndertowOptions.MAX_HEADER_SIZE, MAX_PARSED_HEADER_BYTES)
 			.setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, IDLE_TIMEOUT_MILLIS)
 			.setSocketOption(org.xnio.Options.REUSE_ADDRESSES, true);
-		settings.front().ifPresent((address) -> listen(builder, address, httpServer::handleCall));
-		settings.readiness().ifPresent((address) -> listen(builder, address, httpServer::handleReadiness));
-		settings.directory().ifPresent((address) -> listen(builder, address, httpServer::handleDirectory));
+		settings.callerAddress().ifPresent((address) -> listen(builder, address, httpServer::handleCall));
+		settings.readinessAddress().ifPresent((address) -> listen(builder, address, httpServer::handleReadiness));
+		settings.directoryAddress().ifPresent((address) -> listen(builder, address, httpServer::handleDirectory));
 		httpServer.server = builder.build();
 		httpServer.server.start();
 		return httpServer;
@@ -134,7 +134,7 @@
 
 	private void handleDirectory(HttpServerExchange exchange) {
 		Optional<String> failureDomain = Optional
-			.ofNullable(exchange.getQueryParameters().get(this.dialect.placeParameter()))
+			.ofNullable(exchange.getQueryParameters().get(this.dialect.failureDomainParameter()))
 			.map(Deque::peekFirst);
 		List<String> addresses = this.entry.addresses(failureDomain);
 		if (!exchange.getRequestURI().equals(this.dialect.directoryPath()) || addresses.isEmpty()) {
@@ -143,7 +143,8 @@
 			return;
 		}
 		exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
-		exchange.getResponseSender().send(ByteBuffer.wrap(this.dialect.directory(addresses, DIRECTORY_TTL_SECONDS)));
+		exchange.getResponseSender()
+			.send(ByteBuffer.wrap(this.dialect.encodeDirectory(addresses, DIRECTORY_TTL_SECONDS)));
 	}
 
 	private void handleCall(HttpServerExchange exchange) {
@@ -151,8 +152,9 @@
 		if (this.entry.leaving()) {
 			exchange.getResponseHeaders().put(Headers.CONNECTION, "close");
 		}
-		CallerFields fields = this.dialect.read((name) -> exchange.getRequestHeaders().getFirst(name));
-		CallerAnswer answer = CallerAnswer.withFractions(exchange, fields.attempt().orElse("none"), MAX_UNSENT_BYTES);
+		CallerRequestFields fields = this.dialect.parseRequest((name) -> exchange.getRequestHeaders().getFirst(name));
+		CallerAnswer answer = CallerAnswer.withFractionalRetryAfter(exchange, fields.attemptId().orElse("none"),
+				MAX_UNSENT_BYTES);
 		Optional<CallLimits> limits = this.entry.limits();
 		if (limits.isPresent() && headBytes(exchange) > limits.get().maxHeaderBytes()) {
 			rejectOverLimit(exchange, answer, limits, HEAD_LARGE, HEAD_TOO_LARGE);
@@ -164,7 +166,7 @@
 			rejectOverLimit(exchange, answer, limits, TOO_LARGE, CONTENT_TOO_LARGE);
 			return;
 		}
-		if (fields.attempt().isEmpty()) {
+		if (fields.attemptId().isEmpty()) {
 			refuse(exchange, answer, BAD_REQUEST, ATTEMPT_MISSING);
 			return;
 		}
@@ -174,18 +176,19 @@
 					(same, ex) -> onReadFailure(exchange, answer, limits, ex));
 	}
 
-	private void submit(HttpServerExchange exchange, CallerFields fields, byte[] body, CallerAnswer answer, long now) {
+	private void submit(HttpServerExchange exchange, CallerRequestFields fields, byte[] body, CallerAnswer answer,
+			long now) {
 		exchange.dispatch(SameThreadExecutor.INSTANCE, () -> {
 			IncomingRequest request = readRequest(exchange, fields, body, answer, now);
 			if (!this.entry.offer(new DirectEvent.RequestArrived(request))) {
-				answer.refuse(Refusal.later(LOOP_FULL.name(), LOOP_FULL.summary(), SHORT_RETRY_MILLIS));
+				answer.refuse(Refusal.temporary(LOOP_FULL.name(), LOOP_FULL.summary(), SHORT_RETRY_MILLIS));
 				return;
 			}
-			HangUpWatch.start(exchange, () -> this.entry.put(new DirectEvent.CallerDisconnected(request.id())));
+			DisconnectWatch.start(exchange, () -> this.entry.put(new DirectEvent.CallerDisconnected(request.id())));
 		});
 	}
 
-	private IncomingRequest readRequest(HttpServerExchange exchange, CallerFields fields, byte[] body,
+	private IncomingRequest readRequest(HttpServerExchange exchange, CallerRequestFields fields, byte[] body,
 			CallerAnswer answer, long now) {
 		HeaderValues connection = exchange.getRequestHeaders().get(Headers.CONNECTION);
 		List<String> connectionOptions = HopByHopHeaders
@@ -194,7 +197,7 @@
 		for (HeaderValues header : exchange.getRequestHeaders()) {
 			String name = header.getHeaderName().toString();
 			String lower = name.toLowerCase(Locale.ROOT);
-			if (IncomingRequest.isEndToEnd(lower, connectionOptions) && !this.dialect.reserved(lower)) {
+			if (IncomingRequest.isEndToEnd(lower, connectionOptions) && !this.dialect.isReservedHeader(lower)) {
 				headers.put(name, String.join(", ", header));
 			}
 		}
@@ -249,14 +252,14 @@
 			refuse(exchange, answer, status, code);
 			return;
 		}
-		Code doubtful = Intake.TABLE_DOUBTFUL;
+		Code doubtful = RequestAdmission.TABLE_DOUBTFUL;
 		exchange.dispatch(SameThreadExecutor.INSTANCE,
-				() -> answer.refuse(Refusal.later(doubtful.name(), doubtful.summary(), SHORT_RETRY_MILLIS)));
+				() -> answer.refuse(Refusal.temporary(doubtful.name(), doubtful.summary(), SHORT_RETRY_MILLIS)));
 	}
 
 	private static void refuse(HttpServerExchange exchange, CallerAnswer answer, int status, Code code) {
 		exchange.dispatch(SameThreadExecutor.INSTANCE,
-				() -> answer.refuse(Refusal.bad(status, code.name(), code.summary())));
+				() -> answer.refuse(Refusal.invalidRequest(status, code.name(), code.summary())));
 	}
 
 }
--- a/entry/src/main/java/org/wisteriapost/entry/direct/DirectMetrics.java
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/DirectMetrics.java
@@ -6,8 +6,8 @@
 import io.micrometer.core.instrument.DistributionSummary;
 import io.micrometer.core.instrument.MeterRegistry;
 import io.micrometer.core.instrument.Timer;
+import org.wisteriapost.policy.dispatch.DispatchOutcome;
 import org.wisteriapost.policy.dispatch.Job;
-import org.wisteriapost.policy.dispatch.Outcome;
 
 /**
  * The entry's counters and latency histograms.
@@ -53,9 +53,9 @@
 		this.registry.counter(PREFIX + "dispatches").increment();
 	}
 
-	void dispatchEnded(Job job, Outcome outcome, long nowNanos) {
+	void dispatchEnded(Job job, DispatchOutcome outcome, long nowNanos) {
 		this.registry.counter(PREFIX + "dispatches.ended", "outcome", outcome.name()).increment();
-		if (outcome == Outcome.DONE) {
+		if (outcome == DispatchOutcome.DONE) {
 			this.wholeAnswer.record(nowNanos - job.arrivedNanos(), TimeUnit.NANOSECONDS);
 		}
 	}
--- a/entry/src/main/java/org/wisteriapost/entry/direct/DirectOutput.java
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/DirectOutput.java
@@ -11,14 +11,14 @@
 import org.wisteriapost.entry.caller.Refusal;
 import org.wisteriapost.kernel.Code;
 import org.wisteriapost.policy.dispatch.DispatchEffect;
+import org.wisteriapost.policy.dispatch.DispatchOutcome;
 import org.wisteriapost.policy.dispatch.Job;
-import org.wisteriapost.policy.dispatch.Outcome;
 import org.wisteriapost.policy.routing.Organisation;
 import org.wisteriapost.protocol.http.HttpCall;
-import org.wisteriapost.protocol.http.HttpCaller;
-import org.wisteriapost.protocol.http.HttpTimes;
-import org.wisteriapost.protocol.site.CallDialect;
-import org.wisteriapost.protocol.site.OutboundCall;
+import org.wisteriapost.protocol.http.HttpTimeouts;
+import org.wisteriapost.protocol.http.PooledHttpClient;
+import org.wisteriapost.protocol.site.CallProtocol;
+import org.wisteriapost.protocol.site.RunnerRequestFields;
 
 /**
  * Performs the state thread's decisions on the I/O thread, in order.
@@ -47,13 +47,13 @@
 
 	private static final long MAX_PROBE_TIMEOUT_MILLIS = 400;
 
-	private final HttpCaller caller;
+	private final PooledHttpClient caller;
 
-	private final CallDialect dialect;
+	private final CallProtocol dialect;
 
 	private final Consumer<DirectEvent> events;
 
-	DirectOutput(HttpCaller caller, CallDialect dialect, Consumer<DirectEvent> events) {
+	DirectOutput(PooledHttpClient caller, CallProtocol dialect, Consumer<DirectEvent> events) {
 		this.caller = caller;
 		this.dialect = dialect;
 		this.events = events;
@@ -61,12 +61,12 @@
 
 	@Override
 	public void send(DirectCall call, DispatchEffect.Send send) {
-		int dispatch = call.job().dispatch();
+		int dispatch = call.job().dispatchNumber();
 		onIoThread(() -> {
 			if (call.complete()) {
 				// The previous dispatch completed the answer before it was cancelled.
-				this.events
-					.accept(new DirectEvent.DispatchEnded(call, dispatch, Outcome.DONE, "answer already complete"));
+				this.events.accept(
+						new DirectEvent.DispatchEnded(call, dispatch, DispatchOutcome.DONE, "answer already complete"));
 				return;
 			}
 			ResponseForwarder forwarder = new ResponseForwarder(call, dispatch, this.dialect, this.events);
@@ -82,17 +82,17 @@
 
 	@Override
 	public void refuse(DirectCall call, Code code, long retryAfterMillis) {
-		onIoThread(() -> call.answer().refuse(Refusal.later(code.name(), code.summary(), retryAfterMillis)));
+		onIoThread(() -> call.answer().refuse(Refusal.temporary(code.name(), code.summary(), retryAfterMillis)));
 	}
 
 	@Override
 	public void reject(IncomingRequest request, int status, Code code) {
-		onIoThread(() -> request.answer().refuse(Refusal.bad(status, code.name(), code.summary())));
+		onIoThread(() -> request.answer().refuse(Refusal.invalidRequest(status, code.name(), code.summary())));
 	}
 
 	@Override
 	public void refuse(IncomingRequest request, Code code, long retryAfterMillis) {
-		onIoThread(() -> request.answer().refuse(Refusal.later(code.name(), code.summary(), retryAfterMillis)));
+		onIoThread(() -> request.answer().refuse(Refusal.temporary(code.name(), code.summary(), retryAfterMillis)));
 	}
 
 	@Override
@@ -103,14 +103,14 @@
 			}
 			call.forwarder(Optional.empty());
 			int status = timeout ? GATEWAY_TIMEOUT : BAD_GATEWAY;
-			call.answer().refuse(Refusal.unknown(status, code.name(), code.summary()));
+			call.answer().refuse(Refusal.outcomeUnknown(status, code.name(), code.summary()));
 		});
 	}
 
 	@Override
 	public void forwardRunnerFailure(DirectCall call) {
 		onIoThread(() -> call.heldResponse()
-			.ifPresent((held) -> call.answer().whole(held.status(), held.headers(), "", held.body())));
+			.ifPresent((held) -> call.answer().complete(held.status(), held.headers(), "", held.body())));
 	}
 
 	private HttpCall outbound(DirectCall call, DispatchEffect.Send send) {
@@ -118,21 +118,21 @@
 		Job job = call.job();
 		long remaining = Math.max(1, TimeUnit.NANOSECONDS.toMillis(job.deadlineNanos() - System.nanoTime()));
 		Map<String, String> headers = new LinkedHashMap<>(request.headers());
-		OutboundCall headerFields = new OutboundCall(remaining, send.runner().id(),
+		RunnerRequestFields headerFields = new RunnerRequestFields(remaining, send.runner().id(),
 				job.organisation().map(Organisation::name), send.rank(), send.weightsVersion(), job.lastEvent());
-		this.dialect.outbound(headerFields).forEach((header) -> headers.put(header.getKey(), header.getValue()));
+		this.dialect.runnerHeaders(headerFields).forEach((header) -> headers.put(header.getKey(), header.getValue()));
 		URI target = URI.create("http://" + send.runner().address() + request.target());
-		HttpTimes timeouts = HttpTimes.whole(Duration.ofMillis(remaining).plus(RESPONSE_TIMEOUT_MARGIN));
+		HttpTimeouts timeouts = HttpTimeouts.total(Duration.ofMillis(remaining).plus(RESPONSE_TIMEOUT_MARGIN));
 		return new HttpCall(request.method(), target, headers, request.body(),
-				send.tries() ? timeouts.connect(probeTimeout(job.route().target())) : timeouts, maxConnectionIdle(send),
-				Optional.empty());
+				send.requiresNewConnection() ? timeouts.connect(probeTimeout(job.route().targetLatency())) : timeouts,
+				maxConnectionIdle(send), Optional.empty());
 	}
 
 	private static Optional<Duration> maxConnectionIdle(DispatchEffect.Send send) {
-		if (send.tries()) {
+		if (send.requiresNewConnection()) {
 			return Optional.of(Duration.ZERO);
 		}
-		return send.job().route().repeatable() ? Optional.empty() : Optional.of(MAX_IDLE_IF_NOT_REPEATABLE);
+		return send.job().route().retryable() ? Optional.empty() : Optional.of(MAX_IDLE_IF_NOT_REPEATABLE);
 	}
 
 	private static Duration probeTimeout(Duration target) {
--- a/entry/src/main/java/org/wisteriapost/entry/direct/DirectProcess.java
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/DirectProcess.java
@@ -19,15 +19,15 @@
 import org.wisteriapost.policy.dispatch.Dispatcher;
 import org.wisteriapost.policy.fleet.EntryInfo;
 import org.wisteriapost.protocol.admin.AdminServer;
-import org.wisteriapost.protocol.http.HttpCaller;
+import org.wisteriapost.protocol.http.PooledHttpClient;
 import org.wisteriapost.protocol.link.Links;
-import org.wisteriapost.protocol.site.CallDialect;
-import org.wisteriapost.protocol.site.FollowListener;
-import org.wisteriapost.protocol.site.Follower;
-import org.wisteriapost.protocol.site.Kind;
+import org.wisteriapost.protocol.site.CallProtocol;
+import org.wisteriapost.protocol.site.ObjectKind;
 import org.wisteriapost.protocol.site.ObjectStore;
 import org.wisteriapost.protocol.site.SiteProvider;
 import org.wisteriapost.protocol.site.SiteSettings;
+import org.wisteriapost.protocol.site.StoreListener;
+import org.wisteriapost.protocol.site.StoreWatcher;
 
 /**
  * A running entry.
@@ -42,7 +42,7 @@
 
 	private static final long TICK_MILLIS = 20;
 
-	private final HttpCaller caller;
+	private final PooledHttpClient caller;
 
 	private final Links links;
 
@@ -50,7 +50,7 @@
 
 	private final EventLoop<DirectEvent> loop;
 
-	private final Mesh mesh;
+	private final PeerLinkManager mesh;
 
 	private final DirectHttpServer httpServer;
 
@@ -60,8 +60,9 @@
 
 	private final DecisionLog log;
 
-	private DirectProcess(HttpCaller caller, Links links, ScheduledExecutorService timer, EventLoop<DirectEvent> loop,
-			Mesh mesh, DirectHttpServer httpServer, AdminServer admin, DirectView view, DecisionLog log) {
+	private DirectProcess(PooledHttpClient caller, Links links, ScheduledExecutorService timer,
+			EventLoop<DirectEvent> loop, PeerLinkManager mesh, DirectHttpServer httpServer, AdminServer admin,
+			DirectView view, DecisionLog log) {
 		this.caller = caller;
 		this.links = links;
 		this.timer = timer;
@@ -79,11 +80,11 @@
 	 */
 	public static DirectProcess start(SiteSettings settings, SiteProvider site, PrintStream out) {
 		DecisionLog log = DecisionLog.start(settings.name(), out);
-		HttpCaller caller = HttpCaller.create(1);
+		PooledHttpClient caller = PooledHttpClient.create(1);
 		Links links = Links.plain(1);
 		ScheduledThreadPoolExecutor timer = new ScheduledThreadPoolExecutor(1, Thread.ofPlatform().daemon().factory());
 		ObjectStore store = site.store(caller, settings);
-		CallDialect dialect = site.dialect();
+		CallProtocol dialect = site.callProtocol();
 		DirectView view = new DirectView(EntryClocks.SYSTEM);
 		UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(System.nanoTime());
 		EntryInfo self = self(settings, random);
@@ -93,44 +94,44 @@
 				EntryClocks.SYSTEM, view);
 		EventLoop<DirectEvent> loop = EventLoop.start("entry", EVENT_RING_SIZE, state::apply);
 		view.loop(loop);
-		Mesh mesh = Mesh.start(links, new InetSocketAddress(settings.host(), settings.linkPort()), settings.name(),
-				settings.place(), timer, view::put, log);
-		Following following = new Following();
+		PeerLinkManager mesh = PeerLinkManager.start(links, new InetSocketAddress(settings.host(), settings.linkPort()),
+				settings.name(), settings.failureDomain(), timer, view::put, log);
+		StoreWatches following = new StoreWatches();
 		state.connect(mesh, store, following);
 		DirectHttpServer httpServer = DirectHttpServer.start(settings, dialect, caller.worker(), view);
 		AdminServer admin = AdminServer.start(new InetSocketAddress(settings.host(), settings.adminPort()), registry,
 				view::ready, caller.worker());
-		for (Kind kind : Kind.values()) {
-			following.add(kind, Follower.start(store, kind, timer, listener(kind, view::put)));
+		for (ObjectKind kind : ObjectKind.values()) {
+			following.add(kind, StoreWatcher.start(store, kind, timer, listener(kind, view::put)));
 		}
 		timer.scheduleWithFixedDelay(() -> view.offer(new DirectEvent.Tick()), TICK_MILLIS, TICK_MILLIS,
 				TimeUnit.MILLISECONDS);
-		log.decision("started", "role", "entry", "place", settings.place());
+		log.decision("started", "role", "entry", "place", settings.failureDomain());
 		return new DirectProcess(caller, links, timer, loop, mesh, httpServer, admin, view, log);
 	}
 
 	private static EntryInfo self(SiteSettings settings, UniformRandomProvider random) {
-		InetSocketAddress front = settings.front().orElseThrow();
+		InetSocketAddress front = settings.callerAddress().orElseThrow();
 		return new EntryInfo(settings.name(), random.nextLong(Long.MAX_VALUE),
 				front.getHostString() + ":" + front.getPort(), settings.host() + ":" + settings.linkPort(),
-				settings.place(), settings.region());
+				settings.failureDomain(), settings.region());
 	}
 
 	private static DispatchLimits limits(SiteSettings settings) {
-		SiteSettings.Bounds bounds = settings.bounds();
-		return new DispatchLimits(settings.place(), bounds.retryShare(), bounds.retryExtra(), bounds.retryWindow(),
-				bounds.weightsInForce());
+		SiteSettings.Guarantees bounds = settings.guarantees();
+		return new DispatchLimits(settings.failureDomain(), bounds.maxRetryShare(), bounds.retryBurst(),
+				bounds.retryWindow(), bounds.weightsActivationDelay());
 	}
 
 	/**
-	 * Returns a listener that turns a {@link Follower}'s callbacks into events.
+	 * Returns a listener that turns a {@link StoreWatcher}'s callbacks into events.
 	 */
-	static FollowListener listener(Kind kind, Consumer<DirectEvent> events) {
-		return new FollowListener() {
+	static StoreListener listener(ObjectKind kind, Consumer<DirectEvent> events) {
+		return new StoreListener() {
 
 			@Override
-			public void onAll(List<ObjectStore.Item> items, long at) {
-				events.accept(new DirectEvent.AllObjects(kind, items, at));
+			public void onSnapshot(List<ObjectStore.Item> items, long at) {
+				events.accept(new DirectEvent.ObjectsListed(kind, items, at));
 			}
 
 			@Override
@@ -144,13 +145,13 @@
 			}
 
 			@Override
-			public void onDoubt() {
+			public void onPossiblyStale() {
 				events.accept(new DirectEvent.StoreWatchLost());
 			}
 
 			@Override
-			public void onReachable(boolean reachable) {
-				events.accept(new DirectEvent.StoreReachable(kind, reachable));
+			public void onReachabilityChanged(boolean reachable) {
+				events.accept(new DirectEvent.StoreReachability(kind, reachable));
 			}
 
 		};
--- a/entry/src/main/java/org/wisteriapost/entry/direct/DirectState.java
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/DirectState.java
@@ -9,18 +9,18 @@
 import java.util.concurrent.TimeUnit;
 
 import org.apache.commons.rng.UniformRandomProvider;
-import org.wisteriapost.kernel.SuspensionWatch;
+import org.wisteriapost.kernel.SuspensionDetector;
 import org.wisteriapost.kernel.log.DecisionLog;
 import org.wisteriapost.policy.dispatch.DispatchEffect;
+import org.wisteriapost.policy.dispatch.DispatchOutcome;
 import org.wisteriapost.policy.dispatch.Dispatcher;
 import org.wisteriapost.policy.dispatch.Job;
-import org.wisteriapost.policy.dispatch.Outcome;
 import org.wisteriapost.policy.fleet.EntryInfo;
-import org.wisteriapost.policy.fleet.StoreDuty;
-import org.wisteriapost.policy.fleet.UpstreamChoice;
+import org.wisteriapost.policy.fleet.StoreRole;
+import org.wisteriapost.policy.fleet.UpstreamSelector;
 import org.wisteriapost.policy.routing.RouteTable;
-import org.wisteriapost.protocol.site.EngineFrames;
-import org.wisteriapost.protocol.site.Kind;
+import org.wisteriapost.protocol.site.EngineStatusCodec;
+import org.wisteriapost.protocol.site.ObjectKind;
 import org.wisteriapost.protocol.site.ObjectStore;
 import org.wisteriapost.protocol.site.SiteSettings;
 import org.wisteriapost.protocol.wire.EchoRequest;
@@ -54,33 +54,33 @@
 
 	private final EntryClocks clocks;
 
-	private final EntryRoster roster;
+	private final EntryRegistry roster;
 
-	private final Announcer announcer;
+	private final PeerNotifier announcer;
 
 	private final DirectView view;
 
 	private final GracefulShutdown shutdown;
 
-	private final SiteBeliefs localView;
+	private final SiteView localView;
 
-	private final Intake admission;
+	private final RequestAdmission admission;
 
-	private final SuspensionWatch suspension;
+	private final SuspensionDetector suspension;
 
 	private final Map<Long, DirectCall> calls = new HashMap<>();
 
 	private Optional<ObjectStore> store = Optional.empty();
 
-	private Optional<PeerSender> peers = Optional.empty();
+	private Optional<PeerTransport> peers = Optional.empty();
 
-	private Optional<SiteNews> updates = Optional.empty();
+	private Optional<StoreReplication> updates = Optional.empty();
 
-	private Optional<StoreReading> storeReading = Optional.empty();
+	private Optional<StoreRoleController> storeReading = Optional.empty();
 
-	private Optional<LoadReports> loadReports = Optional.empty();
+	private Optional<LoadReporter> loadReports = Optional.empty();
 
-	private Optional<PlaceNews> failureDomainUpdates = Optional.empty();
+	private Optional<FailureDomainRelay> failureDomainUpdates = Optional.empty();
 
 	private boolean registering;
 
@@ -94,38 +94,39 @@
 		this.log = log;
 		this.metrics = metrics;
 		this.clocks = clocks;
-		this.activationDelay = settings.bounds().declaredInForce();
-		this.roster = new EntryRoster(self);
-		this.announcer = new Announcer(settings, self, this.roster, dispatcher);
-		this.localView = new SiteBeliefs(dispatcher, this.roster, this.announcer, log,
-				settings.bounds().declaredInForce());
+		this.activationDelay = settings.guarantees().declarationActivationDelay();
+		this.roster = new EntryRegistry(self);
+		this.announcer = new PeerNotifier(settings, self, this.roster, dispatcher);
+		this.localView = new SiteView(dispatcher, this.roster, this.announcer, log,
+				settings.guarantees().declarationActivationDelay());
 		this.view = view;
-		this.shutdown = new GracefulShutdown(settings.bounds().grace());
-		this.admission = new Intake(this.localView, this.shutdown, output, log, metrics, random, this::isFollower);
-		this.suspension = SuspensionWatch.start(now(), clocks.wallMillis().getAsLong());
+		this.shutdown = new GracefulShutdown(settings.guarantees().shutdownGrace());
+		this.admission = new RequestAdmission(this.localView, this.shutdown, output, log, metrics, random,
+				this::isFollower);
+		this.suspension = SuspensionDetector.start(now(), clocks.wallMillis().getAsLong());
 	}
 
 	/**
 	 * Sets the peers that frames are sent to and the store.
 	 */
-	void connect(PeerSender peers, ObjectStore objectStore, Following following) {
-		this.announcer.connect(peers);
+	void connect(PeerTransport peers, ObjectStore objectStore, StoreWatches following) {
+		this.announcer.setTransport(peers);
 		this.store = Optional.of(objectStore);
 		this.peers = Optional.of(peers);
-		StoreDuty duty = StoreDuty.of(this.self.name(), this.activationDelay);
-		UpstreamChoice upstream = UpstreamChoice.of(this.self.name());
-		SiteNews exchange = new SiteNews(objectStore, duty, upstream, peers::send, this.clocks.monotonicNanos(),
-				this.log);
+		StoreRole duty = StoreRole.of(this.self.name(), this.activationDelay);
+		UpstreamSelector upstream = UpstreamSelector.of(this.self.name());
+		StoreReplication exchange = new StoreReplication(objectStore, duty, upstream, peers::send,
+				this.clocks.monotonicNanos(), this.log);
 		this.updates = Optional.of(exchange);
-		this.storeReading = Optional.of(new StoreReading(duty, exchange, following, peers::send, this.log));
-		this.loadReports = Optional.of(new LoadReports(this.self.place(), peers::send));
+		this.storeReading = Optional.of(new StoreRoleController(duty, exchange, following, peers::send, this.log));
+		this.loadReports = Optional.of(new LoadReporter(this.self.failureDomain(), peers::send));
 		this.failureDomainUpdates = Optional
-			.of(new PlaceNews(this.self.place(), this.roster, this.dispatcher, peers::send));
+			.of(new FailureDomainRelay(this.self.failureDomain(), this.roster, this.dispatcher, peers::send));
 	}
 
 	void apply(DirectEvent event) {
 		long now = now();
-		if (this.suspension.woke(now, this.clocks.wallMillis().getAsLong())) {
+		if (this.suspension.detectSuspension(now, this.clocks.wallMillis().getAsLong())) {
 			resumed(now);
 		}
 		switch (event) {
@@ -134,23 +135,24 @@
 			case DirectEvent.RunnerConnected connected -> runnerConnected(connected, now);
 			case DirectEvent.FirstEventForwarded first -> firstEventForwarded(first, now);
 			case DirectEvent.DispatchEnded ended -> dispatchEnded(ended, now);
-			case DirectEvent.AllObjects listed -> objectsListed(listed, now);
+			case DirectEvent.ObjectsListed listed -> objectsListed(listed, now);
 			case DirectEvent.ObjectChanged changed -> objectChanged(changed.kind(), changed.change(), now);
-			case DirectEvent.StoreReachable reachable -> storeReachable(reachable, now);
+			case DirectEvent.StoreReachability reachable -> storeReachable(reachable, now);
 			case DirectEvent.StoreConfirmed confirmed -> storeConfirmed(confirmed);
-			case DirectEvent.StoreWatchLost lost -> this.updates.ifPresent(SiteNews::dismiss);
-			case DirectEvent.PeerLink link -> peerLink(link.peer(), link.up(), now);
-			case DirectEvent.PeerLeaving leaving -> this.roster.leaving(leaving.peer());
-			case DirectEvent.PeerMet identified -> peerIdentified(identified.peer());
-			case DirectEvent.PeerLoads loads -> peerLoads(loads.peer(), loads.report(), now);
-			case DirectEvent.PlaceSays report ->
-				this.failureDomainUpdates.ifPresent((domains) -> domains.heard(report.peer(), report.state(), now)
+			case DirectEvent.StoreWatchLost lost -> this.updates.ifPresent(StoreReplication::dismissSubscribers);
+			case DirectEvent.PeerLinkChanged link -> peerLink(link.peer(), link.up(), now);
+			case DirectEvent.PeerLeaving leaving -> this.roster.markLeaving(leaving.peer());
+			case DirectEvent.PeerIdentified identified -> peerIdentified(identified.peer());
+			case DirectEvent.PeerLoadReported loads -> peerLoads(loads.peer(), loads.report(), now);
+			case DirectEvent.FailureDomainReported report -> this.failureDomainUpdates
+				.ifPresent((domains) -> domains.stateReceived(report.peer(), report.report(), now)
 					.forEach((one) -> engineStatus(one, now)));
-			case DirectEvent.PeerNews update -> peerUpdate(update, now);
-			case DirectEvent.PeerWantsNews subscription ->
-				this.updates.ifPresent((updates) -> updates.asked(subscription.peer(), subscription.request()));
-			case DirectEvent.AgentSays reported -> engineStatus(reported.state(), now);
-			case DirectEvent.AgentEcho echo -> this.dispatcher.ways().echoed(echo.address(), echo.stampNanos(), now);
+			case DirectEvent.PeerStateUpdated update -> peerUpdate(update, now);
+			case DirectEvent.PeerSubscriptionChanged subscription -> this.updates
+				.ifPresent((updates) -> updates.requestReceived(subscription.peer(), subscription.request()));
+			case DirectEvent.EngineStatusReported reported -> engineStatus(reported.status(), now);
+			case DirectEvent.EchoReceived echo ->
+				this.dispatcher.runnerPaths().echoReceived(echo.address(), echo.stampNanos(), now);
 			case DirectEvent.Tick tick -> tick(now);
 			case DirectEvent.Leave leave -> leave(now);
 		}
@@ -171,50 +173,50 @@
 	private void requestArrived(IncomingRequest request, long now) {
 		this.admission.admit(request, now).ifPresent((job) -> {
 			this.calls.put(request.id(), new DirectCall(request, job));
-			this.dispatcher.arrived(job, now);
+			this.dispatcher.requestArrived(job, now);
 		});
 	}
 
 	private void callerDisconnected(long id, long now) {
 		DirectCall call = this.calls.get(id);
 		if (call != null) {
-			this.log.decision("caller-gone", "attempt", call.job().attempt());
-			this.dispatcher.gone(call.job(), now);
+			this.log.decision("caller-gone", "attempt", call.job().attemptId());
+			this.dispatcher.callerDisconnected(call.job(), now);
 			applyEffects();
 			this.calls.remove(id);
 		}
 	}
 
 	private void runnerConnected(DirectEvent.RunnerConnected connected, long now) {
-		if (connected.dispatch() == connected.call().job().dispatch()) {
+		if (connected.dispatch() == connected.call().job().dispatchNumber()) {
 			Job job = connected.call().job();
 			long millis = TimeUnit.NANOSECONDS.toMillis(now - job.sentNanos());
 			if (millis >= SLOW_CONNECTION_MILLIS) {
-				this.log.decision("slow-connection", "attempt", job.attempt(), "dispatch", connected.dispatch(), "ms",
+				this.log.decision("slow-connection", "attempt", job.attemptId(), "dispatch", connected.dispatch(), "ms",
 						millis);
 			}
-			this.dispatcher.connected(job, now);
+			this.dispatcher.connectionEstablished(job, now);
 		}
 	}
 
 	private void firstEventForwarded(DirectEvent.FirstEventForwarded first, long now) {
-		if (first.dispatch() == first.call().job().dispatch()) {
+		if (first.dispatch() == first.call().job().dispatchNumber()) {
 			this.metrics.firstEvent(first.call().job(), now);
-			this.dispatcher.firstEvent(first.call().job(), now);
+			this.dispatcher.firstEventSent(first.call().job(), now);
 		}
 	}
 
 	private void dispatchEnded(DirectEvent.DispatchEnded ended, long now) {
 		Job job = ended.call().job();
-		if (ended.dispatch() != job.dispatch()) {
+		if (ended.dispatch() != job.dispatchNumber()) {
 			return;
 		}
-		this.log.decision("dispatch-ended", "attempt", job.attempt(), "dispatch", ended.dispatch(), "outcome",
+		this.log.decision("dispatch-ended", "attempt", job.attemptId(), "dispatch", ended.dispatch(), "outcome",
 				ended.outcome(), "detail", ended.detail(), "events", job.events(), "ageMs",
 				TimeUnit.NANOSECONDS.toMillis(now - job.arrivedNanos()));
 		this.metrics.dispatchEnded(job, ended.outcome(), now);
-		this.dispatcher.ended(job, ended.outcome(), now);
-		if (ended.outcome() == Outcome.DONE) {
+		this.dispatcher.dispatchEnded(job, ended.outcome(), now);
+		if (ended.outcome() == DispatchOutcome.DONE) {
 			this.calls.remove(job.id());
 		}
 	}
@@ -223,111 +225,115 @@
 
 	// Discards what was read while this entry became a follower: it is older than what
 	// the leader sends.
-	private void objectsListed(DirectEvent.AllObjects listed, long now) {
+	private void objectsListed(DirectEvent.ObjectsListed listed, long now) {
 		if (isFollower()) {
 			discarded(listed.kind());
 			return;
 		}
-		this.updates.ifPresent((updates) -> updates.read(listed.kind(), listed.items(), listed.at()));
-		this.localView.all(listed.kind(), listed.items(), now);
+		this.updates.ifPresent((updates) -> updates.applyFromStore(listed.kind(), listed.items(), listed.revision()));
+		this.localView.replaceAll(listed.kind(), listed.items(), now);
 	}
 
-	private void objectChanged(Kind kind, ObjectStore.Change change, long now) {
+	private void objectChanged(ObjectKind kind, ObjectStore.Change change, long now) {
 		if (isFollower()) {
 			discarded(kind);
 		}
-		else if (this.updates.map((updates) -> updates.read(kind, change)).orElse(true)) {
-			this.localView.changed(kind, change, now);
+		else if (this.updates.map((updates) -> updates.applyFromStore(kind, change)).orElse(true)) {
+			this.localView.applyChange(kind, change, now);
 		}
 	}
 
-	private void discarded(Kind kind) {
-		this.storeReading.ifPresent((reading) -> reading.missed(kind));
+	private void discarded(ObjectKind kind) {
+		this.storeReading.ifPresent((reading) -> reading.readDiscarded(kind));
 	}
 
 	private boolean isFollower() {
-		return this.storeReading.map(StoreReading::rests).orElse(false);
+		return this.storeReading.map(StoreRoleController::isFollower).orElse(false);
 	}
 
-	private void storeReachable(DirectEvent.StoreReachable reachable, long now) {
+	private void storeReachable(DirectEvent.StoreReachability reachable, long now) {
 		this.log.decision("store", "kind", reachable.kind(), "reachable", reachable.reachable());
-		if (reachable.kind() == Kind.RUNNERS) {
-			this.dispatcher.store(reachable.reachable(), now);
-			this.updates.ifPresent((updates) -> updates.reachable(reachable.reachable()));
+		if (reachable.kind() == ObjectKind.RUNNERS) {
+			this.dispatcher.updateStoreReachable(reachable.reachable(), now);
+			this.updates.ifPresent((updates) -> updates.storeReachable(reachable.reachable()));
 		}
 	}
 
 	// A follower discards what its own store connection delivers, so that confirms
 	// nothing.
 	private void storeConfirmed(DirectEvent.StoreConfirmed confirmed) {
-		if (confirmed.kind() == Kind.ROUTES && !isFollower()) {
-			this.localView.confirmed(confirmed.asOfNanos());
-			this.updates.ifPresent((updates) -> updates.confirmed(confirmed.asOfNanos()));
+		if (confirmed.kind() == ObjectKind.ROUTES && !isFollower()) {
+			this.localView.routesConfirmed(confirmed.asOfNanos());
+			this.updates.ifPresent((updates) -> updates.routesConfirmed(confirmed.asOfNanos()));
 		}
 	}
 
 	// Applies state updates that another entry forwards.
-	private void peerUpdate(DirectEvent.PeerNews received, long now) {
+	private void peerUpdate(DirectEvent.PeerStateUpdated received, long now) {
 		List<DirectEvent> applied = this.storeReading
-			.map((reading) -> reading.heard(received.peer(), received.news(), now))
+			.map((reading) -> reading.updateReceived(received.peer(), received.update(), now))
 			.orElse(List.of());
 		if (!applied.isEmpty()) {
-			this.dispatcher.store(true, now);
+			this.dispatcher.updateStoreReachable(true, now);
 		}
 		for (DirectEvent one : applied) {
 			switch (one) {
-				case DirectEvent.AllObjects listed -> this.localView.all(listed.kind(), listed.items(), now);
-				case DirectEvent.ObjectChanged change -> this.localView.changed(change.kind(), change.change(), now);
+				case DirectEvent.ObjectsListed listed -> this.localView.replaceAll(listed.kind(), listed.items(), now);
+				case DirectEvent.ObjectChanged change ->
+					this.localView.applyChange(change.kind(), change.change(), now);
 				default -> throw new IllegalStateException("unexpected event from the store: " + one);
 			}
 		}
-		this.updates.map(SiteNews::asOfNanos).orElse(OptionalLong.empty()).ifPresent(this.localView::confirmed);
+		this.updates.map(StoreReplication::routesConfirmedNanos)
+			.orElse(OptionalLong.empty())
+			.ifPresent(this.localView::routesConfirmed);
 	}
 
 	// Events from peers and agents, and reports to them.
 
 	private void peerLink(String peer, boolean up, long now) {
-		this.roster.linked(peer, up, now);
-		this.announcer.changed();
+		this.roster.linkChanged(peer, up, now);
+		this.announcer.peersChanged();
 		if (up) {
-			this.announcer.linked(peer, this.localView.table());
-			this.loadReports.ifPresent(LoadReports::again);
+			this.announcer.linkEstablished(peer, this.localView.routeTable());
+			this.loadReports.ifPresent(LoadReporter::repeatAll);
 		}
 		else {
-			this.dispatcher.peerGone(peer);
-			this.dispatcher.ways().agentGone(peer);
+			this.dispatcher.removePeer(peer);
+			this.dispatcher.runnerPaths().agentDisconnected(peer);
 		}
 	}
 
 	private void peerIdentified(String peer) {
-		this.announcer.met(peer);
-		this.updates.ifPresent((updates) -> updates.linked(peer));
+		this.announcer.greetingReceived(peer);
+		this.updates.ifPresent((updates) -> updates.linkEstablished(peer));
 	}
 
 	private void peerLoads(String peer, LoadReport report, long now) {
-		report.getRefusedList().forEach((one) -> this.dispatcher.peerRefused(LoadFrames.read(one, now)));
-		report.getLoadsList().forEach((load) -> this.dispatcher.peerLoad(peer, LoadFrames.read(load), now));
+		report.getRefusedList().forEach((one) -> this.dispatcher.recordPeerRefusal(LoadReportCodec.decode(one, now)));
+		report.getLoadsList()
+			.forEach((load) -> this.dispatcher.updatePeerLoad(peer, LoadReportCodec.decode(load), now));
 	}
 
 	private void engineStatus(EngineState status, long now) {
 		this.log.decision("agent-says", "address", status.getAddress(), "version", status.getVersion(), "switching",
 				status.getSwitching(), "closesInMs", status.getClosesInMillis());
-		this.dispatcher.agentSays(status.getAddress(), EngineFrames.read(status, now), now);
+		this.dispatcher.updateEngineStatus(status.getAddress(), EngineStatusCodec.decode(status, now), now);
 	}
 
 	private void tick(long now) {
 		this.ticks++;
 		this.dispatcher.tick(now);
-		this.announcer.tick(this.localView.table(), now);
-		this.loadReports
-			.ifPresent((reports) -> reports.tick(this.ticks, now, this.roster::told, this.dispatcher.fleet()::ownLoad));
+		this.announcer.tick(this.localView.routeTable(), now);
+		this.loadReports.ifPresent((reports) -> reports.tick(this.ticks, now, this.roster::loadReportReceivers,
+				this.dispatcher.fleetView()::ownLoad));
 		this.failureDomainUpdates.ifPresent((domains) -> domains.tick(this.ticks, now));
 		if (this.ticks % TICKS_PER_UPDATE == 0) {
-			this.dispatcher.entries(this.roster.count());
-			this.updates
-				.ifPresent((updates) -> updates.tick(this.roster.distances(this.peers.orElseThrow().entries()), now));
+			this.dispatcher.updateEntryCount(this.roster.entryCount());
+			this.updates.ifPresent((updates) -> updates
+				.tick(this.roster.linkDistances(this.peers.orElseThrow().linkedEntries()), now));
 			this.storeReading
-				.ifPresent((reading) -> reading.tick(this.roster.sharingReader(), this.localView.whole(), now));
+				.ifPresent((reading) -> reading.tick(this.roster.leaderGroup(), this.localView.allKindsKnown(), now));
 		}
 		if (this.ticks % TICKS_PER_ECHO == 0) {
 			requestEchoes(now);
@@ -337,11 +343,11 @@
 
 	private void requestEchoes(long now) {
 		Frame echoRequest = Frame.newBuilder().setEchoRequest(EchoRequest.newBuilder().setStamp(now)).build();
-		this.dispatcher.ways()
-			.changes(now)
-			.forEach((path) -> this.log.decision("way", "address", path.address(), "closed", path.closed()));
-		this.dispatcher.ways()
-			.toAsk(now)
+		this.dispatcher.runnerPaths()
+			.pollChanges(now)
+			.forEach((path) -> this.log.decision("way", "address", path.address(), "closed", path.blocked()));
+		this.dispatcher.runnerPaths()
+			.runnersToProbe(now)
 			.forEach((address) -> this.peers.ifPresent((sender) -> sender.send(address, echoRequest)));
 	}
 
@@ -354,7 +360,7 @@
 			this.store.get().register(this.self).whenComplete((none, failure) -> this.registering = false);
 		}
 		if (this.ticks % 100 == 0) {
-			this.roster.dead(now).ifPresent((dead) -> {
+			this.roster.expiredRegistration(now).ifPresent((dead) -> {
 				this.log.decision("entry-removed", "entry", dead.info().name());
 				this.store.get().unregister(dead.info().name(), dead.revision());
 			});
@@ -367,13 +373,13 @@
 		}
 		this.shutdown.begin(now);
 		this.log.decision("leaving", "inProgress", this.dispatcher.inProgress());
-		this.announcer.leaving();
+		this.announcer.announceLeaving();
 	}
 
 	// Effects.
 
 	private void applyEffects() {
-		for (DispatchEffect effect : this.dispatcher.drain()) {
+		for (DispatchEffect effect : this.dispatcher.drainEffects()) {
 			DirectCall call = this.calls.get(effect.job().id());
 			if (call != null) {
 				applyEffects(effect, call);
@@ -384,18 +390,18 @@
 	private void applyEffects(DispatchEffect effect, DirectCall call) {
 		switch (effect) {
 			case DispatchEffect.Send send -> {
-				this.log.decision("dispatched", "attempt", send.job().attempt(), "dispatch", send.job().dispatch(),
-						"route", send.job().route().name(), "runner", send.runner().id(), "address",
-						send.runner().address(), "rank", send.rank(), "version", send.weightsVersion(), "table",
-						this.localView.version(), "prompt", send.job().size().promptTokens(), "answer",
-						send.job().size().answerTokens(), "predictedMs", Math.round(send.job().predictedMillis()),
-						"tries", send.tries());
+				this.log.decision("dispatched", "attempt", send.job().attemptId(), "dispatch",
+						send.job().dispatchNumber(), "route", send.job().route().name(), "runner", send.runner().id(),
+						"address", send.runner().address(), "rank", send.rank(), "version", send.weightsVersion(),
+						"table", this.localView.routeTableVersion(), "prompt", send.job().size().promptTokens(),
+						"answer", send.job().size().maxAnswerTokens(), "predictedMs",
+						Math.round(send.job().predictedMillis()), "tries", send.requiresNewConnection());
 				this.metrics.dispatched();
 				this.output.send(call, send);
 			}
-			case DispatchEffect.Stop stop -> this.output.stop(call);
+			case DispatchEffect.Cancel stop -> this.output.stop(call);
 			case DispatchEffect.Refuse refuse -> {
-				this.log.failure("refused", "attempt", refuse.job().attempt(), "code", refuse.code().name(), "route",
+				this.log.failure("refused", "attempt", refuse.job().attemptId(), "code", refuse.code().name(), "route",
 						refuse.job().route().name(), "retryAfterMs", refuse.retryAfterMillis(), "ageMs",
 						TimeUnit.NANOSECONDS.toMillis(now() - refuse.job().arrivedNanos()));
 				this.metrics.answered("refused", refuse.code().name());
@@ -404,15 +410,15 @@
 				this.calls.remove(refuse.job().id());
 			}
 			case DispatchEffect.Fail fail -> {
-				this.log.failure("failed", "attempt", fail.job().attempt(), "code", fail.code().name(), "events",
+				this.log.failure("failed", "attempt", fail.job().attemptId(), "code", fail.code().name(), "events",
 						fail.job().events());
 				this.metrics.answered("failed", fail.code().name());
 				this.output.fail(call, fail.code(), fail.timeout());
 				reportRefused(fail.job());
 				this.calls.remove(fail.job().id());
 			}
-			case DispatchEffect.PassOn passOn -> {
-				this.log.failure("passed-on", "attempt", passOn.job().attempt());
+			case DispatchEffect.ForwardError passOn -> {
+				this.log.failure("passed-on", "attempt", passOn.job().attemptId());
 				this.output.forwardRunnerFailure(call);
 				this.calls.remove(passOn.job().id());
 			}
@@ -420,16 +426,16 @@
 	}
 
 	private void reportRefused(Job job) {
-		this.loadReports.ifPresent((reports) -> job.refused().ifPresent(reports::refused));
+		this.loadReports.ifPresent((reports) -> job.refusedRequest().ifPresent(reports::addRefusedRequest));
 	}
 
 	private boolean ready() {
-		return this.localView.complete() && !this.shutdown.leaving();
+		return this.localView.isReady() && !this.shutdown.leaving();
 	}
 
 	private void publish() {
-		this.view.publish(ready(), this.shutdown.leaving(), this.roster.ready(ready()), this.roster.byPlace(),
-				this.localView.table().map(RouteTable::limits),
+		this.view.publish(ready(), this.shutdown.leaving(), this.roster.advertisedEntries(ready()),
+				this.roster.scopedByFailureDomain(), this.localView.routeTable().map(RouteTable::limits),
 				this.localView.rejectionPermit(now(), this.clocks.wallMillis().getAsLong()),
 				this.shutdown.mayExit(this.dispatcher.inProgress(), now()));
 	}
--- a/entry/src/main/java/org/wisteriapost/entry/direct/DirectView.java
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/DirectView.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.CompletableFuture;
 
 import org.wisteriapost.kernel.EventLoop;
-import org.wisteriapost.policy.fleet.CallerEntries;
+import org.wisteriapost.policy.fleet.AdvertisedEntries;
 import org.wisteriapost.policy.fleet.EntryInfo;
 import org.wisteriapost.policy.routing.CallLimits;
 import org.wisteriapost.policy.routing.RejectionPermit;
@@ -73,9 +73,9 @@
 	@Override
 	public List<String> addresses(Optional<String> failureDomain) {
 		Snapshot current = this.snapshot;
-		return CallerEntries.choose(current.entries(), failureDomain, current.scopedByFailureDomain())
+		return AdvertisedEntries.select(current.entries(), failureDomain, current.scopedByFailureDomain())
 			.stream()
-			.map(EntryInfo::front)
+			.map(EntryInfo::callerAddress)
 			.toList();
 	}
 
--- a/entry/src/main/java/org/wisteriapost/entry/direct/EntryRoster.java
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/EntryRegistry.java
@@ -18,8 +18,8 @@
 import org.wisteriapost.policy.fleet.EntryInfo;
 import org.wisteriapost.policy.fleet.EntryLinks;
 import org.wisteriapost.policy.fleet.LinkedEntry;
-import org.wisteriapost.policy.fleet.Rendezvous;
-import org.wisteriapost.policy.fleet.StoreDuty;
+import org.wisteriapost.policy.fleet.RendezvousHashing;
+import org.wisteriapost.policy.fleet.StoreRole;
 
 /**
  * The registered entries, and those of them that are alive and advertised to callers.
@@ -29,7 +29,7 @@
  * it is up: a killed process closes it at once, and a silent machine is detected after
  * three seconds. The store only tells which entries to link to.
  */
-final class EntryRoster {
+final class EntryRegistry {
 
 	// Long enough for a restart, so that the registration of a restarting entry is
 	// rarely removed.
@@ -56,9 +56,9 @@
 
 	private final Memoized<List<EntryInfo>> failureDomainPeers = memoize(this::computeFailureDomainPeers);
 
-	private final Memoized<EntryCount> count = memoize(this::computeCount);
+	private final Memoized<EntryCount> entryCount = memoize(this::computeCount);
 
-	private final Memoized<Set<String>> sharingReader = memoize(this::computeLeaderGroup);
+	private final Memoized<Set<String>> leaderGroup = memoize(this::computeLeaderGroup);
 
 	private final Memoized<Boolean> isRelay = memoize(this::computeIsRelay);
 
@@ -66,7 +66,7 @@
 
 	private final Memoized<List<EntryInfo>> advertisedWithSelf = memoize(this::computeAdvertisedWithSelf);
 
-	EntryRoster(EntryInfo self) {
+	EntryRegistry(EntryInfo self) {
 		this.self = self;
 	}
 
@@ -83,7 +83,7 @@
 	void put(EntryInfo info, long revision, long nowNanos) {
 		invalidate();
 		Registration before = this.registered.get(info.name());
-		if (before == null || before.info.started() != info.started()) {
+		if (before == null || before.info.incarnation() != info.incarnation()) {
 			this.leavingNames.remove(info.name());
 			this.registered.put(info.name(), new Registration(info, revision, nowNanos));
 			return;
@@ -101,7 +101,7 @@
 		this.registered.keySet().retainAll(names);
 	}
 
-	void linked(String name, boolean up, long nowNanos) {
+	void linkChanged(String name, boolean up, long nowNanos) {
 		invalidate();
 		if (up) {
 			this.linkedNames.add(name);
@@ -115,7 +115,7 @@
 		}
 	}
 
-	void leaving(String name) {
+	void markLeaving(String name) {
 		invalidate();
 		this.leavingNames.add(name);
 	}
@@ -137,7 +137,7 @@
 	 */
 	boolean selfRegistered() {
 		Registration own = this.registered.get(this.self.name());
-		return own != null && own.info.started() == this.self.started();
+		return own != null && own.info.incarnation() == this.self.incarnation();
 	}
 
 	/**
@@ -148,7 +148,7 @@
 	}
 
 	private List<EntryInfo> computeLinkTargets() {
-		return EntryLinks.choose(this.self, registeredPeers());
+		return EntryLinks.select(this.self, registeredPeers());
 	}
 
 	/**
@@ -170,14 +170,14 @@
 	}
 
 	private List<EntryInfo> computeFailureDomainPeers() {
-		return livePeers().stream().filter((info) -> info.place().equals(this.self.place())).toList();
+		return livePeers().stream().filter((info) -> info.failureDomain().equals(this.self.failureDomain())).toList();
 	}
 
 	/**
 	 * Returns the entries to advertise to callers.
 	 * @param self whether this entry is one of them
 	 */
-	List<EntryInfo> ready(boolean self) {
+	List<EntryInfo> advertisedEntries(boolean self) {
 		return self ? this.advertisedWithSelf.get() : this.advertisedPeers.get();
 	}
 
@@ -188,7 +188,7 @@
 	private List<EntryInfo> computeAdvertisedPeers() {
 		return livePeers().stream()
 			.filter((info) -> !this.leavingNames.contains(info.name()))
-			.sorted(Comparator.comparing(EntryInfo::front))
+			.sorted(Comparator.comparing(EntryInfo::callerAddress))
 			.toList();
 	}
 
@@ -196,14 +196,14 @@
 	 * Returns the failure domain of another registered entry.
 	 */
 	Optional<String> failureDomainOf(String name) {
-		return Optional.ofNullable(this.registered.get(name)).map((entry) -> entry.info.place());
+		return Optional.ofNullable(this.registered.get(name)).map((entry) -> entry.info.failureDomain());
 	}
 
 	/**
 	 * Returns the distances to other entries.
 	 * @param names of the linked entries
 	 */
-	List<LinkedEntry> distances(Collection<String> names) {
+	List<LinkedEntry> linkDistances(Collection<String> names) {
 		return names.stream()
 			.map((name) -> Optional.ofNullable(this.registered.get(name))
 				.map((entry) -> LinkedEntry.of(this.self, entry.info))
@@ -214,31 +214,32 @@
 	/**
 	 * Returns the entries that receive load reports directly from this one.
 	 */
-	List<EntryInfo> told() {
-		return byPlace() ? failureDomainPeers() : registeredPeers();
+	List<EntryInfo> loadReportReceivers() {
+		return scopedByFailureDomain() ? failureDomainPeers() : registeredPeers();
 	}
 
 	/**
 	 * Returns whether there are so many entries that direct links are scoped by failure
 	 * domain.
 	 */
-	boolean byPlace() {
+	boolean scopedByFailureDomain() {
 		int own = this.registered.containsKey(this.self.name()) ? 1 : 0;
-		return EntryLinks.byPlace(this.registered.size() - own + 1);
+		return EntryLinks.scopedByFailureDomain(this.registered.size() - own + 1);
 	}
 
 	/**
 	 * Returns how many entries share the budgets: all registered ones, except those that
 	 * this entry should be linked to and is not.
 	 */
-	EntryCount count() {
-		return this.count.get();
+	EntryCount entryCount() {
+		return this.entryCount.get();
 	}
 
 	private EntryCount computeCount() {
 		List<EntryInfo> peers = registeredPeers();
 		long unreachable = linkTargets().stream().filter((info) -> !this.linkedNames.contains(info.name())).count();
-		return new EntryCount((int) (peers.size() - unreachable) + 1, failureDomainPeers().size() + 1, byPlace());
+		return new EntryCount((int) (peers.size() - unreachable) + 1, failureDomainPeers().size() + 1,
+				scopedByFailureDomain());
 	}
 
 	/**
@@ -246,15 +247,15 @@
 	 * store for all: those of this failure domain, or all entries if links are not scoped
 	 * by failure domain.
 	 */
-	Set<String> sharingReader() {
-		return this.sharingReader.get();
+	Set<String> leaderGroup() {
+		return this.leaderGroup.get();
 	}
 
 	private Set<String> computeLeaderGroup() {
-		if (registeredPeers().size() < StoreDuty.MOST_READING_ALL) {
+		if (registeredPeers().size() < StoreRole.MAX_ENTRIES_WITHOUT_LEADER) {
 			return Set.of();
 		}
-		return told().stream()
+		return loadReportReceivers().stream()
 			.map(EntryInfo::name)
 			.filter((name) -> this.linkedNames.contains(name) && !this.leavingNames.contains(name))
 			.collect(Collectors.toSet());
@@ -273,7 +274,7 @@
 			.map(EntryInfo::name)
 			.filter((name) -> !this.leavingNames.contains(name))
 			.toList();
-		return Rendezvous.among(this.self.name(), peers, this.self.place(), 1);
+		return RendezvousHashing.isAmongFirst(this.self.name(), peers, this.self.failureDomain(), 1);
 	}
 
 	/**
@@ -281,8 +282,8 @@
 	 * Only the first by name among the live entries near by returns one, so that it is
 	 * removed once.
 	 */
-	Optional<Registration> dead(long nowNanos) {
-		List<EntryInfo> peers = byPlace() ? failureDomainPeers() : livePeers();
+	Optional<Registration> expiredRegistration(long nowNanos) {
+		List<EntryInfo> peers = scopedByFailureDomain() ? failureDomainPeers() : livePeers();
 		if (peers.stream().anyMatch((info) -> info.name().compareTo(this.self.name()) < 0)) {
 			return Optional.empty();
 		}
--- a/entry/src/main/java/org/wisteriapost/entry/direct/PlaceNews.java
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/FailureDomainRelay.java
@@ -8,12 +8,12 @@
 import java.util.function.BiConsumer;
 
 import org.wisteriapost.policy.dispatch.Dispatcher;
-import org.wisteriapost.policy.dispatch.EngineWord;
-import org.wisteriapost.policy.dispatch.PeerLoad;
+import org.wisteriapost.policy.dispatch.EngineStatus;
+import org.wisteriapost.policy.dispatch.InFlightLoad;
 import org.wisteriapost.policy.dispatch.RunnerLoad;
 import org.wisteriapost.policy.fleet.EntryInfo;
-import org.wisteriapost.policy.fleet.RunnerStart;
-import org.wisteriapost.protocol.site.EngineFrames;
+import org.wisteriapost.policy.fleet.RunnerIncarnation;
+import org.wisteriapost.protocol.site.EngineStatusCodec;
 import org.wisteriapost.protocol.wire.EngineState;
 import org.wisteriapost.protocol.wire.Frame;
 import org.wisteriapost.protocol.wire.PlaceState;
@@ -28,7 +28,7 @@
  * sum to one entry of each other failure domain, which forwards it to its peers there:
  * each change crosses a link once, within a quarter of a second.
  */
-final class PlaceNews {
+final class FailureDomainRelay {
 
 	static final int REPORT_INTERVAL_TICKS = 10;
 
@@ -36,7 +36,7 @@
 	// repeated for two and a half seconds.
 	static final int FULL_REPORT_INTERVAL_TICKS = 50;
 
-	private final EntryRoster registry;
+	private final EntryRegistry registry;
 
 	private final String failureDomain;
 
@@ -44,9 +44,9 @@
 
 	private final BiConsumer<String, Frame> sender;
 
-	private final Map<RunnerKey, PeerLoad> reportedLoads = new HashMap<>();
+	private final Map<RunnerKey, InFlightLoad> reportedLoads = new HashMap<>();
 
-	private final Map<String, EngineWord> reportedStatuses = new HashMap<>();
+	private final Map<String, EngineStatus> reportedStatuses = new HashMap<>();
 
 	private final Map<String, EngineState> receivedStates = new HashMap<>();
 
@@ -54,7 +54,8 @@
 	 * Creates the relay of one entry.
 	 * @param sender sends a frame to an entry by name
 	 */
-	PlaceNews(String failureDomain, EntryRoster registry, Dispatcher dispatcher, BiConsumer<String, Frame> sender) {
+	FailureDomainRelay(String failureDomain, EntryRegistry registry, Dispatcher dispatcher,
+			BiConsumer<String, Frame> sender) {
 		this.failureDomain = failureDomain;
 		this.registry = registry;
 		this.dispatcher = dispatcher;
@@ -69,7 +70,7 @@
 		if (ticks % REPORT_INTERVAL_TICKS != 0) {
 			return;
 		}
-		if (!this.registry.byPlace() || !this.registry.isRelay()) {
+		if (!this.registry.scopedByFailureDomain() || !this.registry.isRelay()) {
 			this.reportedLoads.clear();
 			this.reportedStatuses.clear();
 			return;
@@ -86,7 +87,7 @@
 	 * Applies the state of another failure domain, forwards it to the peers of this one
 	 * if it came from outside, and returns the engine statuses that have changed.
 	 */
-	List<EngineState> heard(String peer, PlaceState state, long nowNanos) {
+	List<EngineState> stateReceived(String peer, PlaceState state, long nowNanos) {
 		Optional<String> from = this.registry.failureDomainOf(peer);
 		boolean fromOutside = from.equals(Optional.of(state.getPlace()));
 		boolean forwarded = from.equals(Optional.of(this.failureDomain));
@@ -98,7 +99,8 @@
 			this.registry.failureDomainPeers().forEach((info) -> this.sender.accept(info.name(), frame));
 		}
 		state.getLoadsList()
-			.forEach((load) -> this.dispatcher.placeLoad(state.getPlace(), LoadFrames.read(load), nowNanos));
+			.forEach((load) -> this.dispatcher.updateFailureDomainLoad(state.getPlace(), LoadReportCodec.decode(load),
+					nowNanos));
 		return state.getEnginesList()
 			.stream()
 			.filter((one) -> !one.equals(this.receivedStates.put(one.getAddress(), one)))
@@ -107,16 +109,16 @@
 
 	private PlaceState changes(boolean full, long nowNanos) {
 		PlaceState.Builder state = PlaceState.newBuilder().setPlace(this.failureDomain);
-		for (RunnerLoad one : this.dispatcher.fleet().nearLoad(nowNanos)) {
-			PeerLoad before = this.reportedLoads.put(new RunnerKey(one.runner(), one.start()), one.load());
-			boolean changed = !one.load().equals((before != null) ? before : PeerLoad.NONE);
-			if (changed || (full && one.load().active() > 0)) {
-				state.addLoads(LoadFrames.of(one));
+		for (RunnerLoad one : this.dispatcher.fleetView().failureDomainLoad(nowNanos)) {
+			InFlightLoad before = this.reportedLoads.put(new RunnerKey(one.runnerId(), one.incarnation()), one.load());
+			boolean changed = !one.load().equals((before != null) ? before : InFlightLoad.NONE);
+			if (changed || (full && one.load().requests() > 0)) {
+				state.addLoads(LoadReportCodec.encode(one));
 			}
 		}
-		this.dispatcher.fleet().nearWords().forEach((address, status) -> {
+		this.dispatcher.fleetView().engineStatuses().forEach((address, status) -> {
 			if (!status.equals(this.reportedStatuses.put(address, status)) || full) {
-				state.addEngines(EngineFrames.of(address, status, nowNanos));
+				state.addEngines(EngineStatusCodec.encode(address, status, nowNanos));
 			}
 		});
 		return state.build();
@@ -126,8 +128,8 @@
 	private Map<String, EntryInfo> remoteReceivers() {
 		Map<String, EntryInfo> chosen = new LinkedHashMap<>();
 		for (EntryInfo info : this.registry.livePeers()) {
-			if (!info.place().equals(this.failureDomain)) {
-				chosen.putIfAbsent(info.place(), info);
+			if (!info.failureDomain().equals(this.failureDomain)) {
+				chosen.putIfAbsent(info.failureDomain(), info);
 			}
 		}
 		return chosen;
@@ -136,7 +138,7 @@
 	/**
 	 * The key of a reported load.
 	 */
-	private record RunnerKey(String runnerId, RunnerStart incarnation) {
+	private record RunnerKey(String runnerId, RunnerIncarnation incarnation) {
 	}
 
 }
--- a/entry/src/main/java/org/wisteriapost/entry/direct/IncomingRequest.java
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/IncomingRequest.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 
 import org.wisteriapost.entry.caller.CallerAnswer;
-import org.wisteriapost.protocol.site.CallerFields;
+import org.wisteriapost.protocol.site.CallerRequestFields;
 
 /**
  * A caller's request, including its complete body.
@@ -24,7 +24,7 @@
  * @param arrivedNanos when the request's head was read, on the monotonic clock
  */
 record IncomingRequest(long id, String method, String host, String path, String target, Map<String, String> headers,
-		Optional<String> token, CallerFields fields, byte[] body, CallerAnswer answer, long arrivedNanos) {
+		Optional<String> token, CallerRequestFields fields, byte[] body, CallerAnswer answer, long arrivedNanos) {
 
 	IncomingRequest {
 		headers = Map.copyOf(headers);
--- a/entry/src/main/java/org/wisteriapost/entry/direct/LoadReports.java
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/LoadReporter.java
@@ -9,11 +9,11 @@
 import java.util.function.BiConsumer;
 import java.util.function.Supplier;
 
-import org.wisteriapost.policy.dispatch.PeerLoad;
+import org.wisteriapost.policy.dispatch.InFlightLoad;
 import org.wisteriapost.policy.dispatch.RefusedRequest;
 import org.wisteriapost.policy.dispatch.RunnerLoad;
 import org.wisteriapost.policy.fleet.EntryInfo;
-import org.wisteriapost.policy.fleet.RunnerStart;
+import org.wisteriapost.policy.fleet.RunnerIncarnation;
 import org.wisteriapost.protocol.wire.Frame;
 import org.wisteriapost.protocol.wire.LoadReport;
 
@@ -29,7 +29,7 @@
  * twice as often as remote ones. The share of each entry in a runner's load falls with
  * their number, so a late report matters less.
  */
-final class LoadReports {
+final class LoadReporter {
 
 	static final int LOCAL_INTERVAL_TICKS = 5;
 
@@ -57,7 +57,7 @@
 	 * Creates the reporter of one entry.
 	 * @param sender sends a frame to an entry by name
 	 */
-	LoadReports(String failureDomain, BiConsumer<String, Frame> sender) {
+	LoadReporter(String failureDomain, BiConsumer<String, Frame> sender) {
 		this.failureDomain = failureDomain;
 		this.sender = sender;
 	}
@@ -85,7 +85,7 @@
 	 * Adds a refused request to the next report: its caller retries at any entry, a
 	 * second or more later.
 	 */
-	void refused(RefusedRequest request) {
+	void addRefusedRequest(RefusedRequest request) {
 		this.localPeers.recordRefusal(request);
 		this.remotePeers.recordRefusal(request);
 	}
@@ -93,19 +93,19 @@
 	/**
 	 * Repeats all load in the next report, since a newly linked entry has received none.
 	 */
-	void again() {
+	void repeatAll() {
 		this.localPeers.lastReported.clear();
 		this.remotePeers.lastReported.clear();
 	}
 
 	private boolean isLocal(EntryInfo info) {
-		return info.place().equals(this.failureDomain);
+		return info.failureDomain().equals(this.failureDomain);
 	}
 
 	/**
 	 * The key of a reported load.
 	 */
-	private record RunnerKey(String runnerId, RunnerStart incarnation) {
+	private record RunnerKey(String runnerId, RunnerIncarnation incarnation) {
 	}
 
 	/** Peers that get reports equally often. */
@@ -113,7 +113,7 @@
 
 		private final int minIntervalTicks;
 
-		private final Map<RunnerKey, PeerLoad> lastReported = new HashMap<>();
+		private final Map<RunnerKey, InFlightLoad> lastReported = new HashMap<>();
 
 		private final List<RefusedRequest> refusedRequests = new ArrayList<>();
 
@@ -150,7 +150,7 @@
 			LoadReport report = report(loads, full, nowNanos);
 			if (report.getLoadsCount() > 0 || report.getRefusedCount() > 0) {
 				Frame frame = Frame.newBuilder().setLoadReport(report).build();
-				peers.forEach((name) -> LoadReports.this.sender.accept(name, frame));
+				peers.forEach((name) -> LoadReporter.this.sender.accept(name, frame));
 			}
 		}
 
@@ -158,16 +158,16 @@
 			LoadReport.Builder report = LoadReport.newBuilder();
 			Set<RunnerKey> current = new HashSet<>();
 			for (RunnerLoad one : loads) {
-				RunnerKey key = new RunnerKey(one.runner(), one.start());
+				RunnerKey key = new RunnerKey(one.runnerId(), one.incarnation());
 				current.add(key);
-				boolean changed = !one.load().equals(this.lastReported.getOrDefault(key, PeerLoad.NONE));
-				if (changed || (full && one.load().active() > 0)) {
+				boolean changed = !one.load().equals(this.lastReported.getOrDefault(key, InFlightLoad.NONE));
+				if (changed || (full && one.load().requests() > 0)) {
 					this.lastReported.put(key, one.load());
-					report.addLoads(LoadFrames.of(one));
+					report.addLoads(LoadReportCodec.encode(one));
 				}
 			}
 			this.lastReported.keySet().retainAll(current);
-			this.refusedRequests.forEach((one) -> report.addRefused(LoadFrames.of(one, nowNanos)));
+			this.refusedRequests.forEach((one) -> report.addRefused(LoadReportCodec.encode(one, nowNanos)));
 			this.refusedRequests.clear();
 			return report.build();
 		}
--- a/entry/src/main/java/org/wisteriapost/entry/direct/Mesh.java
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/PeerLinkManager.java
@@ -25,9 +25,9 @@
  * Links from this entry to other entries and to agents, which are reconnected when they
  * break. Also receives the frames on links that other entries opened.
  */
-final class Mesh implements AutoCloseable, PeerSender {
+final class PeerLinkManager implements AutoCloseable, PeerTransport {
 
-	private static final Logger LOG = System.getLogger(Mesh.class.getName());
+	private static final Logger LOG = System.getLogger(PeerLinkManager.class.getName());
 
 	private static final long MIN_RECONNECT_DELAY_MILLIS = 250;
 
@@ -50,7 +50,7 @@
 
 	private LinkServer server;
 
-	private Mesh(Links links, ScheduledExecutorService timer, Consumer<DirectEvent> events, Frame hello,
+	private PeerLinkManager(Links links, ScheduledExecutorService timer, Consumer<DirectEvent> events, Frame hello,
 			DecisionLog log) {
 		this.links = links;
 		this.timer = timer;
@@ -59,10 +59,11 @@
 		this.log = log;
 	}
 
-	static Mesh start(Links links, InetSocketAddress address, String name, String failureDomain,
+	static PeerLinkManager start(Links links, InetSocketAddress address, String name, String failureDomain,
 			ScheduledExecutorService timer, Consumer<DirectEvent> events, DecisionLog log) {
 		Hello hello = Hello.newBuilder().setVm(name).setPlace(failureDomain).setRole(Role.ENTRY).build();
-		Mesh peerLinks = new Mesh(links, timer, events, Frame.newBuilder().setHello(hello).build(), log);
+		PeerLinkManager peerLinks = new PeerLinkManager(links, timer, events,
+				Frame.newBuilder().setHello(hello).build(), log);
 		peerLinks.server = links.listen(address, peerLinks.new IncomingLinks());
 		return peerLinks;
 	}
@@ -72,7 +73,7 @@
 	}
 
 	@Override
-	public void desired(Map<String, InetSocketAddress> peers) {
+	public void setDesiredPeers(Map<String, InetSocketAddress> peers) {
 		this.outgoing.forEach((name, link) -> {
 			if (!link.address.equals(peers.get(name))) {
 				this.outgoing.remove(name);
@@ -91,17 +92,17 @@
 	// Sends on the link that this entry opened, if there is one, else on the link that
 	// the peer opened.
 	@Override
-	public Sending send(String name, Frame frame) {
+	public SendResult send(String name, Frame frame) {
 		Optional<Link> link = linkTo(name);
 		if (link.isEmpty()) {
-			return Sending.NO_LINK;
+			return SendResult.NO_LINK;
 		}
 		if (!link.get().writable()) {
 			this.log.failure("frame-left-out", "peer", name, "kind", frame.getBodyCase(), "bytes",
 					frame.getSerializedSize());
-			return Sending.LINK_FULL;
+			return SendResult.LINK_FULL;
 		}
-		return link.get().send(frame) ? Sending.SENT : Sending.NO_LINK;
+		return link.get().send(frame) ? SendResult.SENT : SendResult.NO_LINK;
 	}
 
 	private Optional<Link> linkTo(String name) {
@@ -111,7 +112,7 @@
 	}
 
 	@Override
-	public Set<String> entries() {
+	public Set<String> linkedEntries() {
 		Set<String> names = new HashSet<>(this.incoming.keySet());
 		this.outgoing.forEach((name, link) -> {
 			if (link.isUp() && link.isEntry) {
@@ -129,14 +130,15 @@
 
 	private void dispatchFrame(Optional<String> peer, Frame frame) {
 		switch (frame.getBodyCase()) {
-			case ENGINE_STATE -> this.events.accept(new DirectEvent.AgentSays(frame.getEngineState()));
-			case LOAD_REPORT ->
-				peer.ifPresent((name) -> this.events.accept(new DirectEvent.PeerLoads(name, frame.getLoadReport())));
-			case PLACE_STATE ->
-				peer.ifPresent((name) -> this.events.accept(new DirectEvent.PlaceSays(name, frame.getPlaceState())));
-			case NEWS -> peer.ifPresent((name) -> this.events.accept(new DirectEvent.PeerNews(name, frame.getNews())));
-			case NEWS_REQUEST -> peer
-				.ifPresent((name) -> this.events.accept(new DirectEvent.PeerWantsNews(name, frame.getNewsRequest())));
+			case ENGINE_STATE -> this.events.accept(new DirectEvent.EngineStatusReported(frame.getEngineState()));
+			case LOAD_REPORT -> peer
+				.ifPresent((name) -> this.events.accept(new DirectEvent.PeerLoadReported(name, frame.getLoadReport())));
+			case PLACE_STATE -> peer.ifPresent(
+					(name) -> this.events.accept(new DirectEvent.FailureDomainReported(name, frame.getPlaceState())));
+			case NEWS ->
+				peer.ifPresent((name) -> this.events.accept(new DirectEvent.PeerStateUpdated(name, frame.getNews())));
+			case NEWS_REQUEST -> peer.ifPresent((name) -> this.events
+				.accept(new DirectEvent.PeerSubscriptionChanged(name, frame.getNewsRequest())));
 			case LEAVING -> this.events.accept(new DirectEvent.PeerLeaving(frame.getLeaving().getVm()));
 			default -> {
 				// Not sent to an entry: frames of other roles.
@@ -151,7 +153,7 @@
 
 		@Override
 		public void onOpen(Link link) {
-			link.send(Mesh.this.hello);
+			link.send(PeerLinkManager.this.hello);
 		}
 
 		@Override
@@ -159,8 +161,8 @@
 			if (frame.getBodyCase() == Frame.BodyCase.HELLO) {
 				this.names.put(link, frame.getHello().getVm());
 				if (frame.getHello().getRole() == Role.ENTRY) {
-					Mesh.this.incoming.put(frame.getHello().getVm(), link);
-					Mesh.this.events.accept(new DirectEvent.PeerMet(frame.getHello().getVm()));
+					PeerLinkManager.this.incoming.put(frame.getHello().getVm(), link);
+					PeerLinkManager.this.events.accept(new DirectEvent.PeerIdentified(frame.getHello().getVm()));
 				}
 				return;
 			}
@@ -171,7 +173,7 @@
 		public void onClosed(Link link) {
 			String name = this.names.remove(link);
 			if (name != null) {
-				Mesh.this.incoming.remove(name, link);
+				PeerLinkManager.this.incoming.remove(name, link);
 			}
 		}
 
@@ -201,7 +203,7 @@
 			if (this.abandoned) {
 				return;
 			}
-			Mesh.this.links.connect(this.address, this).exceptionally((failure) -> {
+			PeerLinkManager.this.links.connect(this.address, this).exceptionally((failure) -> {
 				scheduleReconnect();
 				return null;
 			});
@@ -211,7 +213,7 @@
 			if (this.abandoned) {
 				return;
 			}
-			Mesh.this.timer.schedule(this::connect, this.reconnectDelayMillis, TimeUnit.MILLISECONDS);
+			PeerLinkManager.this.timer.schedule(this::connect, this.reconnectDelayMillis, TimeUnit.MILLISECONDS);
 			this.reconnectDelayMillis = Math.min(MAX_RECONNECT_DELAY_MILLIS, this.reconnectDelayMillis * 2);
 		}
 
@@ -231,19 +233,19 @@
 		public void onOpen(Link opened) {
 			this.link = opened;
 			this.reconnectDelayMillis = MIN_RECONNECT_DELAY_MILLIS;
-			opened.send(Mesh.this.hello);
+			opened.send(PeerLinkManager.this.hello);
 			LOG.log(Level.INFO, "link-up: " + this.name);
-			Mesh.this.events.accept(new DirectEvent.PeerLink(this.name, true));
+			PeerLinkManager.this.events.accept(new DirectEvent.PeerLinkChanged(this.name, true));
 		}
 
 		@Override
 		public void onFrame(Link from, Frame frame) {
 			if (frame.getBodyCase() == Frame.BodyCase.HELLO && frame.getHello().getRole() == Role.ENTRY) {
 				this.isEntry = true;
-				Mesh.this.events.accept(new DirectEvent.PeerMet(this.name));
+				PeerLinkManager.this.events.accept(new DirectEvent.PeerIdentified(this.name));
 			}
 			if (frame.getBodyCase() == Frame.BodyCase.ECHO) {
-				Mesh.this.events.accept(new DirectEvent.AgentEcho(this.name, frame.getEcho().getStamp()));
+				PeerLinkManager.this.events.accept(new DirectEvent.EchoReceived(this.name, frame.getEcho().getStamp()));
 				return;
 			}
 			dispatchFrame(Optional.of(this.name), frame);
@@ -253,7 +255,7 @@
 		public void onClosed(Link closed) {
 			this.link = null;
 			LOG.log(Level.INFO, "link-lost: " + this.name);
-			Mesh.this.events.accept(new DirectEvent.PeerLink(this.name, false));
+			PeerLinkManager.this.events.accept(new DirectEvent.PeerLinkChanged(this.name, false));
 			scheduleReconnect();
 		}
 
--- a/entry/src/main/java/org/wisteriapost/entry/direct/Announcer.java
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/PeerNotifier.java
@@ -11,10 +11,10 @@
 import java.util.Set;
 
 import org.wisteriapost.policy.dispatch.Dispatcher;
-import org.wisteriapost.policy.fleet.AgentDuty;
+import org.wisteriapost.policy.fleet.AgentAssignment;
 import org.wisteriapost.policy.fleet.EntryInfo;
-import org.wisteriapost.policy.fleet.NamedWeights;
 import org.wisteriapost.policy.fleet.RunnerInfo;
+import org.wisteriapost.policy.fleet.TargetWeights;
 import org.wisteriapost.policy.routing.EngineSpec;
 import org.wisteriapost.policy.routing.RouteTable;
 import org.wisteriapost.protocol.site.SiteSettings;
@@ -28,7 +28,7 @@
  * Sends notifications to peers: target weights and the peer list to agents, and the
  * notice that this entry leaves to other entries. Confined to the state thread.
  */
-final class Announcer {
+final class PeerNotifier {
 
 	// The target version of a model for which no target weights were published.
 	private static final int INITIAL_VERSION = 1;
@@ -39,9 +39,9 @@
 
 	private final SiteSettings settings;
 
-	private final AgentDuty assignment;
+	private final AgentAssignment assignment;
 
-	private final EntryRoster registry;
+	private final EntryRegistry registry;
 
 	private final Dispatcher dispatcher;
 
@@ -51,7 +51,7 @@
 
 	private final Set<String> pendingLeaving = new HashSet<>();
 
-	private Optional<PeerSender> transport = Optional.empty();
+	private Optional<PeerTransport> transport = Optional.empty();
 
 	private boolean leavingAnnounced;
 
@@ -59,21 +59,21 @@
 
 	private long lastRelinkNanos = Long.MIN_VALUE / 2;
 
-	Announcer(SiteSettings settings, EntryInfo self, EntryRoster registry, Dispatcher dispatcher) {
+	PeerNotifier(SiteSettings settings, EntryInfo self, EntryRegistry registry, Dispatcher dispatcher) {
 		this.settings = settings;
-		this.assignment = AgentDuty.of(self);
+		this.assignment = AgentAssignment.of(self);
 		this.registry = registry;
 		this.dispatcher = dispatcher;
 	}
 
-	void connect(PeerSender transport) {
+	void setTransport(PeerTransport transport) {
 		this.transport = Optional.of(transport);
 	}
 
 	/**
 	 * Records target weights and returns whether they are newer than those known.
 	 */
-	boolean updateTargetVersion(NamedWeights weights) {
+	boolean updateTargetVersion(TargetWeights weights) {
 		if (this.targetVersions.getOrDefault(weights.model(), 0) >= weights.version()) {
 			return false;
 		}
@@ -87,9 +87,9 @@
 	 * those that link later. Without it peers would advertise this entry to callers until
 	 * it has ended.
 	 */
-	void leaving() {
+	void announceLeaving() {
 		this.leavingAnnounced = true;
-		this.transport.ifPresent((links) -> links.entries().forEach(this::sendLeaving));
+		this.transport.ifPresent((links) -> links.linkedEntries().forEach(this::sendLeaving));
 	}
 
 	/**
@@ -97,7 +97,7 @@
 	 * was sent has not received it: it would advertise this entry until the link breaks,
 	 * and callers would be directed to an entry that accepts no requests.
 	 */
-	void met(String peer) {
+	void greetingReceived(String peer) {
 		if (this.leavingAnnounced) {
 			sendLeaving(peer);
 		}
@@ -115,7 +115,8 @@
 	}
 
 	private boolean trySend(String peer, Frame frame) {
-		return this.transport.map((links) -> links.send(peer, frame) != PeerSender.Sending.LINK_FULL).orElse(true);
+		return this.transport.map((links) -> links.send(peer, frame) != PeerTransport.SendResult.LINK_FULL)
+			.orElse(true);
 	}
 
 	private Frame leavingFrame() {
@@ -125,9 +126,9 @@
 	/**
 	 * Sends the current state to a peer whose link was established.
 	 */
-	void linked(String peer, Optional<RouteTable> table) {
+	void linkEstablished(String peer, Optional<RouteTable> table) {
 		this.lastSent.keySet().removeIf((key) -> key.startsWith(peer));
-		met(peer);
+		greetingReceived(peer);
 		engines(table).stream()
 			.filter((info) -> info.address().equals(peer))
 			.findFirst()
@@ -138,7 +139,7 @@
 	 * Schedules an update of the links and peer lists after the set of entries or agents
 	 * has changed.
 	 */
-	void changed() {
+	void peersChanged() {
 		this.relinkPending = true;
 	}
 
@@ -157,21 +158,21 @@
 
 	private void relink(Optional<RouteTable> table) {
 		Map<String, InetSocketAddress> peers = new HashMap<>();
-		this.registry.linkTargets().forEach((info) -> peers.put(info.name(), address(info.link())));
+		this.registry.linkTargets().forEach((info) -> peers.put(info.name(), address(info.linkAddress())));
 		linkedEngines(table)
 			.forEach((info) -> peers.put(info.address(), new InetSocketAddress(info.host(), this.settings.linkPort())));
-		this.transport.ifPresent((links) -> links.desired(peers));
+		this.transport.ifPresent((links) -> links.setDesiredPeers(peers));
 		notifyAgents(table);
 	}
 
 	// Returns the engines whose agents this entry links to.
 	private List<RunnerInfo> linkedEngines(Optional<RouteTable> table) {
-		return this.assignment.linked(engines(table), this.registry.registeredPeers());
+		return this.assignment.linkedEngines(engines(table), this.registry.registeredPeers());
 	}
 
 	private List<RunnerInfo> engines(Optional<RouteTable> table) {
-		return this.dispatcher.fleet()
-			.known()
+		return this.dispatcher.fleetView()
+			.runners()
 			.stream()
 			.filter((info) -> engineSpec(table, info.service()).isPresent())
 			.toList();
@@ -195,7 +196,8 @@
 		engines(table).stream()
 			.filter((info) -> info.service().equals(service))
 			.sorted(Comparator.comparing(RunnerInfo::address))
-			.forEach((info) -> members.addMembers(RosterMember.newBuilder().setVm(info.host()).setPlace(info.place())));
+			.forEach((info) -> members
+				.addMembers(RosterMember.newBuilder().setVm(info.host()).setPlace(info.failureDomain())));
 		return Frame.newBuilder().setRoster(members).build();
 	}
 
@@ -209,7 +211,7 @@
 			.setModel(model.get())
 			.setVersion(this.targetVersions.getOrDefault(model.get(), INITIAL_VERSION))
 			.setOrigin(origin.get());
-		if (this.assignment.tells(runner, this.registry.livePeers())) {
+		if (this.assignment.sendsPeerList(runner, this.registry.livePeers())) {
 			sendIfChanged(runner.address(), peerList);
 		}
 		sendIfChanged(runner.address(), Frame.newBuilder().setWeightsNamed(weights).build());
--- a/entry/src/main/java/org/wisteriapost/entry/direct/PeerSender.java
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/PeerTransport.java
@@ -9,26 +9,26 @@
 /**
  * Links to other processes by name.
  */
-interface PeerSender {
+interface PeerTransport {
 
 	/**
 	 * Sets the peers to be linked to.
 	 * @param peers addresses by name
 	 */
-	void desired(Map<String, InetSocketAddress> peers);
+	void setDesiredPeers(Map<String, InetSocketAddress> peers);
 
 	/**
 	 * Sends a frame to a peer if there is a link with free capacity.
 	 */
-	Sending send(String name, Frame frame);
+	SendResult send(String name, Frame frame);
 
 	/**
 	 * Returns the names of the linked entries.
 	 */
-	Set<String> entries();
+	Set<String> linkedEntries();
 
 	/** The result of sending a frame. */
-	enum Sending {
+	enum SendResult {
 
 		/** The frame was queued on the link. */
 		SENT,
