--- a/entry/src/main/java/org/wisteriapost/entry/direct/Intake.java
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/RequestAdmission.java
@@ -19,7 +19,7 @@
  * A request that is invalid by a route table that may be stale is refused as not run
  * rather than rejected: see {@link org.wisteriapost.policy.routing.RejectionGuard}.
  */
-final class Intake {
+final class RequestAdmission {
 
 	static final Code TABLE_ABSENT = Code.refusal("table-absent", "The entry does not know the declared routes yet.");
 
@@ -41,7 +41,7 @@
 	// Another entry can answer at once, so the caller need not wait.
 	private static final long IMMEDIATE_RETRY_MILLIS = 20;
 
-	private final SiteBeliefs localView;
+	private final SiteView localView;
 
 	private final GracefulShutdown shutdown;
 
@@ -59,8 +59,8 @@
 	 * Creates the admission of one entry.
 	 * @param follower whether the entry receives its state from a leader, for the log
 	 */
-	Intake(SiteBeliefs localView, GracefulShutdown shutdown, CallOutput output, DecisionLog log, DirectMetrics metrics,
-			UniformRandomProvider random, BooleanSupplier follower) {
+	RequestAdmission(SiteView localView, GracefulShutdown shutdown, CallOutput output, DecisionLog log,
+			DirectMetrics metrics, UniformRandomProvider random, BooleanSupplier follower) {
 		this.localView = localView;
 		this.shutdown = shutdown;
 		this.output = output;
@@ -75,19 +75,19 @@
 	 */
 	Optional<Job> admit(IncomingRequest request, long now) {
 		this.shutdown.requestArrived(now);
-		if (this.localView.table().isEmpty()) {
+		if (this.localView.routeTable().isEmpty()) {
 			return refuse(request, TABLE_ABSENT, SHORT_RETRY_MILLIS, now);
 		}
 		if (this.shutdown.refusesRequests(now)) {
 			return refuse(request, ENTRY_STOPPING, IMMEDIATE_RETRY_MILLIS, now);
 		}
-		RouteTable table = this.localView.table().get();
+		RouteTable table = this.localView.routeTable().get();
 		Optional<Route> route = table.route(request.host(), request.path());
 		if (route.isEmpty()) {
 			return reject(request, NOT_FOUND, ROUTE_UNKNOWN, now);
 		}
 		Optional<Organisation> organisation = request.token().flatMap(table::organisation);
-		if (organisation.isEmpty() && table.asksForTokens() && !route.get().anonymous()) {
+		if (organisation.isEmpty() && table.requiresTokens() && !route.get().anonymous()) {
 			return reject(request, UNAUTHORIZED, KEY_UNKNOWN, now);
 		}
 		return Optional.of(job(request, route.get(), organisation));
@@ -98,16 +98,17 @@
 		long remaining = request.fields().remainingMillis().isPresent()
 				? TimeUnit.MILLISECONDS.toNanos(request.fields().remainingMillis().getAsLong()) : timeout;
 		Job.Size size = new Job.Size(request.fields().promptTokens(), request.fields().maxAnswerTokens(),
-				request.fields().likelyAnswerTokens());
-		Job.Attempt attempt = new Job.Attempt(request.fields().attempt().orElseThrow(),
-				RequestFingerprint.of(route, organisation, request.fields()), request.fields().lastEvent());
-		return Job.arrived(request.id(), attempt, route, route.service(this.random.nextDouble()), organisation, size,
-				request.arrivedNanos(), request.arrivedNanos() + Math.min(timeout, remaining));
+				request.fields().expectedAnswerTokens());
+		Job.Attempt attempt = new Job.Attempt(request.fields().attemptId().orElseThrow(),
+				RequestFingerprint.of(route, organisation, request.fields()), request.fields().lastEventId());
+		return Job.create(request.id(), attempt, route, route.selectService(this.random.nextDouble()), organisation,
+				size, request.arrivedNanos(), request.arrivedNanos() + Math.min(timeout, remaining));
 	}
 
 	private Optional<Job> refuse(IncomingRequest request, Code code, long retryAfterMillis, long now) {
-		this.log.failure("refused", "attempt", request.fields().attempt().orElse(""), "code", code.name(), "table",
-				this.localView.version(), "tableAgeMs", this.localView.tableAgeMillis(now).orElse(-1));
+		this.log.failure("refused", "attempt", request.fields().attemptId().orElse(""), "code", code.name(), "table",
+				this.localView.routeTableVersion(), "tableAgeMs",
+				this.localView.routeTableStalenessMillis(now).orElse(-1));
 		this.metrics.answered("refused", code.name());
 		this.output.refuse(request, code, retryAfterMillis);
 		return Optional.empty();
@@ -117,9 +118,9 @@
 		if (!this.localView.mayReject(now)) {
 			return refuse(request, TABLE_DOUBTFUL, SHORT_RETRY_MILLIS, now);
 		}
-		this.log.failure("rejected", "attempt", request.fields().attempt().orElse(""), "code", code.name(), "host",
-				request.host(), "path", request.path(), "table", this.localView.version(), "tableAgeMs",
-				this.localView.tableAgeMillis(now).orElse(-1), "rests", this.follower.getAsBoolean());
+		this.log.failure("rejected", "attempt", request.fields().attemptId().orElse(""), "code", code.name(), "host",
+				request.host(), "path", request.path(), "table", this.localView.routeTableVersion(), "tableAgeMs",
+				this.localView.routeTableStalenessMillis(now).orElse(-1), "rests", this.follower.getAsBoolean());
 		this.metrics.answered("rejected", code.name());
 		this.output.reject(request, status, code);
 		return Optional.empty();
--- a/entry/src/main/java/org/wisteriapost/entry/direct/RequestFingerprint.java
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/RequestFingerprint.java
@@ -6,7 +6,7 @@
 import com.dynatrace.hash4j.hashing.Hashing;
 import org.wisteriapost.policy.routing.Organisation;
 import org.wisteriapost.policy.routing.Route;
-import org.wisteriapost.protocol.site.CallerFields;
+import org.wisteriapost.protocol.site.CallerRequestFields;
 
 /**
  * Computes a hash that is the same for all attempts of a request and, but for hash
@@ -20,7 +20,7 @@
 	/**
 	 * Returns the fingerprint, or empty if the caller does not describe the prompt.
 	 */
-	static OptionalLong of(Route route, Optional<Organisation> organisation, CallerFields fields) {
+	static OptionalLong of(Route route, Optional<Organisation> organisation, CallerRequestFields fields) {
 		if (fields.prompt().isEmpty()) {
 			return OptionalLong.empty();
 		}
--- a/entry/src/main/java/org/wisteriapost/entry/direct/ResponseForwarder.java
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/ResponseForwarder.java
@@ -7,11 +7,11 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-import org.wisteriapost.policy.dispatch.Outcome;
+import org.wisteriapost.policy.dispatch.DispatchOutcome;
 import org.wisteriapost.protocol.http.HttpExchange;
-import org.wisteriapost.protocol.http.HttpListener;
-import org.wisteriapost.protocol.site.CallDialect;
-import org.wisteriapost.protocol.site.RunnerReply;
+import org.wisteriapost.protocol.http.HttpResponseListener;
+import org.wisteriapost.protocol.site.CallProtocol;
+import org.wisteriapost.protocol.site.RunnerResponseFields;
 
 /**
  * Forwards a runner's response to the caller. Runs on the I/O thread.
@@ -20,7 +20,7 @@
  * on another runner if the response breaks off. The complete events of a stream are
  * forwarded as they arrive.
  */
-final class ResponseForwarder implements HttpListener {
+final class ResponseForwarder implements HttpResponseListener {
 
 	private static final int SUCCESS = 200;
 
@@ -32,7 +32,7 @@
 
 	private final int dispatch;
 
-	private final CallDialect dialect;
+	private final CallProtocol dialect;
 
 	private final Consumer<DirectEvent> events;
 
@@ -52,7 +52,7 @@
 
 	private boolean firstEventReported;
 
-	ResponseForwarder(DirectCall call, int dispatch, CallDialect dialect, Consumer<DirectEvent> events) {
+	ResponseForwarder(DirectCall call, int dispatch, CallProtocol dialect, Consumer<DirectEvent> events) {
 		this.call = call;
 		this.dispatch = dispatch;
 		this.dialect = dialect;
@@ -90,28 +90,29 @@
 		if (this.finished) {
 			return;
 		}
-		RunnerReply reply = this.dialect.reply(code, first);
+		RunnerResponseFields reply = this.dialect.parseResponse(code, first);
 		// On a reused connection a surplus response to an earlier request can arrive
 		// first.
-		if (reply.attempt().isEmpty() || !reply.attempt().get().equals(this.call.job().attempt())) {
-			end(Outcome.BROKEN, "answer of another attempt: " + reply.attempt().orElse("none") + " status " + code);
+		if (reply.attemptId().isEmpty() || !reply.attemptId().get().equals(this.call.job().attemptId())) {
+			end(DispatchOutcome.BROKEN,
+					"answer of another attempt: " + reply.attemptId().orElse("none") + " status " + code);
 			cancel();
 			return;
 		}
 		this.status = code;
-		if (reply.otherInstance() || reply.notRun()) {
-			end(reply.otherInstance() ? Outcome.MISDIRECTED : Outcome.FULL, "status " + code);
+		if (reply.otherIncarnation() || reply.notRun()) {
+			end(reply.otherIncarnation() ? DispatchOutcome.MISDIRECTED : DispatchOutcome.FULL, "status " + code);
 			return;
 		}
 		this.headers = endToEndHeaders(all);
 		String type = first.getOrDefault("content-type", "");
 		this.streaming = code == SUCCESS && type.startsWith("text/event-stream");
 		if (!this.call.headSent()) {
-			this.call.job().begunOn(reply.weightsVersion());
+			this.call.job().recordWeightsVersion(reply.weightsVersion());
 		}
 		else if (!this.streaming) {
 			// A stream that was begun cannot be continued by a plain response.
-			end(Outcome.BROKEN, "no stream on resuming: status " + code);
+			end(DispatchOutcome.BROKEN, "no stream on resuming: status " + code);
 			cancel();
 		}
 	}
@@ -144,24 +145,24 @@
 				this.body.toByteArray());
 		if (this.status >= SERVER_ERROR) {
 			this.call.holdResponse(whole);
-			end(Outcome.ERROR, "status " + this.status);
+			end(DispatchOutcome.ERROR, "status " + this.status);
 			return;
 		}
 		this.call.markComplete();
-		this.call.answer().whole(whole.status(), whole.headers(), "", whole.body());
-		end(Outcome.DONE, "status " + this.status);
+		this.call.answer().complete(whole.status(), whole.headers(), "", whole.body());
+		end(DispatchOutcome.DONE, "status " + this.status);
 	}
 
 	@Override
 	public void onFailure(boolean sent, Throwable cause) {
 		if (!this.finished) {
-			end(sent ? Outcome.BROKEN : Outcome.NOT_SENT, String.valueOf(cause.getMessage()));
+			end(sent ? DispatchOutcome.BROKEN : DispatchOutcome.NOT_SENT, String.valueOf(cause.getMessage()));
 		}
 	}
 
 	private void buffer(byte[] data) {
 		if (this.body.size() + data.length > MAX_BUFFERED_BYTES) {
-			end(Outcome.BROKEN, "answer over " + MAX_BUFFERED_BYTES + " bytes");
+			end(DispatchOutcome.BROKEN, "answer over " + MAX_BUFFERED_BYTES + " bytes");
 			cancel();
 			return;
 		}
@@ -170,9 +171,9 @@
 
 	private void forward(byte[] whole) {
 		startResponse();
-		this.call.job().progressed(this.splitter.eventCount(), this.splitter.lastEventId(), System.nanoTime());
-		if (!this.call.answer().data(whole)) {
-			end(Outcome.BROKEN, "the caller does not read");
+		this.call.job().recordEvents(this.splitter.eventCount(), this.splitter.lastEventId(), System.nanoTime());
+		if (!this.call.answer().write(whole)) {
+			end(DispatchOutcome.BROKEN, "the caller does not read");
 			cancel();
 			return;
 		}
@@ -185,13 +186,13 @@
 	private void endStream() {
 		byte[] rest = this.splitter.remainder();
 		if (rest.length > 0) {
-			end(Outcome.BROKEN, "the stream ended within an event");
+			end(DispatchOutcome.BROKEN, "the stream ended within an event");
 			return;
 		}
 		startResponse();
 		this.call.markComplete();
 		this.call.answer().end();
-		end(Outcome.DONE, "status " + this.status);
+		end(DispatchOutcome.DONE, "status " + this.status);
 	}
 
 	private void startResponse() {
@@ -201,7 +202,7 @@
 		}
 	}
 
-	private void end(Outcome outcome, String detail) {
+	private void end(DispatchOutcome outcome, String detail) {
 		this.finished = true;
 		this.events.accept(new DirectEvent.DispatchEnded(this.call, this.dispatch, outcome, detail));
 	}
--- a/entry/src/main/java/org/wisteriapost/entry/direct/SiteBeliefs.java
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/SiteView.java
@@ -11,40 +11,40 @@
 
 import org.wisteriapost.kernel.log.DecisionLog;
 import org.wisteriapost.policy.dispatch.Dispatcher;
-import org.wisteriapost.policy.fleet.NamedWeights;
 import org.wisteriapost.policy.fleet.RunnerInfo;
+import org.wisteriapost.policy.fleet.TargetWeights;
 import org.wisteriapost.policy.routing.RejectionGuard;
 import org.wisteriapost.policy.routing.RejectionPermit;
 import org.wisteriapost.policy.routing.RouteTable;
-import org.wisteriapost.protocol.site.Declared;
-import org.wisteriapost.protocol.site.Kind;
+import org.wisteriapost.protocol.site.DecodedObject;
+import org.wisteriapost.protocol.site.ObjectKind;
 import org.wisteriapost.protocol.site.ObjectStore;
 
 /**
  * This entry's local view of its site, built from the objects in the store. Confined to
  * the state thread.
  */
-final class SiteBeliefs {
+final class SiteView {
 
 	private final Dispatcher dispatcher;
 
-	private final EntryRoster registry;
+	private final EntryRegistry registry;
 
-	private final Announcer notifier;
+	private final PeerNotifier notifier;
 
 	private final DecisionLog log;
 
-	private final Set<Kind> knownKinds = EnumSet.noneOf(Kind.class);
+	private final Set<ObjectKind> knownKinds = EnumSet.noneOf(ObjectKind.class);
 
 	private final RejectionGuard rejectionGuard;
 
-	private Optional<RouteTable> table = Optional.empty();
+	private Optional<RouteTable> routeTable = Optional.empty();
 
 	/**
 	 * Creates an empty view.
 	 * @param activationDelay the activation delay of declarations
 	 */
-	SiteBeliefs(Dispatcher dispatcher, EntryRoster registry, Announcer notifier, DecisionLog log,
+	SiteView(Dispatcher dispatcher, EntryRegistry registry, PeerNotifier notifier, DecisionLog log,
 			Duration activationDelay) {
 		this.dispatcher = dispatcher;
 		this.registry = registry;
@@ -56,15 +56,15 @@
 	/**
 	 * Returns the active route table.
 	 */
-	Optional<RouteTable> table() {
-		return this.table;
+	Optional<RouteTable> routeTable() {
+		return this.routeTable;
 	}
 
 	/**
 	 * Returns the version of the active route table; -1 for none.
 	 */
-	long version() {
-		return this.table.map(RouteTable::version).orElse(-1L);
+	long routeTableVersion() {
+		return this.routeTable.map(RouteTable::version).orElse(-1L);
 	}
 
 	/**
@@ -85,15 +85,15 @@
 	 * Returns how long ago the route table was last confirmed as the newest; empty if it
 	 * never was.
 	 */
-	OptionalLong tableAgeMillis(long now) {
-		OptionalLong age = this.rejectionGuard.ageNanos(now);
+	OptionalLong routeTableStalenessMillis(long now) {
+		OptionalLong age = this.rejectionGuard.stalenessNanos(now);
 		return age.isPresent() ? OptionalLong.of(TimeUnit.NANOSECONDS.toMillis(age.getAsLong())) : age;
 	}
 
 	/**
 	 * Records the time as of which the routes are known to match the store.
 	 */
-	void confirmed(long confirmedNanos) {
+	void routesConfirmed(long confirmedNanos) {
 		this.rejectionGuard.confirmed(confirmedNanos);
 	}
 
@@ -102,34 +102,34 @@
 	 * shows.
 	 */
 	void suspended(long now) {
-		this.rejectionGuard.doubt(now);
+		this.rejectionGuard.discardBefore(now);
 	}
 
 	/**
 	 * Returns whether enough is known to serve callers.
 	 */
-	boolean complete() {
-		return this.table.isPresent() && this.knownKinds.contains(Kind.RUNNERS);
+	boolean isReady() {
+		return this.routeTable.isPresent() && this.knownKinds.contains(ObjectKind.RUNNERS);
 	}
 
 	/**
 	 * Returns whether all kinds were read.
 	 */
-	boolean whole() {
-		return this.knownKinds.size() == Kind.values().length;
+	boolean allKindsKnown() {
+		return this.knownKinds.size() == ObjectKind.values().length;
 	}
 
 	/**
 	 * Replaces all objects of a kind.
 	 */
-	void all(Kind kind, List<ObjectStore.Item> items, long now) {
+	void replaceAll(ObjectKind kind, List<ObjectStore.Item> items, long now) {
 		boolean first = this.knownKinds.add(kind);
 		switch (kind) {
 			case ROUTES, WEIGHTS ->
 				items.forEach((item) -> item.value().ifPresent((value) -> applyDeclared(value, first, now)));
 			case RUNNERS -> {
 				applyRunners(items, now);
-				this.notifier.changed();
+				this.notifier.peersChanged();
 			}
 			case ENTRIES -> {
 				Set<String> names = new HashSet<>();
@@ -138,7 +138,7 @@
 					applyEntry(item, now);
 				});
 				this.registry.retain(names);
-				this.notifier.changed();
+				this.notifier.peersChanged();
 			}
 		}
 	}
@@ -146,46 +146,46 @@
 	private void applyRunners(List<ObjectStore.Item> items, long now) {
 		List<RunnerInfo> infos = items.stream()
 			.flatMap((item) -> item.value().stream())
-			.filter(Declared.Runner.class::isInstance)
-			.map((value) -> ((Declared.Runner) value).info())
+			.filter(DecodedObject.Runner.class::isInstance)
+			.map((value) -> ((DecodedObject.Runner) value).info())
 			.toList();
-		this.dispatcher.runners(infos, now);
+		this.dispatcher.replaceRunners(infos, now);
 		this.log.decision("runners-read", "count", infos.size());
 	}
 
 	/**
 	 * Applies a change of one object.
 	 */
-	void changed(Kind kind, ObjectStore.Change change, long now) {
+	void applyChange(ObjectKind kind, ObjectStore.Change change, long now) {
 		if (change.deleted()) {
 			applyRemoval(kind, change.item().name(), now);
 			return;
 		}
-		if (kind == Kind.ENTRIES) {
+		if (kind == ObjectKind.ENTRIES) {
 			applyEntry(change.item(), now);
-			this.notifier.changed();
+			this.notifier.peersChanged();
 			return;
 		}
 		change.item().value().ifPresent((value) -> applyDeclared(value, false, now));
-		if (kind == Kind.RUNNERS && change.item().value().isEmpty()) {
+		if (kind == ObjectKind.RUNNERS && change.item().value().isEmpty()) {
 			// Overwritten by another writer: no runner until the runner registers
 			// again.
 			this.log.decision("runner-unreadable", "runner", change.item().name());
-			this.dispatcher.runnerUnusable(change.item().name());
-			this.notifier.changed();
+			this.dispatcher.removeUnusableRunner(change.item().name());
+			this.notifier.peersChanged();
 		}
 	}
 
-	private void applyRemoval(Kind kind, String name, long now) {
+	private void applyRemoval(ObjectKind kind, String name, long now) {
 		switch (kind) {
 			case RUNNERS -> {
 				this.log.decision("runner-removed", "runner", name);
-				this.dispatcher.runnerRemoved(name, now);
-				this.notifier.changed();
+				this.dispatcher.registrationRemoved(name, now);
+				this.notifier.peersChanged();
 			}
 			case ENTRIES -> {
 				this.registry.remove(name);
-				this.notifier.changed();
+				this.notifier.peersChanged();
 			}
 			case ROUTES, WEIGHTS -> {
 				// A declaration stays active until a newer one replaces it.
@@ -193,46 +193,46 @@
 		}
 	}
 
-	private void applyDeclared(Declared value, boolean foundAtStartup, long now) {
+	private void applyDeclared(DecodedObject value, boolean foundAtStartup, long now) {
 		switch (value) {
-			case Declared.Routes routes -> applyRoutes(routes.table());
-			case Declared.Weights weights -> applyTargetWeights(weights.named(), foundAtStartup, now);
-			case Declared.Runner runner -> applyRunner(runner.info(), now);
-			case Declared.Entry entry -> {
+			case DecodedObject.Routes routes -> applyRoutes(routes.table());
+			case DecodedObject.Weights weights -> applyTargetWeights(weights.target(), foundAtStartup, now);
+			case DecodedObject.Runner runner -> applyRunner(runner.info(), now);
+			case DecodedObject.Entry entry -> {
 				// Applied with its revision by applyEntry.
 			}
 		}
 	}
 
 	private void applyRunner(RunnerInfo info, long now) {
-		if (this.dispatcher.runner(info, now)) {
+		if (this.dispatcher.updateRunner(info, now)) {
 			this.log.decision("runner-changed", "runner", info.id(), "address", info.address(), "service",
-					info.service(), "draining", info.draining(), "models", info.models());
-			this.notifier.changed();
+					info.service(), "draining", info.draining(), "models", info.weightsVersions());
+			this.notifier.peersChanged();
 		}
 	}
 
 	// A lagging listing must not restore a removed route or token.
 	private void applyRoutes(RouteTable newTable) {
-		if (this.table.isPresent() && this.table.get().version() >= newTable.version()) {
+		if (this.routeTable.isPresent() && this.routeTable.get().version() >= newTable.version()) {
 			return;
 		}
-		this.table = Optional.of(newTable);
+		this.routeTable = Optional.of(newTable);
 		this.log.decision("table-in-force", "version", newTable.version());
-		this.dispatcher.table(newTable);
-		this.notifier.notifyAgents(this.table);
+		this.dispatcher.updateRouteTable(newTable);
+		this.notifier.notifyAgents(this.routeTable);
 	}
 
-	private void applyTargetWeights(NamedWeights weights, boolean foundAtStartup, long now) {
-		this.dispatcher.named(weights, foundAtStartup, now);
+	private void applyTargetWeights(TargetWeights weights, boolean foundAtStartup, long now) {
+		this.dispatcher.targetWeightsPublished(weights, foundAtStartup, now);
 		if (this.notifier.updateTargetVersion(weights)) {
 			this.log.decision("weights-named", "model", weights.model(), "version", weights.version());
-			this.notifier.notifyAgents(this.table);
+			this.notifier.notifyAgents(this.routeTable);
 		}
 	}
 
 	private void applyEntry(ObjectStore.Item item, long now) {
-		if (item.value().isPresent() && item.value().get() instanceof Declared.Entry entry) {
+		if (item.value().isPresent() && item.value().get() instanceof DecodedObject.Entry entry) {
 			this.registry.put(entry.info(), item.revision(), now);
 		}
 	}
--- a/entry/src/main/java/org/wisteriapost/entry/direct/StoreReplica.java
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/StoreReplica.java
@@ -11,7 +11,7 @@
 import java.util.stream.Collectors;
 
 import com.google.protobuf.ByteString;
-import org.wisteriapost.protocol.site.Kind;
+import org.wisteriapost.protocol.site.ObjectKind;
 import org.wisteriapost.protocol.site.ObjectStore;
 import org.wisteriapost.protocol.wire.KnownKind;
 import org.wisteriapost.protocol.wire.KnownObject;
@@ -29,40 +29,40 @@
 
 	private final ObjectStore store;
 
-	private final Map<Kind, Map<String, ObjectStore.Item>> objects = new EnumMap<>(Kind.class);
+	private final Map<ObjectKind, Map<String, ObjectStore.Item>> objects = new EnumMap<>(ObjectKind.class);
 
-	private final Map<Kind, Map<String, Long>> removed = new EnumMap<>(Kind.class);
+	private final Map<ObjectKind, Map<String, Long>> removed = new EnumMap<>(ObjectKind.class);
 
 	// Encoded objects, shared by the frames to all subscribers.
-	private final Map<Kind, Map<String, StoreObject>> encoded = new EnumMap<>(Kind.class);
+	private final Map<ObjectKind, Map<String, StoreObject>> encoded = new EnumMap<>(ObjectKind.class);
 
 	// The store's revision up to which the objects of a kind are known.
-	private final Map<Kind, Long> knownRevision = new EnumMap<>(Kind.class);
+	private final Map<ObjectKind, Long> knownRevision = new EnumMap<>(ObjectKind.class);
 
 	StoreReplica(ObjectStore store) {
 		this.store = store;
-		for (Kind kind : Kind.values()) {
+		for (ObjectKind kind : ObjectKind.values()) {
 			this.objects.put(kind, new LinkedHashMap<>());
 			this.removed.put(kind, new LinkedHashMap<>());
 			this.encoded.put(kind, new HashMap<>());
 		}
 	}
 
-	List<ObjectStore.Item> items(Kind kind) {
+	List<ObjectStore.Item> items(ObjectKind kind) {
 		return List.copyOf(this.objects.get(kind).values());
 	}
 
 	/**
 	 * Returns the store's revision up to which the objects of a kind are known.
 	 */
-	long knownRevision(Kind kind) {
+	long knownRevision(ObjectKind kind) {
 		return this.knownRevision.getOrDefault(kind, 0L);
 	}
 
 	/**
 	 * Records that the objects of a kind are known up to a revision of the store.
 	 */
-	void advanceRevision(Kind kind, long revision) {
+	void advanceRevision(ObjectKind kind, long revision) {
 		this.knownRevision.merge(kind, revision, Math::max);
 	}
 
@@ -72,7 +72,7 @@
 	 * the listing was read, or the store was restored from an older copy.
 	 * @param revision the store's revision at the listing
 	 */
-	boolean applyFromStore(Kind kind, List<ObjectStore.Item> all, long revision) {
+	boolean applyFromStore(ObjectKind kind, List<ObjectStore.Item> all, long revision) {
 		this.knownRevision.put(kind, revision);
 		Map<String, ObjectStore.Item> known = this.objects.get(kind);
 		Map<String, Long> listed = all.stream()
@@ -94,7 +94,7 @@
 	 * Applies a change read from the store and returns whether it is newer than what is
 	 * known.
 	 */
-	boolean applyFromStore(Kind kind, ObjectStore.Change change) {
+	boolean applyFromStore(ObjectKind kind, ObjectStore.Change change) {
 		ObjectStore.Item known = this.objects.get(kind).get(change.item().name());
 		if (known != null && known.revision() > change.item().revision()) {
 			return false;
@@ -108,7 +108,7 @@
 	 * Applies an object received from another entry. Returns empty if it is not newer
 	 * than what is known.
 	 */
-	Optional<ObjectStore.Change> applyFromPeer(Kind kind, StoreObject object) {
+	Optional<ObjectStore.Change> applyFromPeer(ObjectKind kind, StoreObject object) {
 		if (object.getKnown() || !isNewer(kind, object)) {
 			return Optional.empty();
 		}
@@ -124,7 +124,7 @@
 	 * mistake would be missing until it changes again.
 	 * @param revision the store's revision up to which that entry has read
 	 */
-	void removeUnlisted(Kind kind, Set<String> listed, long revision) {
+	void removeUnlisted(ObjectKind kind, Set<String> listed, long revision) {
 		items(kind).stream()
 			.filter((item) -> !listed.contains(item.name()) && item.revision() <= revision)
 			.forEach((item) -> apply(kind, new ObjectStore.Change(item, true)));
@@ -133,14 +133,14 @@
 	/**
 	 * Returns whether all objects that a peer sent without content are known here.
 	 */
-	boolean hasReferenced(Kind kind, List<StoreObject> received) {
+	boolean hasReferenced(ObjectKind kind, List<StoreObject> received) {
 		return received.stream().filter(StoreObject::getKnown).allMatch((object) -> hasReferenced(kind, object));
 	}
 
 	/**
 	 * Returns the revisions of the objects of a kind by name.
 	 */
-	Map<String, Long> revisions(Kind kind) {
+	Map<String, Long> revisions(ObjectKind kind) {
 		Map<String, Long> revisions = new HashMap<>();
 		this.objects.get(kind).values().forEach((item) -> revisions.put(item.name(), item.revision()));
 		return revisions;
@@ -152,7 +152,7 @@
 	List<KnownKind> revisions() {
 		List<KnownKind> revisions = new ArrayList<>();
 		this.objects.forEach((kind, all) -> {
-			KnownKind.Builder one = KnownKind.newBuilder().setKind(SiteNews.toWire(kind));
+			KnownKind.Builder one = KnownKind.newBuilder().setKind(StoreReplication.toWire(kind));
 			all.values()
 				.forEach((item) -> one
 					.addObjects(KnownObject.newBuilder().setName(item.name()).setRevision(item.revision())));
@@ -166,7 +166,7 @@
 	 * @param held the revisions that the receiver has, by name; these are sent without
 	 * content
 	 */
-	List<StoreObject> toWire(Kind kind, Map<String, Long> held) {
+	List<StoreObject> toWire(ObjectKind kind, Map<String, Long> held) {
 		return items(kind).stream()
 			.map((item) -> (held.getOrDefault(item.name(), -1L) >= item.revision()) ? reference(item)
 					: toWire(kind, item))
@@ -176,11 +176,11 @@
 	/**
 	 * Encodes a change.
 	 */
-	StoreObject toWire(Kind kind, ObjectStore.Change change) {
+	StoreObject toWire(ObjectKind kind, ObjectStore.Change change) {
 		return change.deleted() ? toWire(change.item()).setDeleted(true).build() : toWire(kind, change.item());
 	}
 
-	private StoreObject toWire(Kind kind, ObjectStore.Item item) {
+	private StoreObject toWire(ObjectKind kind, ObjectStore.Item item) {
 		return this.encoded.get(kind)
 			.compute(item.name(), (name, before) -> (before != null && before.getRevision() == item.revision()) ? before
 					: toWire(item).build());
@@ -198,13 +198,13 @@
 	}
 
 	// An object that was removed since the request is not missing.
-	private boolean hasReferenced(Kind kind, StoreObject object) {
+	private boolean hasReferenced(ObjectKind kind, StoreObject object) {
 		ObjectStore.Item known = this.objects.get(kind).get(object.getName());
 		long revision = (known != null) ? known.revision() : removalRevision(kind, object.getName());
 		return revision >= object.getRevision();
 	}
 
-	private boolean isNewer(Kind kind, StoreObject object) {
+	private boolean isNewer(ObjectKind kind, StoreObject object) {
 		ObjectStore.Item known = this.objects.get(kind).get(object.getName());
 		long revision = (known != null) ? known.revision() : -1;
 		// A removal may have the same revision as the object that it removes.
@@ -212,11 +212,11 @@
 		return later && object.getRevision() > removalRevision(kind, object.getName());
 	}
 
-	private long removalRevision(Kind kind, String name) {
+	private long removalRevision(ObjectKind kind, String name) {
 		return this.removed.get(kind).getOrDefault(name, -1L);
 	}
 
-	private void apply(Kind kind, ObjectStore.Change change) {
+	private void apply(ObjectKind kind, ObjectStore.Change change) {
 		ObjectStore.Item item = change.item();
 		if (change.deleted()) {
 			this.objects.get(kind).remove(item.name());
--- a/entry/src/main/java/org/wisteriapost/entry/direct/SiteNews.java
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/StoreReplication.java
@@ -17,10 +17,10 @@
 
 import org.wisteriapost.kernel.log.DecisionLog;
 import org.wisteriapost.policy.fleet.LinkedEntry;
-import org.wisteriapost.policy.fleet.StoreDuty;
-import org.wisteriapost.policy.fleet.UpstreamChoice;
-import org.wisteriapost.policy.routing.KnownMoment;
-import org.wisteriapost.protocol.site.Kind;
+import org.wisteriapost.policy.fleet.StoreRole;
+import org.wisteriapost.policy.fleet.UpstreamSelector;
+import org.wisteriapost.policy.routing.LastConfirmedTime;
+import org.wisteriapost.protocol.site.ObjectKind;
 import org.wisteriapost.protocol.site.ObjectStore;
 import org.wisteriapost.protocol.wire.Frame;
 import org.wisteriapost.protocol.wire.KnownKind;
@@ -34,14 +34,15 @@
  * the store, because it does not answer them or because this entry is their leader, and
  * receives updates while this entry does not read it. Confined to the state thread.
  */
-final class SiteNews {
+final class StoreReplication {
 
 	// Half a second: subscribers take longer silence for a failure.
 	private static final int TICKS_PER_HEARTBEAT = 5;
 
 	// Large kinds come last: on a slow link small ones would wait behind the route
 	// table, and callers would find no runner until it has arrived.
-	private static final List<Kind> ANSWER_ORDER = List.of(Kind.RUNNERS, Kind.ENTRIES, Kind.WEIGHTS, Kind.ROUTES);
+	private static final List<ObjectKind> ANSWER_ORDER = List.of(ObjectKind.RUNNERS, ObjectKind.ENTRIES,
+			ObjectKind.WEIGHTS, ObjectKind.ROUTES);
 
 	private final StoreReplica replica;
 
@@ -55,11 +56,11 @@
 
 	private final DecisionLog log;
 
-	private final UpstreamChoice upstream;
+	private final UpstreamSelector upstream;
 
-	private final StoreDuty storeRole;
+	private final StoreRole storeRole;
 
-	private final KnownMoment lastConfirmed = new KnownMoment();
+	private final LastConfirmedTime lastConfirmed = new LastConfirmedTime();
 
 	// Peers that send updates which are not accepted here, since the notice that ended
 	// the subscription was lost with a link. Without another notice they would send for
@@ -80,8 +81,8 @@
 	 * @param upstream selects the entry to ask while the store does not answer
 	 * @param sender sends a frame to an entry by name
 	 */
-	SiteNews(ObjectStore store, StoreDuty storeRole, UpstreamChoice upstream, BiConsumer<String, Frame> sender,
-			LongSupplier clock, DecisionLog log) {
+	StoreReplication(ObjectStore store, StoreRole storeRole, UpstreamSelector upstream,
+			BiConsumer<String, Frame> sender, LongSupplier clock, DecisionLog log) {
 		this.replica = new StoreReplica(store);
 		this.subscriptions = new UpdateSubscriptions(this.replica, clock, log);
 		this.publisher = new UpdatePublisher(sender, clock);
@@ -96,11 +97,11 @@
 
 	/**
 	 * Applies a listing of a kind.
-	 * @param at the store's revision at the listing
+	 * @param revision the store's revision at the listing
 	 */
-	void read(Kind kind, List<ObjectStore.Item> all, long at) {
+	void applyFromStore(ObjectKind kind, List<ObjectStore.Item> all, long revision) {
 		Map<String, Long> before = this.replica.revisions(kind);
-		if (this.replica.applyFromStore(kind, all, at)) {
+		if (this.replica.applyFromStore(kind, all, revision)) {
 			this.subscriptions.objectsDropped(kind);
 		}
 		this.publisher.subscribers()
@@ -116,7 +117,7 @@
 	/**
 	 * Applies a change and returns whether it is newer than what is known.
 	 */
-	boolean read(Kind kind, ObjectStore.Change change) {
+	boolean applyFromStore(ObjectKind kind, ObjectStore.Change change) {
 		if (!this.replica.applyFromStore(kind, change)) {
 			return false;
 		}
@@ -132,7 +133,7 @@
 	 * Records the time as of which the store's routes are known, by this process's
 	 * monotonic clock.
 	 */
-	void confirmed(long confirmedNanos) {
+	void routesConfirmed(long confirmedNanos) {
 		this.publisher.routesConfirmed(confirmedNanos);
 		this.lastConfirmed.confirmed(confirmedNanos);
 	}
@@ -140,7 +141,7 @@
 	/**
 	 * Returns the store's revision up to which the objects of a kind are known.
 	 */
-	long knownRevision(Kind kind) {
+	long knownRevision(ObjectKind kind) {
 		return this.replica.knownRevision(kind);
 	}
 
@@ -148,14 +149,14 @@
 	 * Returns the latest time as of which the store's routes are known here, from this
 	 * entry's reads or from peers.
 	 */
-	OptionalLong asOfNanos() {
+	OptionalLong routesConfirmedNanos() {
 		return this.lastConfirmed.nanos();
 	}
 
 	/**
 	 * Returns the latest time as of which the routes of a peer are confirmed.
 	 */
-	OptionalLong asOfNanos(String peer) {
+	OptionalLong routesConfirmedNanos(String peer) {
 		return this.subscriptions.routesConfirmedNanos(peer);
 	}
 
@@ -164,7 +165,7 @@
 	 */
 	void suspended(long nowNanos) {
 		this.publisher.suspended(nowNanos);
-		this.lastConfirmed.doubt(nowNanos);
+		this.lastConfirmed.discardBefore(nowNanos);
 	}
 
 	/**
@@ -175,8 +176,8 @@
 	 */
 	void stopReading() {
 		this.storeAnswers = false;
-		this.upstream.store(true).ifPresent(this::unsubscribeUnlessAccepted);
-		dismiss();
+		this.upstream.storeReachabilityChanged(true).ifPresent(this::unsubscribeUnlessAccepted);
+		dismissSubscribers();
 	}
 
 	/**
@@ -192,21 +193,21 @@
 	 * result of a call from before would make it request everything from other entries,
 	 * or report that it reads, until it reads again.
 	 */
-	void reachable(boolean reachable) {
-		if (this.storeRole.rests()) {
+	void storeReachable(boolean reachable) {
+		if (this.storeRole.isFollower()) {
 			return;
 		}
 		this.storeAnswers = reachable;
-		this.upstream.store(reachable).ifPresent(this::unsubscribeUnlessAccepted);
+		this.upstream.storeReachabilityChanged(reachable).ifPresent(this::unsubscribeUnlessAccepted);
 		if (!reachable) {
-			dismiss();
+			dismissSubscribers();
 		}
 	}
 
 	/**
 	 * Notifies all subscribers that this entry may be stale, and removes them.
 	 */
-	void dismiss() {
+	void dismissSubscribers() {
 		publish(() -> News.newBuilder().setCurrent(false).build());
 		this.publisher.clear();
 	}
@@ -231,9 +232,10 @@
 		}
 		List.copyOf(this.unsolicited).forEach(this::unsubscribeUnlessAccepted);
 		this.unsolicited.clear();
-		execute(this.upstream.ask(linked, nowNanos));
+		execute(this.upstream.tick(linked, nowNanos));
 		// After the upstream was selected, so that only accepted peers are asked again.
-		this.subscriptions.retain((peer) -> this.storeRole.believes(peer) || this.upstream.believes(peer));
+		this.subscriptions
+			.retain((peer) -> this.storeRole.acceptsUpdatesFrom(peer) || this.upstream.acceptsUpdatesFrom(peer));
 		this.subscriptions.peers().forEach(this::retry);
 		if (this.ticks % TICKS_PER_HEARTBEAT == 0) {
 			this.subscriptions.peers()
@@ -245,7 +247,7 @@
 	/**
 	 * Handles a new link to another entry.
 	 */
-	void linked(String peer) {
+	void linkEstablished(String peer) {
 		this.subscriptions.linkEstablished(peer);
 	}
 
@@ -268,20 +270,20 @@
 	 * removed, since the peer sends no more; a later subscription starts anew.
 	 */
 	void unsubscribeUnlessAccepted(String peer) {
-		if (!this.storeRole.believes(peer) && !this.upstream.believes(peer)) {
+		if (!this.storeRole.acceptsUpdatesFrom(peer) && !this.upstream.acceptsUpdatesFrom(peer)) {
 			this.subscriptions.remove(peer);
 			this.sender.accept(peer, unsubscribeFrame());
 		}
 	}
 
-	private void execute(List<UpstreamChoice.Step> steps) {
-		for (UpstreamChoice.Step step : steps) {
+	private void execute(List<UpstreamSelector.Step> steps) {
+		for (UpstreamSelector.Step step : steps) {
 			switch (step) {
-				case UpstreamChoice.Step.Ask ask -> {
+				case UpstreamSelector.Step.Ask ask -> {
 					this.log.decision("store-through-entry", "entry", ask.entry());
 					this.sender.accept(ask.entry(), subscribe(ask.entry()));
 				}
-				case UpstreamChoice.Step.Dismiss dismiss -> unsubscribeUnlessAccepted(dismiss.entry());
+				case UpstreamSelector.Step.Dismiss dismiss -> unsubscribeUnlessAccepted(dismiss.entry());
 			}
 		}
 	}
@@ -289,7 +291,7 @@
 	/**
 	 * Handles a peer's request to subscribe, to keep its subscription alive or to end it.
 	 */
-	void asked(String peer, NewsRequest request) {
+	void requestReceived(String peer, NewsRequest request) {
 		if (!request.getWanted()) {
 			this.publisher.remove(peer);
 			return;
@@ -304,8 +306,8 @@
 			return;
 		}
 		this.publisher.add(peer);
-		Map<Kind, Map<String, Long>> held = revisionsHeld(request);
-		for (Kind kind : ANSWER_ORDER) {
+		Map<ObjectKind, Map<String, Long>> held = revisionsHeld(request);
+		for (ObjectKind kind : ANSWER_ORDER) {
 			this.publisher.send(peer, fullUpdate(kind, held.getOrDefault(kind, Map.of())));
 		}
 	}
@@ -314,7 +316,7 @@
 	// leader would otherwise wait for this entry to read the store.
 	private News notCurrentUpdate() {
 		News.Builder news = News.newBuilder().setCurrent(false);
-		this.storeRole.heardAgoMillis(this.clock.getAsLong()).ifPresent(news::setHeardAgoMillis);
+		this.storeRole.millisSinceLeaderHeard(this.clock.getAsLong()).ifPresent(news::setHeardAgoMillis);
 		return news.build();
 	}
 
@@ -339,9 +341,9 @@
 		this.subscriptions.retry(peer).ifPresent((frame) -> this.sender.accept(peer, frame));
 	}
 
-	private List<DirectEvent> applyUpdate(String peer, Kind kind, News update) {
-		if (this.upstream.believes(peer)) {
-			this.upstream.heard(true, this.tickNanos);
+	private List<DirectEvent> applyUpdate(String peer, ObjectKind kind, News update) {
+		if (this.upstream.acceptsUpdatesFrom(peer)) {
+			this.upstream.answerReceived(true, this.tickNanos);
 		}
 		if (!this.replica.hasReferenced(kind, update.getObjectsList())) {
 			this.subscriptions.contentMissing(peer, kind, update);
@@ -365,30 +367,30 @@
 		return changes;
 	}
 
-	private DirectEvent applyFullUpdate(Kind kind, News update) {
+	private DirectEvent applyFullUpdate(ObjectKind kind, News update) {
 		Set<String> listed = new HashSet<>();
 		update.getObjectsList().forEach((object) -> listed.add(object.getName()));
 		this.replica.removeUnlisted(kind, listed, update.getAt());
 		this.replica.advanceRevision(kind, update.getAt());
-		return new DirectEvent.AllObjects(kind, this.replica.items(kind), this.replica.knownRevision(kind));
+		return new DirectEvent.ObjectsListed(kind, this.replica.items(kind), this.replica.knownRevision(kind));
 	}
 
 	private boolean accepts(String peer, News update) {
-		if (this.storeRole.believes(peer)) {
+		if (this.storeRole.acceptsUpdatesFrom(peer)) {
 			return update.getCurrent();
 		}
-		if (!this.upstream.believes(peer)) {
+		if (!this.upstream.acceptsUpdatesFrom(peer)) {
 			if (update.getCurrent()) {
 				this.unsolicited.add(peer);
 			}
 			return false;
 		}
 		if (!update.getCurrent()) {
-			this.upstream.heard(false, this.tickNanos);
-			execute(this.upstream.ask(this.linkedEntries, this.tickNanos));
+			this.upstream.answerReceived(false, this.tickNanos);
+			execute(this.upstream.tick(this.linkedEntries, this.tickNanos));
 			return false;
 		}
-		this.upstream.sign(this.tickNanos);
+		this.upstream.heartbeatReceived(this.tickNanos);
 		return true;
 	}
 
@@ -398,7 +400,7 @@
 		}
 	}
 
-	private News fullUpdate(Kind kind, Map<String, Long> held) {
+	private News fullUpdate(ObjectKind kind, Map<String, Long> held) {
 		return News.newBuilder()
 			.setCurrent(true)
 			.setAll(true)
@@ -408,8 +410,8 @@
 			.build();
 	}
 
-	private static Map<Kind, Map<String, Long>> revisionsHeld(NewsRequest request) {
-		Map<Kind, Map<String, Long>> held = new EnumMap<>(Kind.class);
+	private static Map<ObjectKind, Map<String, Long>> revisionsHeld(NewsRequest request) {
+		Map<ObjectKind, Map<String, Long>> held = new EnumMap<>(ObjectKind.class);
 		for (KnownKind known : request.getKnownList()) {
 			Map<String, Long> revisions = new HashMap<>();
 			known.getObjectsList().forEach((object) -> revisions.put(object.getName(), object.getRevision()));
@@ -425,7 +427,7 @@
 		return Frame.newBuilder().setNewsRequest(NewsRequest.newBuilder().setWanted(false)).build();
 	}
 
-	static StoreKind toWire(Kind kind) {
+	static StoreKind toWire(ObjectKind kind) {
 		return switch (kind) {
 			case ROUTES -> StoreKind.STORE_ROUTES;
 			case RUNNERS -> StoreKind.STORE_RUNNERS;
@@ -434,12 +436,12 @@
 		};
 	}
 
-	static Optional<Kind> fromWire(StoreKind kind) {
+	static Optional<ObjectKind> fromWire(StoreKind kind) {
 		return switch (kind) {
-			case STORE_ROUTES -> Optional.of(Kind.ROUTES);
-			case STORE_RUNNERS -> Optional.of(Kind.RUNNERS);
-			case STORE_WEIGHTS -> Optional.of(Kind.WEIGHTS);
-			case STORE_ENTRIES -> Optional.of(Kind.ENTRIES);
+			case STORE_ROUTES -> Optional.of(ObjectKind.ROUTES);
+			case STORE_RUNNERS -> Optional.of(ObjectKind.RUNNERS);
+			case STORE_WEIGHTS -> Optional.of(ObjectKind.WEIGHTS);
+			case STORE_ENTRIES -> Optional.of(ObjectKind.ENTRIES);
 			case STORE_KIND_UNSPECIFIED, UNRECOGNIZED -> Optional.empty();
 		};
 	}
--- a/entry/src/main/java/org/wisteriapost/entry/direct/StoreReading.java
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/StoreRoleController.java
@@ -6,21 +6,21 @@
 import java.util.function.BiConsumer;
 
 import org.wisteriapost.kernel.log.DecisionLog;
-import org.wisteriapost.policy.fleet.StoreDuty;
-import org.wisteriapost.protocol.site.Kind;
+import org.wisteriapost.policy.fleet.StoreRole;
+import org.wisteriapost.protocol.site.ObjectKind;
 import org.wisteriapost.protocol.wire.Frame;
 import org.wisteriapost.protocol.wire.News;
 
 /**
- * Executes the decisions of {@link StoreDuty}. Confined to the state thread.
+ * Executes the decisions of {@link StoreRole}. Confined to the state thread.
  */
-final class StoreReading {
+final class StoreRoleController {
 
-	private final StoreDuty role;
+	private final StoreRole role;
 
-	private final SiteNews replication;
+	private final StoreReplication replication;
 
-	private final Following watches;
+	private final StoreWatches watches;
 
 	private final BiConsumer<String, Frame> sender;
 
@@ -32,8 +32,8 @@
 	 * Creates the controller of one entry.
 	 * @param sender sends a frame to an entry by name
 	 */
-	StoreReading(StoreDuty role, SiteNews replication, Following watches, BiConsumer<String, Frame> sender,
-			DecisionLog log) {
+	StoreRoleController(StoreRole role, StoreReplication replication, StoreWatches watches,
+			BiConsumer<String, Frame> sender, DecisionLog log) {
 		this.role = role;
 		this.replication = replication;
 		this.watches = watches;
@@ -44,15 +44,15 @@
 	/**
 	 * Returns whether this entry is a follower, which receives the store from a leader.
 	 */
-	boolean rests() {
-		return this.role.rests();
+	boolean isFollower() {
+		return this.role.isFollower();
 	}
 
 	/**
 	 * Handles a read that was discarded because it completed too late. The watch resumes
 	 * behind it later and would not read it again.
 	 */
-	void missed(Kind kind) {
+	void readDiscarded(ObjectKind kind) {
 		this.watches.requireListing(kind);
 	}
 
@@ -73,10 +73,10 @@
 	 * Applies an update of a peer and returns the changes as if they were read from the
 	 * store.
 	 */
-	List<DirectEvent> heard(String peer, News update, long nowNanos) {
+	List<DirectEvent> updateReceived(String peer, News update, long nowNanos) {
 		List<DirectEvent> changes = this.replication.updateReceived(peer, update);
-		this.replication.asOfNanos(peer).ifPresent((asOf) -> this.role.knownAsOf(peer, asOf));
-		if (this.role.believes(peer)) {
+		this.replication.routesConfirmedNanos(peer).ifPresent((asOf) -> this.role.routesConfirmed(peer, asOf));
+		if (this.role.acceptsUpdatesFrom(peer)) {
 			applyLeaderStatus(peer, update, nowNanos);
 		}
 		return changes;
@@ -90,24 +90,24 @@
 		boolean updatesComplete = this.replication.isComplete(peer);
 		if (!current && update.hasHeardAgoMillis()) {
 			long agoNanos = TimeUnit.MILLISECONDS.toNanos(update.getHeardAgoMillis());
-			execute(this.role.heardResting(peer, agoNanos, nowNanos));
+			execute(this.role.followerStatusReceived(peer, agoNanos, nowNanos));
 		}
-		else if (updatesComplete || !current || !this.role.settled()) {
-			execute(this.role.heard(peer, current, updatesComplete, nowNanos));
+		else if (updatesComplete || !current || !this.role.hasLeader()) {
+			execute(this.role.statusReceived(peer, current, updatesComplete, nowNanos));
 		}
 	}
 
-	private void execute(List<StoreDuty.Step> steps) {
-		for (StoreDuty.Step step : steps) {
+	private void execute(List<StoreRole.Step> steps) {
+		for (StoreRole.Step step : steps) {
 			this.log.decision("store-duty", "step", step);
 			switch (step) {
-				case StoreDuty.Step.Ask ask -> this.sender.accept(ask.entry(), this.replication.subscribe(ask.entry()));
-				case StoreDuty.Step.Dismiss dismiss -> this.replication.unsubscribeUnlessAccepted(dismiss.entry());
-				case StoreDuty.Step.Rest rest -> {
+				case StoreRole.Step.Ask ask -> this.sender.accept(ask.entry(), this.replication.subscribe(ask.entry()));
+				case StoreRole.Step.Dismiss dismiss -> this.replication.unsubscribeUnlessAccepted(dismiss.entry());
+				case StoreRole.Step.Rest rest -> {
 					this.replication.stopReading();
 					this.watches.pause();
 				}
-				case StoreDuty.Step.Read read -> this.watches.resume(this.replication::knownRevision);
+				case StoreRole.Step.Read read -> this.watches.resume(this.replication::knownRevision);
 			}
 		}
 	}
--- a/entry/src/main/java/org/wisteriapost/entry/direct/Following.java
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/StoreWatches.java
@@ -5,41 +5,41 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.function.ToLongFunction;
 
-import org.wisteriapost.protocol.site.Follower;
-import org.wisteriapost.protocol.site.Kind;
+import org.wisteriapost.protocol.site.ObjectKind;
+import org.wisteriapost.protocol.site.StoreWatcher;
 
 /**
  * The watches of the site's store that this entry has itself, one for each kind.
  * Thread-safe.
  */
-final class Following {
+final class StoreWatches {
 
-	private final Map<Kind, Follower> watches = new ConcurrentHashMap<>();
+	private final Map<ObjectKind, StoreWatcher> watches = new ConcurrentHashMap<>();
 
-	void add(Kind kind, Follower watch) {
+	void add(ObjectKind kind, StoreWatcher watch) {
 		this.watches.put(kind, watch);
 	}
 
 	void setHasSubscribers(boolean hasSubscribers) {
-		this.watches.values().forEach((watch) -> watch.reliedOn(hasSubscribers));
+		this.watches.values().forEach((watch) -> watch.setLeader(hasSubscribers));
 	}
 
 	void pause() {
-		this.watches.values().forEach(Follower::pause);
+		this.watches.values().forEach(StoreWatcher::pause);
 	}
 
 	/**
 	 * Makes the watch of a kind list it again, since what it has read was discarded.
 	 */
-	void requireListing(Kind kind) {
-		Optional.ofNullable(this.watches.get(kind)).ifPresent(Follower::forget);
+	void requireListing(ObjectKind kind) {
+		Optional.ofNullable(this.watches.get(kind)).ifPresent(StoreWatcher::relistOnResume);
 	}
 
 	/**
 	 * Resumes after a pause.
 	 * @param knownRevisions the revision up to which all objects of a kind are known
 	 */
-	void resume(ToLongFunction<Kind> knownRevisions) {
+	void resume(ToLongFunction<ObjectKind> knownRevisions) {
 		this.watches.forEach((kind, watch) -> watch.resume(knownRevisions.applyAsLong(kind)));
 	}
 
--- a/entry/src/main/java/org/wisteriapost/entry/direct/UpdatePublisher.java
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/UpdatePublisher.java
@@ -11,7 +11,7 @@
 import java.util.function.BiConsumer;
 import java.util.function.LongSupplier;
 
-import org.wisteriapost.policy.routing.KnownMoment;
+import org.wisteriapost.policy.routing.LastConfirmedTime;
 import org.wisteriapost.protocol.wire.Frame;
 import org.wisteriapost.protocol.wire.News;
 import org.wisteriapost.protocol.wire.NewsRequest;
@@ -35,7 +35,7 @@
 	// subscription was lost, the number of the next frame reveals it.
 	private final Map<String, PeerState> peerStates = new HashMap<>();
 
-	private final KnownMoment routesConfirmed = new KnownMoment();
+	private final LastConfirmedTime routesConfirmed = new LastConfirmedTime();
 
 	/**
 	 * Creates the publisher of one entry.
@@ -58,7 +58,7 @@
 	 * until the routes are confirmed again.
 	 */
 	void suspended(long nowNanos) {
-		this.routesConfirmed.doubt(nowNanos);
+		this.routesConfirmed.discardBefore(nowNanos);
 	}
 
 	/**
--- a/entry/src/main/java/org/wisteriapost/entry/direct/UpdateSubscriptions.java
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/UpdateSubscriptions.java
@@ -15,7 +15,7 @@
 import java.util.function.Predicate;
 
 import org.wisteriapost.kernel.log.DecisionLog;
-import org.wisteriapost.protocol.site.Kind;
+import org.wisteriapost.protocol.site.ObjectKind;
 import org.wisteriapost.protocol.wire.Frame;
 import org.wisteriapost.protocol.wire.News;
 import org.wisteriapost.protocol.wire.NewsRequest;
@@ -138,7 +138,7 @@
 	/**
 	 * Records that all objects of a kind were received from a peer.
 	 */
-	void markDelivered(String peer, Kind kind) {
+	void markDelivered(String peer, ObjectKind kind) {
 		Subscription subscription = subscription(peer);
 		subscription.delivered.add(kind);
 		subscription.lastActivityNanos = this.clock.getAsLong();
@@ -154,7 +154,7 @@
 	 * asked for everything, unless frames are missing since the last request: the objects
 	 * came with those, and the peer does not know yet what is known here.
 	 */
-	void contentMissing(String peer, Kind kind, News update) {
+	void contentMissing(String peer, ObjectKind kind, News update) {
 		this.log.failure("news-lacking", "peer", peer, "kind", kind);
 		Subscription subscription = subscription(peer);
 		subscription.delivered.remove(kind);
@@ -168,7 +168,7 @@
 	 * runner. So all peers are asked again; their answers contain whatever is not known
 	 * here.
 	 */
-	void objectsDropped(Kind kind) {
+	void objectsDropped(ObjectKind kind) {
 		this.subscriptions.values()
 			.stream()
 			.filter((subscription) -> subscription.delivered.remove(kind))
@@ -178,7 +178,7 @@
 	/**
 	 * Returns whether nothing is missing of a kind as sent by a peer.
 	 */
-	boolean hasAll(String peer, Kind kind) {
+	boolean hasAll(String peer, ObjectKind kind) {
 		return this.subscriptions.containsKey(peer) && subscription(peer).delivered.contains(kind);
 	}
 
@@ -201,7 +201,7 @@
 		boolean hasStaleness = update.hasStamp() && update.hasAgeMillis() && update.getAgeMillis() >= 0
 				&& update.getAgeMillis() <= MAX_STALENESS_MILLIS;
 		if (!hasStaleness || !subscription.isOwnStamp(update.getStamp())
-				|| !subscription.delivered.contains(Kind.ROUTES)) {
+				|| !subscription.delivered.contains(ObjectKind.ROUTES)) {
 			return OptionalLong.empty();
 		}
 		subscription.confirm(update.getStamp() - TimeUnit.MILLISECONDS.toNanos(update.getAgeMillis()));
@@ -291,7 +291,7 @@
 	/** What was received from one peer since the first request. */
 	private static final class Subscription {
 
-		private final Set<Kind> delivered = EnumSet.noneOf(Kind.class);
+		private final Set<ObjectKind> delivered = EnumSet.noneOf(ObjectKind.class);
 
 		private final long startNanos;
 
@@ -371,11 +371,11 @@
 		}
 
 		private boolean isComplete() {
-			return this.delivered.size() == Kind.values().length;
+			return this.delivered.size() == ObjectKind.values().length;
 		}
 
-		private List<Kind> missingKinds() {
-			List<Kind> missing = new ArrayList<>(List.of(Kind.values()));
+		private List<ObjectKind> missingKinds() {
+			List<ObjectKind> missing = new ArrayList<>(List.of(ObjectKind.values()));
 			missing.removeAll(this.delivered);
 			return missing;
 		}
--- a/entry/src/main/java/org/wisteriapost/entry/link/PeerLink.java
+++ b/entry/src/main/java/org/wisteriapost/entry/link/PeerLink.java
@@ -28,14 +28,14 @@
 	/**
 	 * Returns an outgoing link to a known VM.
 	 */
-	public static PeerLink to(Link link, String vm, Role role) {
+	public static PeerLink outgoing(Link link, String vm, Role role) {
 		return new PeerLink(link, vm, role);
 	}
 
 	/**
 	 * Returns an incoming link; the peer identifies itself by its Hello.
 	 */
-	public static PeerLink from(Link link) {
+	public static PeerLink incoming(Link link) {
 		return new PeerLink(link, "", Role.ROLE_UNSPECIFIED);
 	}
 
@@ -54,7 +54,7 @@
 	 * Applies the peer's Hello; returns false if the peer is not the one that this link
 	 * was opened to.
 	 */
-	public boolean hello(Hello hello) {
+	public boolean acceptHello(Hello hello) {
 		if (this.vm.isEmpty()) {
 			this.vm = hello.getVm();
 			this.role = hello.getRole();
@@ -67,7 +67,7 @@
 	 * Returns whether the generation is higher than any before, so that a burst of frames
 	 * requests a head only once.
 	 */
-	public boolean asksFor(long generation) {
+	public boolean markRequested(long generation) {
 		if (generation <= this.requestedGeneration) {
 			return false;
 		}
--- a/entry/src/main/java/org/wisteriapost/entry/link/PeerLinks.java
+++ b/entry/src/main/java/org/wisteriapost/entry/link/PeerLinks.java
@@ -58,7 +58,7 @@
 	 * Accepts links from other entries on an address.
 	 */
 	public LinkServer listen(InetSocketAddress address) {
-		return this.links.listen(address, new Handler(PeerLink::from, () -> {
+		return this.links.listen(address, new Handler(PeerLink::incoming, () -> {
 		}));
 	}
 
@@ -66,7 +66,7 @@
 	 * Replaces the target VMs: opens missing links and closes those to other VMs. A VM
 	 * whose address has changed is reconnected.
 	 */
-	public synchronized void keep(List<Member> members) {
+	public synchronized void setTargets(List<Member> members) {
 		Map<String, Member> wanted = members.stream()
 			.collect(Collectors.toMap(Member::vm, Function.identity(), (first, second) -> first));
 		this.targets.values().removeIf((target) -> {
@@ -113,7 +113,7 @@
 			Role role = this.member.entry() ? Role.ENTRY : Role.AGENT;
 			Handler handler = new Handler((link) -> {
 				this.link = link;
-				return PeerLink.to(link, this.member.vm(), role);
+				return PeerLink.outgoing(link, this.member.vm(), role);
 			}, this::scheduleReconnect);
 			PeerLinks.this.links.connect(new InetSocketAddress(this.member.host(), this.member.linkPort()), handler)
 				.whenComplete((done, failure) -> {
--- a/entry/src/main/java/org/wisteriapost/entry/process/ActiveRequests.java
+++ b/entry/src/main/java/org/wisteriapost/entry/process/ActiveRequests.java
@@ -16,7 +16,7 @@
 import org.wisteriapost.kernel.Invariants;
 import org.wisteriapost.policy.request.RequestEffect;
 import org.wisteriapost.policy.request.RequestEvent;
-import org.wisteriapost.policy.request.RequestMachine;
+import org.wisteriapost.policy.request.RequestStateMachine;
 import org.wisteriapost.protocol.wire.CallCancel;
 import org.wisteriapost.protocol.wire.CallData;
 import org.wisteriapost.protocol.wire.CallEnd;
@@ -24,8 +24,8 @@
 import org.wisteriapost.protocol.wire.Frame;
 
 /**
- * All requests in progress. Passes events to the {@link RequestMachine} and executes the
- * effects that it returns. Used only by the event loop's thread.
+ * All requests in progress. Passes events to the {@link RequestStateMachine} and executes
+ * the effects that it returns. Used only by the event loop's thread.
  */
 final class ActiveRequests {
 
@@ -46,7 +46,7 @@
 
 	private static final int GATEWAY_TIMEOUT = 504;
 
-	private final RequestMachine machine;
+	private final RequestStateMachine machine;
 
 	private final IdempotencyClaims claims;
 
@@ -78,7 +78,7 @@
 		this.metrics = wiring.metrics();
 		this.invariants = wiring.invariants();
 		this.clock = wiring.clock();
-		this.maxBufferedBytes = wiring.maxHeldBytes();
+		this.maxBufferedBytes = wiring.maxBufferedBytes();
 		this.generation = generation;
 	}
 
@@ -102,7 +102,7 @@
 		if (sent && request.call().key().isPresent()) {
 			return;
 		}
-		decide(new RequestEvent.CallerGone(id));
+		decide(new RequestEvent.CallerDisconnected(id));
 		finish(request, sent ? Outcome.UNKNOWN : Outcome.NOT_RUN, CALLER_GONE.name());
 		this.claims.notRun(request.call());
 	}
@@ -116,7 +116,7 @@
 	 */
 	void linkDown(PeerLink agent) {
 		if (this.agents.remove(agent.vm(), agent)) {
-			decide(new RequestEvent.RunnerLost(agent.vm()));
+			decide(new RequestEvent.RunnerDisconnected(agent.vm()));
 		}
 		List<ActiveRequest> interrupted = this.requestsByCallId.values()
 			.stream()
@@ -164,7 +164,7 @@
 			bytes = attempt.buffer().toByteArray();
 			sendHead(request, attempt);
 		}
-		if (!request.call().answer().data(bytes)) {
+		if (!request.call().answer().write(bytes)) {
 			callerDisconnected(request.id());
 		}
 	}
@@ -224,7 +224,7 @@
 			case RequestEffect.Claim claim -> this.claims.claim(request.call());
 			case RequestEffect.Dispatch dispatch -> dispatch(request, dispatch);
 			case RequestEffect.Refuse refuse -> refuse(request, refuse);
-			case RequestEffect.GiveUp giveUp -> answerUnknown(request, giveUp);
+			case RequestEffect.AnswerUnknown giveUp -> answerUnknown(request, giveUp);
 			case RequestEffect.Cancel cancel -> request.attempt().ifPresent((attempt) -> {
 				cancel(attempt);
 				endAttempt(request);
@@ -238,7 +238,7 @@
 		// The process may have been paused since the decision. A call that is sent after
 		// its deadline would occupy a runner for an answer that nobody waits for.
 		if (request.call().request().deadlineNanos() - now <= 0) {
-			decide(new RequestEvent.Failed(request.id(), dispatch.runner(), true, DISPATCH_TOO_LATE.name(), 0));
+			decide(new RequestEvent.DispatchFailed(request.id(), dispatch.runner(), true, DISPATCH_TOO_LATE.name(), 0));
 			return;
 		}
 		PeerLink agent = this.agents.get(dispatch.runner());
@@ -248,7 +248,7 @@
 			.setCall(CallFrames.call(request.call(), attempt.callId(), dispatch.weightsDigest(), now))
 			.build();
 		if (agent == null || !agent.send(frame)) {
-			decide(new RequestEvent.Failed(request.id(), dispatch.runner(), true, LINK_LOST.name(), 0));
+			decide(new RequestEvent.DispatchFailed(request.id(), dispatch.runner(), true, LINK_LOST.name(), 0));
 			return;
 		}
 		this.metrics.dispatched(request.call().request().service());
@@ -257,19 +257,19 @@
 	}
 
 	private void refuse(ActiveRequest request, RequestEffect.Refuse refuse) {
-		Refusal answer = Refusal.later(refuse.code(), "The request did not run; come back later.",
+		Refusal answer = Refusal.temporary(refuse.code(), "The request did not run; come back later.",
 				refuse.retryAfterMillis());
 		finish(request, Outcome.NOT_RUN, refuse.code());
 		this.claims.notRun(request.call());
 		request.call().answer().refuse(answer);
 	}
 
-	private void answerUnknown(ActiveRequest request, RequestEffect.GiveUp giveUp) {
+	private void answerUnknown(ActiveRequest request, RequestEffect.AnswerUnknown giveUp) {
 		int status = giveUp.code().contains("deadline") ? GATEWAY_TIMEOUT : BAD_GATEWAY;
 		request.attempt().ifPresent(this::cancel);
 		finish(request, Outcome.UNKNOWN, giveUp.code());
 		this.claims.unknown(request.call());
-		request.call().answer().refuse(Refusal.unknown(status, giveUp.code(), "The request may have run."));
+		request.call().answer().refuse(Refusal.outcomeUnknown(status, giveUp.code(), "The request may have run."));
 	}
 
 	/**
@@ -279,7 +279,7 @@
 		ActiveRequest request = this.requests.get(id);
 		if (request != null) {
 			finish(request, outcome, code);
-			decide(new RequestEvent.ClaimLost(id));
+			decide(new RequestEvent.ClaimFailed(id));
 		}
 	}
 
@@ -293,11 +293,11 @@
 		else {
 			this.metrics.started(call.request(), this.clock.getAsLong() - request.arrivedNanos());
 			byte[] body = attempt.buffer().toByteArray();
-			call.answer().whole(head.status(), head.headers(), attempt.weightsDigest(), body);
+			call.answer().complete(head.status(), head.headers(), attempt.weightsDigest(), body);
 			this.claims.ran(call, head.status(), head.headers(), body);
 		}
 		finish(request, Outcome.RAN, "");
-		decide(new RequestEvent.Ended(request.id()));
+		decide(new RequestEvent.AnswerCompleted(request.id()));
 	}
 
 	private void sendHead(ActiveRequest request, ActiveRequest.Attempt attempt) {
@@ -305,12 +305,12 @@
 		request.markHeadSent();
 		this.metrics.started(request.call().request(), this.clock.getAsLong() - request.arrivedNanos());
 		request.call().answer().start(head.status(), head.headers(), attempt.weightsDigest());
-		decide(new RequestEvent.Started(request.id()));
+		decide(new RequestEvent.AnswerStarted(request.id()));
 	}
 
 	private void failed(ActiveRequest request, String runner, boolean notRun, String code, long retryAfterMillis) {
 		endAttempt(request);
-		decide(new RequestEvent.Failed(request.id(), runner, notRun, code, retryAfterMillis));
+		decide(new RequestEvent.DispatchFailed(request.id(), runner, notRun, code, retryAfterMillis));
 	}
 
 	private void finish(ActiveRequest request, Outcome outcome, String code) {
--- a/entry/src/main/java/org/wisteriapost/entry/process/BurnRecorder.java
+++ b/entry/src/main/java/org/wisteriapost/entry/process/BurnRecorder.java
@@ -6,12 +6,12 @@
 import java.util.concurrent.TimeUnit;
 
 import org.wisteriapost.entry.caller.Outcome;
-import org.wisteriapost.policy.burn.BurnJudge;
-import org.wisteriapost.policy.burn.BurnLedger;
 import org.wisteriapost.policy.burn.BurnSnapshot;
+import org.wisteriapost.policy.burn.LatencyClassifier;
 import org.wisteriapost.policy.burn.Objective;
-import org.wisteriapost.policy.burn.Result;
-import org.wisteriapost.policy.burn.Series;
+import org.wisteriapost.policy.burn.RequestCounter;
+import org.wisteriapost.policy.burn.RequestResult;
+import org.wisteriapost.policy.burn.RequestSeries;
 import org.wisteriapost.policy.request.Request;
 
 /**
@@ -20,13 +20,13 @@
  */
 final class BurnRecorder {
 
-	private final BurnLedger ledger = BurnLedger.create();
+	private final RequestCounter ledger = RequestCounter.create();
 
 	private final Map<Long, Long> firstByteMillis = new HashMap<>();
 
-	private final BurnJudge classifier;
+	private final LatencyClassifier classifier;
 
-	private BurnRecorder(BurnJudge classifier) {
+	private BurnRecorder(LatencyClassifier classifier) {
 		this.classifier = classifier;
 	}
 
@@ -34,7 +34,7 @@
 	 * Returns a recorder that classifies answers by these objectives.
 	 */
 	static BurnRecorder of(List<Objective> objectives) {
-		return new BurnRecorder(BurnJudge.of(objectives));
+		return new BurnRecorder(LatencyClassifier.of(objectives));
 	}
 
 	synchronized void started(Request request, long tookNanos) {
@@ -50,21 +50,21 @@
 		if (code.equals(ActiveRequests.CALLER_GONE.name())) {
 			return;
 		}
-		this.ledger.count(new Series(request.service(), request.organisation()), result(request, outcome, firstByte),
-				nowMillis);
+		this.ledger.count(new RequestSeries(request.service(), request.organisation()),
+				result(request, outcome, firstByte), nowMillis);
 	}
 
 	synchronized BurnSnapshot snapshot(String vm, long nowMillis) {
 		return this.ledger.snapshot(vm, nowMillis);
 	}
 
-	private Result result(Request request, Outcome outcome, Long firstByte) {
+	private RequestResult result(Request request, Outcome outcome, Long firstByte) {
 		return switch (outcome) {
-			case RAN -> this.classifier.answered(request.service(), request.organisation(),
+			case RAN -> this.classifier.classify(request.service(), request.organisation(),
 					(firstByte != null) ? firstByte : 0);
-			case NOT_RUN -> Result.REFUSED;
+			case NOT_RUN -> RequestResult.REFUSED;
 			// The caller saw an answer that started and then broke off.
-			case UNKNOWN -> (firstByte != null) ? Result.FAILED : Result.UNKNOWN;
+			case UNKNOWN -> (firstByte != null) ? RequestResult.FAILED : RequestResult.UNKNOWN;
 		};
 	}
 
--- a/entry/src/main/java/org/wisteriapost/entry/process/ClaimCoordinator.java
+++ b/entry/src/main/java/org/wisteriapost/entry/process/ClaimCoordinator.java
@@ -9,8 +9,8 @@
 import java.util.UUID;
 import java.util.function.LongSupplier;
 
-import org.wisteriapost.entry.caller.CallKey;
 import org.wisteriapost.entry.caller.CallerCall;
+import org.wisteriapost.entry.caller.IdempotencyKey;
 import org.wisteriapost.entry.caller.Outcome;
 import org.wisteriapost.entry.caller.Refusal;
 import org.wisteriapost.entry.claim.ClaimReply;
@@ -19,10 +19,10 @@
 import org.wisteriapost.policy.bundle.Digests;
 import org.wisteriapost.policy.claim.ClaimEffect;
 import org.wisteriapost.policy.claim.ClaimKey;
-import org.wisteriapost.policy.claim.ClaimRecord.KeptAnswer;
 import org.wisteriapost.policy.claim.ClaimRecord.State;
+import org.wisteriapost.policy.claim.ClaimRecord.StoredAnswer;
+import org.wisteriapost.policy.claim.ClaimResult;
 import org.wisteriapost.policy.claim.ClaimTable;
-import org.wisteriapost.policy.claim.ClaimVerdict;
 import org.wisteriapost.policy.request.RequestEvent;
 
 /**
@@ -108,7 +108,7 @@
 
 	void tick() {
 		execute(this.table.tick(this.clock.getAsLong()));
-		this.pendingOperations = this.table.unwritten();
+		this.pendingOperations = this.table.pendingOperations();
 	}
 
 	/**
@@ -118,22 +118,22 @@
 		long now = this.clock.getAsLong();
 		execute(switch (reply) {
 			case ClaimReply.Found found ->
-				this.table.read(found.object(), found.value(), found.version(), found.conflict(), now);
-			case ClaimReply.Written written -> this.table.written(written.object(), written.version(), now);
-			case ClaimReply.Failed failed -> this.table.failed(failed.object(), failed.unconfirmed(), now);
+				this.table.onRead(found.object(), found.value(), found.version(), found.conflict(), now);
+			case ClaimReply.Written written -> this.table.onWritten(written.object(), written.version(), now);
+			case ClaimReply.Failed failed -> this.table.onFailure(failed.object(), failed.unconfirmed(), now);
 		});
 	}
 
 	@Override
 	public void claim(CallerCall call) {
-		CallKey key = call.key().orElseThrow();
-		Optional<ClaimKey.Fault> rejection = ClaimKey.check(key.issuedMillis(), this.wallMillis.getAsLong());
+		IdempotencyKey key = call.key().orElseThrow();
+		Optional<ClaimKey.Rejection> rejection = ClaimKey.validate(key.issuedMillis(), this.wallMillis.getAsLong());
 		if (rejection.isPresent()) {
 			refuseCall(call, switch (rejection.get()) {
 				// The outcome is unknown, not "not-run": the first call with this key may
 				// have run, and after "not-run" a caller would repeat it with a new key.
-				case TOO_OLD -> Refusal.unknown(CONFLICT, KEY_TOO_OLD.name(), KEY_TOO_OLD.summary());
-				case AHEAD -> Refusal.bad(BAD_REQUEST, KEY_AHEAD.name(), KEY_AHEAD.summary());
+				case EXPIRED -> Refusal.outcomeUnknown(CONFLICT, KEY_TOO_OLD.name(), KEY_TOO_OLD.summary());
+				case ISSUED_IN_FUTURE -> Refusal.invalidRequest(BAD_REQUEST, KEY_AHEAD.name(), KEY_AHEAD.summary());
 			});
 			return;
 		}
@@ -155,12 +155,12 @@
 			flat.add(header.getKey());
 			flat.add(header.getValue());
 		});
-		settle(call, State.ANSWERED, new KeptAnswer(status, flat, body));
+		settle(call, State.ANSWERED, new StoredAnswer(status, flat, body));
 	}
 
 	@Override
 	public void ranAnswerNotStored(CallerCall call) {
-		settle(call, State.RAN, KeptAnswer.NONE);
+		settle(call, State.RAN, StoredAnswer.NONE);
 	}
 
 	@Override
@@ -173,10 +173,10 @@
 
 	@Override
 	public void unknown(CallerCall call) {
-		settle(call, State.UNKNOWN, KeptAnswer.NONE);
+		settle(call, State.UNKNOWN, StoredAnswer.NONE);
 	}
 
-	private void settle(CallerCall call, State state, KeptAnswer answer) {
+	private void settle(CallerCall call, State state, StoredAnswer answer) {
 		PendingClaim pending = this.pendingClaims.remove(call.id());
 		if (pending != null) {
 			execute(this.table.settle(pending.key, pending.nonce, state, answer, this.clock.getAsLong()));
@@ -188,12 +188,12 @@
 			switch (effect) {
 				case ClaimEffect.Read read -> this.store.read(read);
 				case ClaimEffect.Write write -> this.store.write(write);
-				case ClaimEffect.Tell tell -> onResult(tell.verdict());
+				case ClaimEffect.Complete tell -> onResult(tell.result());
 			}
 		}
 	}
 
-	private void onResult(ClaimVerdict result) {
+	private void onResult(ClaimResult result) {
 		PendingClaim pending = this.pendingClaims.get(result.id());
 		// The call ended while its key was being claimed; the table releases the key once
 		// the claim is done.
@@ -201,13 +201,14 @@
 			return;
 		}
 		switch (result) {
-			case ClaimVerdict.Claimed claimed -> this.requests.decide(new RequestEvent.Claimed(claimed.id()));
-			case ClaimVerdict.Repeated repeated -> answerRepeat(pending, repeated);
-			case ClaimVerdict.Expired expired ->
-				refuse(pending, Refusal.unknown(CONFLICT, KEY_TOO_OLD.name(), KEY_TOO_OLD.summary()));
-			case ClaimVerdict.Failed failed -> refuse(pending, failed.full()
-					? Refusal.later(CLAIMS_FULL.name(), CLAIMS_FULL.summary(), FULL_RETRY_MILLIS)
-					: Refusal.later(CLAIMS_UNAVAILABLE.name(), CLAIMS_UNAVAILABLE.summary(), UNAVAILABLE_RETRY_MILLIS));
+			case ClaimResult.Claimed claimed -> this.requests.decide(new RequestEvent.Claimed(claimed.id()));
+			case ClaimResult.AlreadyClaimed repeated -> answerRepeat(pending, repeated);
+			case ClaimResult.Expired expired ->
+				refuse(pending, Refusal.outcomeUnknown(CONFLICT, KEY_TOO_OLD.name(), KEY_TOO_OLD.summary()));
+			case ClaimResult.Failed failed -> refuse(pending,
+					failed.pageFull() ? Refusal.temporary(CLAIMS_FULL.name(), CLAIMS_FULL.summary(), FULL_RETRY_MILLIS)
+							: Refusal.temporary(CLAIMS_UNAVAILABLE.name(), CLAIMS_UNAVAILABLE.summary(),
+									UNAVAILABLE_RETRY_MILLIS));
 		}
 	}
 
@@ -221,29 +222,31 @@
 		this.requests.answeredFromClaim(call.id(), refusal.outcome(), refusal.code());
 	}
 
-	private void answerRepeat(PendingClaim pending, ClaimVerdict.Repeated repeated) {
-		if (!repeated.same()) {
-			refuse(pending, Refusal.bad(UNPROCESSABLE, KEY_REUSED.name(), KEY_REUSED.summary()));
+	private void answerRepeat(PendingClaim pending, ClaimResult.AlreadyClaimed repeated) {
+		if (!repeated.sameCall()) {
+			refuse(pending, Refusal.invalidRequest(UNPROCESSABLE, KEY_REUSED.name(), KEY_REUSED.summary()));
 			return;
 		}
 		switch (repeated.first().state()) {
-			case CLAIMED -> refuse(pending, Refusal.unknown(CONFLICT, CALL_UNRESOLVED.name(), CALL_UNRESOLVED.summary())
-				.withRetryAfter(UNRESOLVED_RETRY_MILLIS));
+			case CLAIMED ->
+				refuse(pending, Refusal.outcomeUnknown(CONFLICT, CALL_UNRESOLVED.name(), CALL_UNRESOLVED.summary())
+					.withRetryAfter(UNRESOLVED_RETRY_MILLIS));
 			case UNKNOWN ->
-				refuse(pending, Refusal.unknown(CONFLICT, CALL_UNRESOLVED.name(), CALL_UNRESOLVED.summary()));
-			case RAN -> refuse(pending, Refusal.unknown(CONFLICT, ANSWER_NOT_KEPT.name(), ANSWER_NOT_KEPT.summary()));
+				refuse(pending, Refusal.outcomeUnknown(CONFLICT, CALL_UNRESOLVED.name(), CALL_UNRESOLVED.summary()));
+			case RAN ->
+				refuse(pending, Refusal.outcomeUnknown(CONFLICT, ANSWER_NOT_KEPT.name(), ANSWER_NOT_KEPT.summary()));
 			case ANSWERED -> replay(pending, repeated.first().answer());
 		}
 	}
 
-	private void replay(PendingClaim pending, KeptAnswer kept) {
+	private void replay(PendingClaim pending, StoredAnswer kept) {
 		List<Map.Entry<String, String>> headers = new ArrayList<>();
 		List<String> flat = kept.headers();
 		for (int i = 0; i + 1 < flat.size(); i += 2) {
 			headers.add(Map.entry(flat.get(i), flat.get(i + 1)));
 		}
 		this.pendingClaims.remove(pending.call.id());
-		pending.call.answer().whole(kept.status(), headers, "", kept.body());
+		pending.call.answer().complete(kept.status(), headers, "", kept.body());
 		this.requests.answeredFromClaim(pending.call.id(), Outcome.RAN, "");
 	}
 
--- a/entry/src/main/java/org/wisteriapost/entry/process/EntryEvent.java
+++ b/entry/src/main/java/org/wisteriapost/entry/process/EntryEvent.java
@@ -29,7 +29,7 @@
 	 *
 	 * @param id the request's id
 	 */
-	record CallerLeft(long id) implements EntryEvent {
+	record CallerDisconnected(long id) implements EntryEvent {
 	}
 
 	/**
@@ -87,7 +87,7 @@
 	 *
 	 * @param members all VMs on the list
 	 */
-	record VmsRead(List<Member> members) implements EntryEvent {
+	record VmListRead(List<Member> members) implements EntryEvent {
 	}
 
 	/**
@@ -95,7 +95,7 @@
 	 *
 	 * @param reply the reply
 	 */
-	record ClaimAnswered(ClaimReply reply) implements EntryEvent {
+	record ClaimReplied(ClaimReply reply) implements EntryEvent {
 	}
 
 	/** The timer fired. */
@@ -103,7 +103,7 @@
 	}
 
 	/** This entry is to be drained. */
-	record DrainAsked() implements EntryEvent {
+	record DrainRequested() implements EntryEvent {
 	}
 
 }
--- a/entry/src/main/java/org/wisteriapost/entry/process/Identity.java
+++ b/entry/src/main/java/org/wisteriapost/entry/process/EntryIdentity.java
@@ -7,5 +7,5 @@
  * @param failureDomain its failure domain
  * @param addressCacheSeconds how long callers may cache its address
  */
-public record Identity(String vm, String failureDomain, long addressCacheSeconds) {
+public record EntryIdentity(String vm, String failureDomain, long addressCacheSeconds) {
 }
--- a/entry/src/main/java/org/wisteriapost/entry/process/EntryOutput.java
+++ b/entry/src/main/java/org/wisteriapost/entry/process/EntryOutput.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-import org.wisteriapost.entry.caller.ServiceView;
+import org.wisteriapost.entry.caller.EntryView;
 import org.wisteriapost.policy.membership.Member;
 
 /**
@@ -19,12 +19,12 @@
 	/**
 	 * Opens and closes links so that they lead to exactly these VMs.
 	 */
-	void keepLinks(List<Member> members);
+	void reconcileLinks(List<Member> members);
 
 	/**
 	 * Publishes the current state to the HTTP threads.
 	 */
-	void publish(ServiceView view);
+	void publish(EntryView view);
 
 	/**
 	 * Returns whether all answers were sent completely.
--- a/entry/src/main/java/org/wisteriapost/entry/process/EntryProcess.java
+++ b/entry/src/main/java/org/wisteriapost/entry/process/EntryProcess.java
@@ -18,10 +18,10 @@
 import org.wisteriapost.entry.EntrySettings;
 import org.wisteriapost.entry.caller.CallIntake;
 import org.wisteriapost.entry.caller.CallerCall;
+import org.wisteriapost.entry.caller.EntryView;
 import org.wisteriapost.entry.caller.HttpFront;
 import org.wisteriapost.entry.caller.HttpLimits;
-import org.wisteriapost.entry.caller.Organisations;
-import org.wisteriapost.entry.caller.ServiceView;
+import org.wisteriapost.entry.caller.OrganisationTokens;
 import org.wisteriapost.entry.claim.ClaimStore;
 import org.wisteriapost.entry.link.PeerLink;
 import org.wisteriapost.entry.link.PeerLinks;
@@ -39,8 +39,8 @@
 import org.wisteriapost.policy.burn.ObjectiveSettings;
 import org.wisteriapost.policy.claim.ClaimTable;
 import org.wisteriapost.policy.membership.Member;
-import org.wisteriapost.policy.request.RequestMachine;
 import org.wisteriapost.policy.request.RequestPolicySettings;
+import org.wisteriapost.policy.request.RequestStateMachine;
 import org.wisteriapost.protocol.admin.AdminServer;
 import org.wisteriapost.protocol.link.LinkServer;
 import org.wisteriapost.protocol.link.Links;
@@ -92,7 +92,7 @@
 
 	private final BundleReader bundles;
 
-	private volatile ServiceView view = ServiceView.EMPTY;
+	private volatile EntryView view = EntryView.EMPTY;
 
 	private long ticks;
 
@@ -105,14 +105,14 @@
 	private EntryProcess(Settings settings, Platform platform, Links transport) {
 		this.burn = BurnRecorder.of(ObjectiveSettings.read(settings));
 		this.metrics = EntryMetrics.of(this.registry, this.burn);
-		Identity identity = new Identity(CommonSettings.VM.get(settings), CommonSettings.PLACE.get(settings),
-				EntrySettings.KEEP_SECONDS.get(settings));
-		ClaimStore store = ClaimStore.of(platform, (reply) -> put(new EntryEvent.ClaimAnswered(reply)));
+		EntryIdentity identity = new EntryIdentity(CommonSettings.VM.get(settings),
+				CommonSettings.FAILURE_DOMAIN.get(settings), EntrySettings.KEEP_SECONDS.get(settings));
+		ClaimStore store = ClaimStore.of(platform, (reply) -> put(new EntryEvent.ClaimReplied(reply)));
 		long seed = new SecureRandom().nextLong();
 		ClaimTable table = ClaimTable.create(EntrySettings.CLAIM_WRITES.get(settings),
 				RandomSource.SPLIT_MIX_64.create(seed), System.nanoTime());
-		RequestMachine machine = RequestMachine.create(RequestPolicySettings.from(settings, identity.failureDomain()),
-				seed, this.invariants);
+		RequestStateMachine machine = RequestStateMachine
+			.create(RequestPolicySettings.from(settings, identity.failureDomain()), seed, this.invariants);
 		EntryWiring wiring = new EntryWiring(machine, table, store, this.metrics, this.invariants, System::nanoTime,
 				System::currentTimeMillis, EntrySettings.MAX_HELD_BYTES.get(settings));
 		EntryState state = EntryState.create(identity, this, wiring);
@@ -168,7 +168,7 @@
 	 * Starts to drain; the future completes when the last answer was sent.
 	 */
 	public CompletableFuture<Void> drain() {
-		put(new EntryEvent.DrainAsked());
+		put(new EntryEvent.DrainRequested());
 		return this.drained;
 	}
 
@@ -195,7 +195,7 @@
 
 	@Override
 	public void callerDisconnected(long id) {
-		put(new EntryEvent.CallerLeft(id));
+		put(new EntryEvent.CallerDisconnected(id));
 	}
 
 	@Override
@@ -204,7 +204,7 @@
 	}
 
 	@Override
-	public ServiceView view() {
+	public EntryView view() {
 		return this.view;
 	}
 
@@ -230,12 +230,12 @@
 	}
 
 	@Override
-	public void keepLinks(List<Member> members) {
-		this.links.keep(members);
+	public void reconcileLinks(List<Member> members) {
+		this.links.setTargets(members);
 	}
 
 	@Override
-	public void publish(ServiceView next) {
+	public void publish(EntryView next) {
 		this.view = next;
 	}
 
@@ -260,7 +260,7 @@
 
 	private void closeables(Settings settings, Platform platform, VmList vmList) {
 		try {
-			Organisations organisations = Organisations.of(settings);
+			OrganisationTokens organisations = OrganisationTokens.of(settings);
 			this.linkServer = register(this.links.listen(new InetSocketAddress(EntrySettings.LINK_HOST.get(settings),
 					EntrySettings.LINK_PORT.get(settings).intValue())));
 			this.front = register(HttpFront.start(
@@ -273,7 +273,7 @@
 					this.registry, () -> this.view.ready()));
 			register(PrefixWatch.start(platform, this.timer, HEAD, System::nanoTime, this::headRead));
 			register(PrefixWatch.start(platform, this.timer, LEAVING, System::nanoTime, this::leavingMarksRead));
-			register(VmListPoller.start(vmList, this.timer, (members) -> put(new EntryEvent.VmsRead(members))));
+			register(VmListPoller.start(vmList, this.timer, (members) -> put(new EntryEvent.VmListRead(members))));
 			this.timer.scheduleAtFixedRate(this::tick, TICK_MILLIS, TICK_MILLIS, TimeUnit.MILLISECONDS);
 			String vm = CommonSettings.VM.get(settings);
 			this.timer.scheduleAtFixedRate(() -> writeBurnSnapshot(platform, vm), BURN_SNAPSHOT_SECONDS,
@@ -298,7 +298,7 @@
 	// A failed write is not retried, since the next snapshot contains the same counts.
 	private void writeBurnSnapshot(Platform platform, String vm) {
 		BurnSnapshot snapshot = this.burn.snapshot(vm, System.currentTimeMillis());
-		platform.put("burn/" + vm, BundleCodec.encode(snapshot), new Platform.Expected.Anything());
+		platform.put("burn/" + vm, BundleCodec.encode(snapshot), new Platform.Precondition.Anything());
 	}
 
 	private <T extends AutoCloseable> T register(T part) {
--- a/entry/src/main/java/org/wisteriapost/entry/process/EntryState.java
+++ b/entry/src/main/java/org/wisteriapost/entry/process/EntryState.java
@@ -9,13 +9,13 @@
 import java.util.stream.Collectors;
 
 import com.google.protobuf.ByteString;
-import org.wisteriapost.entry.caller.ServiceView;
+import org.wisteriapost.entry.caller.EntryView;
 import org.wisteriapost.entry.link.PeerLink;
 import org.wisteriapost.entry.platform.BundleContent;
-import org.wisteriapost.kernel.SuspensionWatch;
+import org.wisteriapost.kernel.SuspensionDetector;
 import org.wisteriapost.policy.bundle.Head;
 import org.wisteriapost.policy.bundle.ServiceSpec;
-import org.wisteriapost.policy.membership.LinkChoice;
+import org.wisteriapost.policy.membership.LinkSelector;
 import org.wisteriapost.policy.membership.Member;
 import org.wisteriapost.policy.membership.Membership;
 import org.wisteriapost.policy.request.RequestEvent;
@@ -40,7 +40,7 @@
 
 	private static final long CLAIM_FLUSH_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(3);
 
-	private final Identity identity;
+	private final EntryIdentity identity;
 
 	private final EntryOutput output;
 
@@ -48,7 +48,7 @@
 
 	private final LongSupplier wallMillis;
 
-	private final SuspensionWatch suspension;
+	private final SuspensionDetector suspension;
 
 	private final ActiveRequests requests;
 
@@ -58,7 +58,7 @@
 
 	private final Membership membership;
 
-	private final LinkChoice linkChoice;
+	private final LinkSelector linkChoice;
 
 	private final DrainState draining;
 
@@ -76,15 +76,15 @@
 
 	private boolean drained;
 
-	private EntryState(Identity identity, EntryOutput output, EntryWiring wiring) {
+	private EntryState(EntryIdentity identity, EntryOutput output, EntryWiring wiring) {
 		this.identity = identity;
 		this.output = output;
 		this.clock = wiring.clock();
 		this.wallMillis = wiring.wallMillis();
-		this.suspension = SuspensionWatch.start(this.clock.getAsLong(), this.wallMillis.getAsLong());
+		this.suspension = SuspensionDetector.start(this.clock.getAsLong(), this.wallMillis.getAsLong());
 		this.heads = new HeadTracker(wiring.invariants());
 		this.membership = Membership.of(identity.vm(), identity.failureDomain());
-		this.linkChoice = LinkChoice.of(identity.vm());
+		this.linkChoice = LinkSelector.of(identity.vm());
 		this.draining = new DrainState(identity.addressCacheSeconds());
 		this.claims = new ClaimCoordinator(wiring.claims(), wiring.store(), wiring.clock(), wiring.wallMillis());
 		this.requests = new ActiveRequests(wiring, this.claims, this.heads::generation);
@@ -95,7 +95,7 @@
 	/**
 	 * Returns the initial state of an entry: no bundle, no peers.
 	 */
-	public static EntryState create(Identity identity, EntryOutput output, EntryWiring wiring) {
+	public static EntryState create(EntryIdentity identity, EntryOutput output, EntryWiring wiring) {
 		return new EntryState(identity, output, wiring);
 	}
 
@@ -107,23 +107,23 @@
 	}
 
 	public void apply(EntryEvent event) {
-		if (this.suspension.woke(this.clock.getAsLong(), this.wallMillis.getAsLong())) {
+		if (this.suspension.detectSuspension(this.clock.getAsLong(), this.wallMillis.getAsLong())) {
 			this.heads.suspended(this.clock.getAsLong());
 			publish();
 		}
 		switch (event) {
 			case EntryEvent.CallArrived arrived -> this.requests.arrived(arrived.call());
-			case EntryEvent.CallerLeft left -> this.requests.callerDisconnected(left.id());
+			case EntryEvent.CallerDisconnected left -> this.requests.callerDisconnected(left.id());
 			case EntryEvent.LinkUp up -> linkUp(up.peer());
 			case EntryEvent.FrameArrived arrived -> onFrame(arrived.peer(), arrived.frame());
 			case EntryEvent.LinkDown down -> linkDown(down.peer());
 			case EntryEvent.HeadRead read -> onPlatformHead(read.head(), read.asOfNanos());
 			case EntryEvent.BundleRead read -> onBundle(read.content());
 			case EntryEvent.LeavingMarksRead read -> onLeavingMarks(read.vms());
-			case EntryEvent.VmsRead read -> onVmList(read.members());
-			case EntryEvent.ClaimAnswered answered -> this.claims.onReply(answered.reply());
+			case EntryEvent.VmListRead read -> onVmList(read.members());
+			case EntryEvent.ClaimReplied answered -> this.claims.onReply(answered.reply());
 			case EntryEvent.Tick tick -> tick();
-			case EntryEvent.DrainAsked asked -> drain();
+			case EntryEvent.DrainRequested asked -> drain();
 		}
 	}
 
@@ -148,7 +148,7 @@
 		}
 		switch (peer.role()) {
 			case ENTRY -> {
-				this.membership.linked(peer.vm(), this.peers.isLinked(peer.vm()));
+				this.membership.linkChanged(peer.vm(), this.peers.isLinked(peer.vm()));
 				publish();
 			}
 			default -> {
@@ -160,7 +160,7 @@
 	}
 
 	private void onFrame(PeerLink peer, Frame frame) {
-		if (frame.getGeneration() > this.heads.generation() && peer.asksFor(frame.getGeneration())) {
+		if (frame.getGeneration() > this.heads.generation() && peer.markRequested(frame.getGeneration())) {
 			peer.send(
 					newFrame().setHeadRequest(org.wisteriapost.protocol.wire.HeadRequest.getDefaultInstance()).build());
 		}
@@ -183,13 +183,13 @@
 
 	private void onHello(PeerLink peer, Hello hello) {
 		// The VM list lags, so its address may by now belong to another VM.
-		if (!peer.hello(hello)) {
+		if (!peer.acceptHello(hello)) {
 			peer.close();
 			return;
 		}
 		this.peers.add(peer);
 		if (peer.role() == Role.ENTRY) {
-			this.membership.linked(peer.vm(), true);
+			this.membership.linkChanged(peer.vm(), true);
 		}
 		else {
 			this.requests.linkUp(peer);
@@ -249,24 +249,24 @@
 	}
 
 	private void onLeavingAnnounced(String vm) {
-		this.membership.announced(vm);
+		this.membership.leavingAnnounced(vm);
 		leavingChanged();
 	}
 
 	private void onLeavingMarks(Set<String> vms) {
-		this.membership.marks(vms);
+		this.membership.replaceMarks(vms);
 		leavingChanged();
 	}
 
 	private void onVmList(List<Member> members) {
-		this.membership.list(members);
-		this.output.keepLinks(this.linkChoice.choose(members));
+		this.membership.replaceMembers(members);
+		this.output.reconcileLinks(this.linkChoice.select(members));
 		leavingChanged();
 	}
 
 	private void leavingChanged() {
 		Set<String> leaving = this.membership.leaving();
-		this.requests.decide(new RequestEvent.LeavingSeen(leaving));
+		this.requests.decide(new RequestEvent.LeavingVmsRead(leaving));
 		if (leaving.contains(this.identity.vm())) {
 			drain();
 		}
@@ -326,12 +326,12 @@
 				.stream()
 				.collect(Collectors.toMap(ServiceSpec::name, (spec) -> spec, (first, second) -> first)))
 			.orElse(Map.of());
-		List<String> entries = this.membership.entries(this.draining.started())
+		List<String> entries = this.membership.advertisedEntries(this.draining.started())
 			.stream()
 			.map((member) -> "http://" + member.host() + ":" + member.httpPort())
 			.toList();
 		boolean ready = this.heads.generation() > 0 && this.peers.agentLinks() > 0 && !this.draining.started();
-		this.output.publish(new ServiceView(this.heads.generation(), services, entries, this.draining.refusing(), ready,
+		this.output.publish(new EntryView(this.heads.generation(), services, entries, this.draining.refusing(), ready,
 				this.publishedPermit));
 	}
 
--- a/entry/src/main/java/org/wisteriapost/entry/process/EntryWiring.java
+++ b/entry/src/main/java/org/wisteriapost/entry/process/EntryWiring.java
@@ -5,7 +5,7 @@
 import org.wisteriapost.entry.claim.ClaimStore;
 import org.wisteriapost.kernel.Invariants;
 import org.wisteriapost.policy.claim.ClaimTable;
-import org.wisteriapost.policy.request.RequestMachine;
+import org.wisteriapost.policy.request.RequestStateMachine;
 
 /**
  * The dependencies of an {@link EntryState}, which simulations replace by their own.
@@ -17,8 +17,8 @@
  * @param invariants counts violated invariants
  * @param clock the monotonic clock, in nanoseconds
  * @param wallMillis the wall clock, in milliseconds since 1970
- * @param maxHeldBytes the size up to which an answer that is not streamed is buffered
+ * @param maxBufferedBytes the size up to which an answer that is not streamed is buffered
  */
-public record EntryWiring(RequestMachine machine, ClaimTable claims, ClaimStore store, EntryMetrics metrics,
-		Invariants invariants, LongSupplier clock, LongSupplier wallMillis, long maxHeldBytes) {
+public record EntryWiring(RequestStateMachine machine, ClaimTable claims, ClaimStore store, EntryMetrics metrics,
+		Invariants invariants, LongSupplier clock, LongSupplier wallMillis, long maxBufferedBytes) {
 }
--- a/entry/src/main/java/org/wisteriapost/entry/process/HeadTracker.java
+++ b/entry/src/main/java/org/wisteriapost/entry/process/HeadTracker.java
@@ -15,7 +15,7 @@
 import org.wisteriapost.policy.bundle.BundleCodec;
 import org.wisteriapost.policy.bundle.Digests;
 import org.wisteriapost.policy.bundle.ServiceSpec;
-import org.wisteriapost.policy.routing.KnownMoment;
+import org.wisteriapost.policy.routing.LastConfirmedTime;
 import org.wisteriapost.policy.routing.RejectionGuard;
 import org.wisteriapost.policy.routing.RejectionPermit;
 
@@ -52,7 +52,7 @@
 	private long activatedNanos;
 
 	// The time at which the platform last confirmed the current head.
-	private final KnownMoment confirmed = new KnownMoment();
+	private final LastConfirmedTime confirmed = new LastConfirmedTime();
 
 	HeadTracker(Invariants invariants) {
 		this.invariants = invariants;
@@ -102,7 +102,7 @@
 		this.pending = Optional.empty();
 		this.bundle = Optional.of(now);
 		this.content = Optional.of(received);
-		this.confirmed.forget();
+		this.confirmed.clear();
 		if (next.fromPlatform) {
 			// Not the present time: fetching the bundle may have taken long, and a newer
 			// one may have been rolled since.
@@ -121,8 +121,8 @@
 	 * clock did not count that time.
 	 */
 	void suspended(long nowNanos) {
-		this.confirmed.doubt(nowNanos);
-		this.guard.doubt(nowNanos);
+		this.confirmed.discardBefore(nowNanos);
+		this.guard.discardBefore(nowNanos);
 	}
 
 	/**
@@ -223,7 +223,7 @@
 	 * Returns the head as it is sent to peers.
 	 */
 	org.wisteriapost.protocol.wire.Head toWire(long nowNanos) {
-		OptionalLong age = this.confirmed.ageNanos(nowNanos);
+		OptionalLong age = this.confirmed.stalenessNanos(nowNanos);
 		return org.wisteriapost.protocol.wire.Head.newBuilder()
 			.setGeneration(this.current.generation)
 			.setDigest(this.current.digest)
--- a/entry/src/main/java/org/wisteriapost/entry/process/RunnerReports.java
+++ b/entry/src/main/java/org/wisteriapost/entry/process/RunnerReports.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 
 import org.wisteriapost.policy.request.RequestEvent;
-import org.wisteriapost.policy.request.RunnerView;
+import org.wisteriapost.policy.request.RunnerStatus;
 import org.wisteriapost.protocol.wire.Report;
 
 /**
@@ -32,7 +32,7 @@
 		if (report.getAdmitting() && this.heads.acceptServed(report.getService(), report.getWeightsDigest())) {
 			headChanged();
 		}
-		this.requests.decide(new RequestEvent.RunnerSeen(status(report)));
+		this.requests.decide(new RequestEvent.RunnerReported(status(report)));
 		if (this.heads.previousDigests().containsKey(report.getService())) {
 			stopAcceptingUnserved(report.getService());
 		}
@@ -49,7 +49,7 @@
 	 * Passes the digests that are accepted now to the {@link ActiveRequests}.
 	 */
 	void headChanged() {
-		this.requests.decide(new RequestEvent.HeadSeen(this.heads.generation(), this.heads.acceptedDigests()));
+		this.requests.decide(new RequestEvent.HeadRead(this.heads.generation(), this.heads.acceptedDigests()));
 	}
 
 	private void stopAcceptingUnserved(String service) {
@@ -71,8 +71,8 @@
 			.anyMatch((report) -> report.getBundleGeneration() < this.heads.generation());
 	}
 
-	private static RunnerView status(Report report) {
-		return new RunnerView(report.getVm(), report.getPlace(), report.getService(),
+	private static RunnerStatus status(Report report) {
+		return new RunnerStatus(report.getVm(), report.getPlace(), report.getService(),
 				report.getAdmitting() && !report.getLeaving(), report.getPlain() ? "" : report.getWeightsDigest(),
 				report.getBundleGeneration(), report.getRunning(), report.getQueued(), report.getCapacity(),
 				new HashSet<>(report.getPrefixesList()));
--- a/entry/src/test/java/org/wisteriapost/entry/OnceOnlyCallTests.java
+++ b/entry/src/test/java/org/wisteriapost/entry/AtMostOnceCallTests.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.wisteriapost.entry.process.EntryProcess;
 import org.wisteriapost.protocol.CallerHeaders;
-import org.wisteriapost.protocol.http.HttpReply;
+import org.wisteriapost.protocol.http.HttpResponse;
 import org.wisteriapost.protocol.outside.FakePlatform.Fault;
 import org.wisteriapost.protocol.wire.Call;
 import org.wisteriapost.protocol.wire.Outcome;
@@ -20,7 +20,7 @@
 import static org.hamcrest.Matchers.is;
 import static org.hamcrest.Matchers.nullValue;
 
-class OnceOnlyCallTests {
+class AtMostOnceCallTests {
 
 	@AutoClose
 	private final EntryFixture fixture = EntryFixture.start();
@@ -28,8 +28,8 @@
 	@Test
 	void repeatAtTheSameEntryGetsTheFirstAnswerWithoutRunning() {
 		String key = key("a");
-		HttpReply first = allocate(this.fixture.entry(), key, "978").join();
-		HttpReply second = awaitAnswer(this.fixture.entry(), key);
+		HttpResponse first = allocate(this.fixture.entry(), key, "978").join();
+		HttpResponse second = awaitAnswer(this.fixture.entry(), key);
 		assertThat(EntryFixture.text(second), is(EntryFixture.text(first)));
 		assertThat(second.header("Content-Type"), is(first.header("Content-Type")));
 		assertThat(this.fixture.plain().calls().size(), is(1));
@@ -39,7 +39,7 @@
 	@Test
 	void repeatAtAnotherEntryGetsTheFirstAnswerWithoutRunning() {
 		String key = key("b");
-		HttpReply first = allocate(this.fixture.entry(), key, "978").join();
+		HttpResponse first = allocate(this.fixture.entry(), key, "978").join();
 		try (EntryProcess other = startReadyEntry("n2")) {
 			assertThat(EntryFixture.text(awaitAnswer(other, key)), is(EntryFixture.text(first)));
 			assertThat(this.fixture.plain().calls().size(), is(1));
@@ -50,7 +50,7 @@
 	void anotherBodyUnderTheSameKeyIsRefused() {
 		String key = key("c");
 		allocate(this.fixture.entry(), key, "978").join();
-		HttpReply other = allocate(this.fixture.entry(), key, "979").join();
+		HttpResponse other = allocate(this.fixture.entry(), key, "979").join();
 		assertThat(EntryFixture.text(other), containsString("idempotency-key-reused"));
 		assertThat(this.fixture.plain().calls().size(), is(1));
 	}
@@ -72,7 +72,7 @@
 		this.fixture.plain()
 			.answerWith((link, call) -> FakeAgent.send(link, FakeAgent.end(call, Outcome.NOT_RUN, "gate-full")));
 		String key = key("e");
-		HttpReply refused = allocate(this.fixture.entry(), key, "978", CallerHeaders.DEADLINE, "400").join();
+		HttpResponse refused = allocate(this.fixture.entry(), key, "978", CallerHeaders.DEADLINE, "400").join();
 		assertThat(EntryFixture.outcome(refused), is("not-run"));
 		this.fixture.plain().answerWith(FakeAgent::echo);
 		EntryFixture.await(() -> allocate(this.fixture.entry(), key, "978").join().status() == 200);
@@ -82,7 +82,7 @@
 	@Test
 	void callIsRefusedAsNotRunWhileThePlatformIsDown() {
 		this.fixture.platform().down(true);
-		HttpReply refused = allocate(this.fixture.entry(), key("f"), "978").join();
+		HttpResponse refused = allocate(this.fixture.entry(), key("f"), "978").join();
 		assertThat(EntryFixture.outcome(refused), is("not-run"));
 		assertThat(refused.header("Retry-After").isPresent(), is(true));
 		assertThat(this.fixture.plain().calls().peek(), nullValue());
@@ -104,7 +104,7 @@
 		CompletableFuture<Runnable> answer = new CompletableFuture<>();
 		this.fixture.plain().answerWith((link, call) -> answer.complete(() -> FakeAgent.echo(link, call)));
 		String key = key("h");
-		CompletableFuture<HttpReply> first = allocate(this.fixture.entry(), key, "978");
+		CompletableFuture<HttpResponse> first = allocate(this.fixture.entry(), key, "978");
 		Call call = this.fixture.plain().calls().poll(20, TimeUnit.SECONDS);
 		first.cancel(true);
 		EntryFixture
@@ -117,7 +117,7 @@
 	@Test
 	void expiredKeyHasUnknownOutcomeAndDoesNotRun() {
 		String key = (System.currentTimeMillis() - 25 * 3_600_000L) + "-old";
-		HttpReply reply = allocate(this.fixture.entry(), key, "978").join();
+		HttpResponse reply = allocate(this.fixture.entry(), key, "978").join();
 		assertThat(EntryFixture.outcome(reply), is("unknown"));
 		assertThat(EntryFixture.text(reply), containsString("idempotency-key-too-old"));
 		assertThat(this.fixture.plain().calls().size(), is(0));
@@ -131,12 +131,12 @@
 		return other;
 	}
 
-	private HttpReply awaitAnswer(EntryProcess to, String key) {
+	private HttpResponse awaitAnswer(EntryProcess to, String key) {
 		EntryFixture.await(() -> allocate(to, key, "978").join().status() == 200);
 		return allocate(to, key, "978").join();
 	}
 
-	private CompletableFuture<HttpReply> allocate(EntryProcess to, String key, String body, String... headers) {
+	private CompletableFuture<HttpResponse> allocate(EntryProcess to, String key, String body, String... headers) {
 		String[] all = Stream.concat(Stream.of(CallerHeaders.IDEMPOTENCY_KEY, key), Stream.of(headers))
 			.toArray(String[]::new);
 		return this.fixture.call(to, "POST", "/services/registry/allocate", body, all);
--- a/entry/src/test/java/org/wisteriapost/entry/EntryAnswerTests.java
+++ b/entry/src/test/java/org/wisteriapost/entry/EntryAnswerTests.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import org.wisteriapost.protocol.CallerHeaders;
-import org.wisteriapost.protocol.http.HttpReply;
+import org.wisteriapost.protocol.http.HttpResponse;
 import org.wisteriapost.protocol.wire.Call;
 import org.wisteriapost.protocol.wire.Frame;
 import org.wisteriapost.protocol.wire.Outcome;
@@ -30,7 +30,7 @@
 	@ParameterizedTest
 	@ValueSource(booleans = { true, false })
 	void answerIsCompleteWithItsOutcomeAndWeights(boolean stream) {
-		HttpReply reply = this.fixture.chat("hello", stream).join();
+		HttpResponse reply = this.fixture.chat("hello", stream).join();
 		assertThat(EntryFixture.text(reply), containsString("hello"));
 		assertThat(EntryFixture.outcome(reply), is("ran"));
 		assertThat(reply.header(CallerHeaders.WEIGHTS).orElseThrow(), is(EntryFixture.DIGEST));
@@ -53,7 +53,7 @@
 			FakeAgent.send(link, FakeAgent.data(call, "half"));
 			FakeAgent.send(link, FakeAgent.end(call, Outcome.UNKNOWN, "runner-lost"));
 		});
-		CompletableFuture<HttpReply> reply = this.fixture.chat("x", true);
+		CompletableFuture<HttpResponse> reply = this.fixture.chat("x", true);
 		assertThrows(CompletionException.class, reply::join);
 	}
 
@@ -66,7 +66,7 @@
 			FakeAgent.send(link, FakeAgent.data(call, "half"));
 			FakeAgent.send(link, FakeAgent.end(call, Outcome.UNKNOWN, "runner-lost"));
 		});
-		HttpReply reply = this.fixture.chat("x", false, CallerHeaders.DEADLINE, "1500").join();
+		HttpResponse reply = this.fixture.chat("x", false, CallerHeaders.DEADLINE, "1500").join();
 		assertThat(EntryFixture.outcome(reply), is("unknown"));
 	}
 
@@ -79,7 +79,7 @@
 			FakeAgent.send(link, FakeAgent.data(call, "wrong"));
 			FakeAgent.send(link, FakeAgent.end(call, Outcome.RAN, ""));
 		});
-		HttpReply reply = this.fixture.chat("x", true, CallerHeaders.DEADLINE, "1500").join();
+		HttpResponse reply = this.fixture.chat("x", true, CallerHeaders.DEADLINE, "1500").join();
 		assertThat(EntryFixture.text(reply).contains("wrong"), is(false));
 		assertThat(this.fixture.entry().invariants().violations().get("exact-weights"), notNullValue());
 	}
@@ -90,7 +90,7 @@
 	void refusalByTheOnlyGateIsNotRunWithARetryTime() {
 		this.fixture.plain()
 			.answerWith((link, call) -> FakeAgent.send(link, FakeAgent.end(call, Outcome.NOT_RUN, "gate-full")));
-		HttpReply reply = this.fixture.call("GET", "/services/registry/x", "", CallerHeaders.DEADLINE, "500").join();
+		HttpResponse reply = this.fixture.call("GET", "/services/registry/x", "", CallerHeaders.DEADLINE, "500").join();
 		assertThat(EntryFixture.outcome(reply), is("not-run"));
 		long seconds = Long.parseLong(reply.header("Retry-After").orElseThrow());
 		long millis = Long.parseLong(reply.header(CallerHeaders.RETRY_AFTER_MILLIS).orElseThrow());
@@ -122,7 +122,7 @@
 			FakeAgent.send(link, FakeAgent.started(call, call.getWeightsDigest()));
 			FakeAgent.send(link, FakeAgent.data(call, "first"));
 		});
-		CompletableFuture<HttpReply> reply = this.fixture.chat("x", true, CallerHeaders.DEADLINE, "120000");
+		CompletableFuture<HttpResponse> reply = this.fixture.chat("x", true, CallerHeaders.DEADLINE, "120000");
 		Call call = this.fixture.model().calls().poll(20, TimeUnit.SECONDS);
 		reply.cancel(true);
 		EntryFixture.await(() -> this.fixture.model()
@@ -155,7 +155,7 @@
 	@Test
 	void callsOfALostLinkAreAnsweredAndTheLinkIsRestored() {
 		this.fixture.plain().answerWith((link, call) -> link.close());
-		HttpReply lost = this.fixture.call("GET", "/services/registry/x", "", CallerHeaders.DEADLINE, "800").join();
+		HttpResponse lost = this.fixture.call("GET", "/services/registry/x", "", CallerHeaders.DEADLINE, "800").join();
 		assertThat(EntryFixture.outcome(lost).equals("ran"), is(false));
 		this.fixture.plain().answerWith(FakeAgent::echo);
 		EntryFixture.await(() -> this.fixture.call("GET", "/services/registry/x", "").join().status() == 200);
--- a/entry/src/test/java/org/wisteriapost/entry/EntryFixture.java
+++ b/entry/src/test/java/org/wisteriapost/entry/EntryFixture.java
@@ -19,8 +19,8 @@
 import org.wisteriapost.policy.bundle.WeightFile;
 import org.wisteriapost.protocol.CallerHeaders;
 import org.wisteriapost.protocol.http.HttpCall;
-import org.wisteriapost.protocol.http.HttpCaller;
-import org.wisteriapost.protocol.http.HttpReply;
+import org.wisteriapost.protocol.http.HttpResponse;
+import org.wisteriapost.protocol.http.PooledHttpClient;
 import org.wisteriapost.protocol.link.Links;
 import org.wisteriapost.protocol.outside.Platform;
 import org.wisteriapost.protocol.outside.VmList;
@@ -42,7 +42,7 @@
 
 	private final Links links = Links.plain(2);
 
-	private final HttpCaller caller = HttpCaller.create(1);
+	private final PooledHttpClient caller = PooledHttpClient.create(1);
 
 	private final LongPollingPlatform platform = new LongPollingPlatform();
 
@@ -117,20 +117,20 @@
 	void roll(long generation, Bundle bundle) {
 		byte[] bytes = BundleCodec.encode(bundle);
 		String digest = Digests.sha256(bytes);
-		this.platform.put("bundles/" + digest, bytes, new Platform.Expected.Anything()).join();
+		this.platform.put("bundles/" + digest, bytes, new Platform.Precondition.Anything()).join();
 		Head head = new Head(generation, digest, "amy", 0, "n" + generation);
-		this.platform.put("head", BundleCodec.encode(head), new Platform.Expected.Anything()).join();
+		this.platform.put("head", BundleCodec.encode(head), new Platform.Precondition.Anything()).join();
 	}
 
-	CompletableFuture<HttpReply> chat(String prompt, boolean stream, String... headers) {
+	CompletableFuture<HttpResponse> chat(String prompt, boolean stream, String... headers) {
 		return call("POST", "/v1/chat/completions", CHAT.formatted(stream, prompt), headers);
 	}
 
-	CompletableFuture<HttpReply> call(String method, String path, String body, String... headers) {
+	CompletableFuture<HttpResponse> call(String method, String path, String body, String... headers) {
 		return call(this.entry, method, path, body, headers);
 	}
 
-	CompletableFuture<HttpReply> call(EntryProcess to, String method, String path, String body, String... headers) {
+	CompletableFuture<HttpResponse> call(EntryProcess to, String method, String path, String body, String... headers) {
 		HttpCall call = HttpCall.of(method, uri(to, path), TIMEOUT)
 			.header("Authorization", "Bearer " + TOKEN)
 			.header(CallerHeaders.DEADLINE, "15000");
@@ -144,11 +144,11 @@
 		return URI.create("http://127.0.0.1:" + to.httpPort() + path);
 	}
 
-	static String text(HttpReply reply) {
+	static String text(HttpResponse reply) {
 		return new String(reply.body(), StandardCharsets.UTF_8);
 	}
 
-	static String outcome(HttpReply reply) {
+	static String outcome(HttpResponse reply) {
 		return reply.header(CallerHeaders.OUTCOME).orElse("absent");
 	}
 
@@ -172,7 +172,7 @@
 		return this.vms;
 	}
 
-	HttpCaller caller() {
+	PooledHttpClient caller() {
 		return this.caller;
 	}
 
--- a/entry/src/test/java/org/wisteriapost/entry/HeadSpreadTests.java
+++ b/entry/src/test/java/org/wisteriapost/entry/HeadDistributionTests.java
@@ -13,7 +13,7 @@
 import static org.hamcrest.MatcherAssert.assertThat;
 import static org.hamcrest.Matchers.is;
 
-class HeadSpreadTests {
+class HeadDistributionTests {
 
 	private static final Bundle SECOND = EntryFixture.bundle("2", "bb");
 
@@ -67,7 +67,7 @@
 		this.fixture.roll(2, SECOND);
 		EntryFixture.await(() -> this.fixture.entry().view().generation() == 2);
 		this.fixture.roll(1, EntryFixture.FIRST);
-		this.fixture.platform().put("leaving/zz", new byte[] { 1 }, new Platform.Expected.Anything()).join();
+		this.fixture.platform().put("leaving/zz", new byte[] { 1 }, new Platform.Precondition.Anything()).join();
 		EntryFixture.await(() -> this.fixture.model().otherFrames().stream().filter(Frame::hasHead).count() >= 4);
 		assertThat(this.fixture.entry().view().generation(), is(2L));
 		assertThat(this.fixture.entry().invariants().violations().isEmpty(), is(true));
--- a/entry/src/test/java/org/wisteriapost/entry/BadInputTests.java
+++ b/entry/src/test/java/org/wisteriapost/entry/InvalidRequestTests.java
@@ -13,13 +13,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
-import org.wisteriapost.protocol.http.HttpReply;
+import org.wisteriapost.protocol.http.HttpResponse;
 
 import static org.hamcrest.MatcherAssert.assertThat;
 import static org.hamcrest.Matchers.containsString;
 import static org.hamcrest.Matchers.is;
 
-class BadInputTests {
+class InvalidRequestTests {
 
 	private static final String CHAT = "/v1/chat/completions";
 
@@ -33,7 +33,7 @@
 	@MethodSource("invalidRequests")
 	void invalidRequestIsRefusedWithItsCodeAndStartsNothing(String method, String path, String body,
 			List<String> headers, int status, String code) {
-		HttpReply reply = this.fixture.call(method, path, body, headers.toArray(String[]::new)).join();
+		HttpResponse reply = this.fixture.call(method, path, body, headers.toArray(String[]::new)).join();
 		assertThat(reply.status(), is(status));
 		assertThat(EntryFixture.text(reply), containsString("\"code\":\"" + code + "\""));
 		assertThat(EntryFixture.outcome(reply), is("not-run"));
--- a/entry/src/test/java/org/wisteriapost/entry/LeavingTests.java
+++ b/entry/src/test/java/org/wisteriapost/entry/LeavingTests.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 import org.wisteriapost.entry.process.EntryProcess;
-import org.wisteriapost.protocol.http.HttpReply;
+import org.wisteriapost.protocol.http.HttpResponse;
 import org.wisteriapost.protocol.link.Link;
 import org.wisteriapost.protocol.outside.Platform;
 import org.wisteriapost.protocol.wire.Call;
@@ -58,7 +58,7 @@
 		EntryFixture.await(() -> !entries(this.fixture.entry()).contains(address(this.other)));
 		EntryFixture.await(() -> !entries(this.other).contains(address(this.other)));
 		EntryFixture.await(() -> lookup().status() == 503);
-		HttpReply refused = lookup();
+		HttpResponse refused = lookup();
 		assertThat(EntryFixture.text(refused), containsString(address(this.fixture.entry())));
 		assertThat(EntryFixture.text(refused), not(containsString(address(this.other))));
 		assertThat(EntryFixture.outcome(refused), is("not-run"));
@@ -72,7 +72,7 @@
 	void runningStreamIsCompletedBeforeTheProcessEnds() {
 		CompletableFuture<Runnable> rest = new CompletableFuture<>();
 		this.fixture.model().answerWith(answerInTwoParts(rest));
-		CompletableFuture<HttpReply> reply = this.fixture.chat("x", true);
+		CompletableFuture<HttpResponse> reply = this.fixture.chat("x", true);
 		Runnable end = rest.join();
 		CompletableFuture<Void> ended = this.fixture.entry().drain();
 		EntryFixture.await(() -> this.fixture.call("GET", "/services/registry/x", "").join().status() == 503);
@@ -100,7 +100,7 @@
 		};
 	}
 
-	private HttpReply lookup() {
+	private HttpResponse lookup() {
 		return this.fixture.call(this.other, "GET", "/services/registry/x", "").join();
 	}
 
@@ -119,8 +119,9 @@
 		LIST((site, entry) -> site.vms()
 			.replaceAll((vm) -> vm.vm().equals("n2") ? site.vmListEntry("n2", entry, true) : vm)),
 
-		MARK((site,
-				entry) -> site.platform().put("leaving/n2", new byte[] { 1 }, new Platform.Expected.Anything()).join());
+		MARK((site, entry) -> site.platform()
+			.put("leaving/n2", new byte[] { 1 }, new Platform.Precondition.Anything())
+			.join());
 
 		private final BiConsumer<EntryFixture, EntryProcess> start;
 
--- a/entry/src/test/java/org/wisteriapost/entry/LongPollingPlatform.java
+++ b/entry/src/test/java/org/wisteriapost/entry/LongPollingPlatform.java
@@ -41,9 +41,9 @@
 	}
 
 	@Override
-	public synchronized CompletableFuture<PutResult> put(String key, byte[] value, Expected expected) {
+	public synchronized CompletableFuture<PutResult> put(String key, byte[] value, Precondition expected) {
 		fail();
-		this.nextPut.ifPresent(this.fake::next);
+		this.nextPut.ifPresent(this.fake::failNextCalls);
 		this.nextPut = Optional.empty();
 		return this.fake.put(key, value, expected);
 	}
@@ -77,7 +77,7 @@
 
 	private void fail() {
 		if (this.down) {
-			this.fake.next(FakePlatform.Fault.DOWN);
+			this.fake.failNextCalls(FakePlatform.Fault.DOWN);
 		}
 	}
 
--- a/entry/src/test/java/org/wisteriapost/entry/DoubtfulBundleTests.java
+++ b/entry/src/test/java/org/wisteriapost/entry/StaleBundleTests.java
@@ -8,7 +8,7 @@
 import org.wisteriapost.policy.bundle.BundleCodec;
 import org.wisteriapost.policy.bundle.Digests;
 import org.wisteriapost.policy.bundle.Head;
-import org.wisteriapost.protocol.http.HttpReply;
+import org.wisteriapost.protocol.http.HttpResponse;
 import org.wisteriapost.protocol.outside.Platform;
 
 import static org.hamcrest.MatcherAssert.assertThat;
@@ -17,7 +17,7 @@
  * A request for a model that only the newest bundle has must not be rejected for good by
  * an entry that knows of the newer bundle but cannot read it yet.
  */
-class DoubtfulBundleTests {
+class StaleBundleTests {
 
 	private static final String CHAT = "{\"model\":\"newer\",\"messages\":[{\"role\":\"user\",\"content\":\"x\"}]}";
 
@@ -34,9 +34,9 @@
 			String code) {
 		String text = (body != null) ? body : "";
 		Head head = new Head(2, Digests.sha256(BundleCodec.encode(SECOND)), "amy", 0, "n2");
-		this.fixture.platform().put("head", BundleCodec.encode(head), new Platform.Expected.Anything()).join();
+		this.fixture.platform().put("head", BundleCodec.encode(head), new Platform.Precondition.Anything()).join();
 		EntryFixture.await(() -> this.fixture.call(method, path, text).join().status() != 404);
-		HttpReply reply = this.fixture.call(method, path, text).join();
+		HttpResponse reply = this.fixture.call(method, path, text).join();
 		assertThat(reply.status(), Matchers.equalTo(503));
 		assertThat(EntryFixture.text(reply), Matchers.containsString("\"code\":\"bundle-doubtful\""));
 		assertThat(EntryFixture.outcome(reply), Matchers.equalTo("not-run"));
--- a/entry/src/test/java/org/wisteriapost/entry/caller/CallerAnswerTests.java
+++ b/entry/src/test/java/org/wisteriapost/entry/caller/CallerAnswerTests.java
@@ -19,8 +19,8 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.wisteriapost.protocol.http.HttpCall;
-import org.wisteriapost.protocol.http.HttpCaller;
-import org.wisteriapost.protocol.http.HttpReply;
+import org.wisteriapost.protocol.http.HttpResponse;
+import org.wisteriapost.protocol.http.PooledHttpClient;
 
 import static org.hamcrest.MatcherAssert.assertThat;
 import static org.hamcrest.Matchers.is;
@@ -40,7 +40,7 @@
 
 	private final AtomicLong seed = new AtomicLong();
 
-	private final HttpCaller caller = HttpCaller.create(1);
+	private final PooledHttpClient caller = PooledHttpClient.create(1);
 
 	private final ExecutorService executor = Executors.newFixedThreadPool(4);
 
@@ -74,7 +74,7 @@
 			.setHandler((exchange) -> exchange.dispatch(SameThreadExecutor.INSTANCE, () -> {
 				CallerAnswer answer = new CallerAnswer(exchange, "request", 1 << 20);
 				answer.start(200, List.of(), "");
-				answer.data("chunk".getBytes(StandardCharsets.UTF_8));
+				answer.write("chunk".getBytes(StandardCharsets.UTF_8));
 				written.complete(exchange.isResponseStarted());
 				answer.end();
 			}))
@@ -82,7 +82,8 @@
 		other.start();
 		try {
 			int port = ((InetSocketAddress) other.getListenerInfo().getFirst().getAddress()).getPort();
-			HttpReply reply = this.caller.call(HttpCall.of("GET", URI.create("http://127.0.0.1:" + port + "/"), LIMIT))
+			HttpResponse reply = this.caller
+				.call(HttpCall.of("GET", URI.create("http://127.0.0.1:" + port + "/"), LIMIT))
 				.join();
 			assertThat(written.join(), is(true));
 			assertThat(new String(reply.body(), StandardCharsets.UTF_8), is("chunk"));
@@ -101,11 +102,11 @@
 		URI target = URI.create("http://127.0.0.1:" + port + "/");
 		int truncated = 0;
 		for (int i = 0; i < ROUNDS; i++) {
-			List<CompletableFuture<HttpReply>> replies = new ArrayList<>();
+			List<CompletableFuture<HttpResponse>> replies = new ArrayList<>();
 			for (int j = 0; j < CONCURRENT_CALLS; j++) {
 				replies.add(this.caller.call(HttpCall.of("GET", target, LIMIT)));
 			}
-			for (CompletableFuture<HttpReply> reply : replies) {
+			for (CompletableFuture<HttpResponse> reply : replies) {
 				byte[] body = reply.get(LIMIT.toSeconds(), TimeUnit.SECONDS).body();
 				truncated += new String(body, StandardCharsets.UTF_8).equals("012345") ? 0 : 1;
 			}
@@ -125,7 +126,7 @@
 			answer.start(200, List.of(), "");
 			for (int i = 0; i < CHUNKS; i++) {
 				spin(this.seed.incrementAndGet() % MAX_SPINS);
-				answer.data(String.valueOf(i).getBytes(StandardCharsets.UTF_8));
+				answer.write(String.valueOf(i).getBytes(StandardCharsets.UTF_8));
 			}
 			answer.end();
 		});
--- a/entry/src/test/java/org/wisteriapost/entry/caller/HttpFrontTests.java
+++ b/entry/src/test/java/org/wisteriapost/entry/caller/HttpFrontTests.java
@@ -24,8 +24,8 @@
 import org.wisteriapost.kernel.settings.Settings;
 import org.wisteriapost.policy.routing.RejectionPermit;
 import org.wisteriapost.protocol.http.HttpCall;
-import org.wisteriapost.protocol.http.HttpCaller;
-import org.wisteriapost.protocol.http.HttpReply;
+import org.wisteriapost.protocol.http.HttpResponse;
+import org.wisteriapost.protocol.http.PooledHttpClient;
 
 import static org.hamcrest.MatcherAssert.assertThat;
 
@@ -40,11 +40,11 @@
 	@TempDir
 	private Path folder;
 
-	private final HttpCaller caller = HttpCaller.create(1);
+	private final PooledHttpClient caller = PooledHttpClient.create(1);
 
 	private final ScriptedIntake intake = new ScriptedIntake();
 
-	private Organisations organisations;
+	private OrganisationTokens organisations;
 
 	private HttpFront front;
 
@@ -59,7 +59,7 @@
 				[organisation kelpie]
 				token = token-of-kelpie
 				""".formatted(file()));
-		this.organisations = Organisations.of(settings);
+		this.organisations = OrganisationTokens.of(settings);
 		this.front = HttpFront.start(new InetSocketAddress("127.0.0.1", 0), HttpLimits.of(settings), this.organisations,
 				this.intake, Optional.empty());
 	}
@@ -74,24 +74,24 @@
 		return this.folder.resolve("baobab.token");
 	}
 
-	private HttpReply get(String authorization) {
+	private HttpResponse get(String authorization) {
 		URI uri = URI.create("http://127.0.0.1:" + this.front.port() + "/services/newer/x");
 		return this.caller.call(HttpCall.of("GET", uri, LONG).header("Authorization", authorization)).join();
 	}
 
-	private static void assertRefused(HttpReply reply, int status, String code) {
+	private static void assertRefused(HttpResponse reply, int status, String code) {
 		assertThat(new String(reply.body(), StandardCharsets.UTF_8),
 				Matchers.containsString("\"code\":\"" + code + "\""));
 		assertThat(reply.status(), Matchers.equalTo(status));
 		assertThat(reply.header("Retry-After").isPresent(), Matchers.equalTo(status == 503));
 	}
 
-	private static ServiceView view(long generation, boolean mayReject) {
+	private static EntryView view(long generation, boolean mayReject) {
 		long now = System.nanoTime();
 		RejectionPermit rejections = mayReject
 				? new RejectionPermit(OptionalLong.of(now + LONG.toNanos()), now, System.currentTimeMillis())
 				: RejectionPermit.NONE;
-		return new ServiceView(generation, Map.of(), List.of(), false, true, rejections);
+		return new EntryView(generation, Map.of(), List.of(), false, true, rejections);
 	}
 
 	// The token may be in the file that could not be read.
@@ -126,7 +126,7 @@
 	/** Returns each view once, then the last one repeatedly. */
 	private static final class ScriptedIntake implements CallIntake {
 
-		private final Queue<ServiceView> views = new ConcurrentLinkedQueue<>();
+		private final Queue<EntryView> views = new ConcurrentLinkedQueue<>();
 
 		@Override
 		public boolean submit(CallerCall call) {
@@ -142,9 +142,9 @@
 		}
 
 		@Override
-		public ServiceView view() {
+		public EntryView view() {
 			return Optional.ofNullable((this.views.size() > 1) ? this.views.poll() : this.views.peek())
-				.orElse(ServiceView.EMPTY);
+				.orElse(EntryView.EMPTY);
 		}
 
 	}
--- a/entry/src/test/java/org/wisteriapost/entry/caller/OrganisationsTests.java
+++ b/entry/src/test/java/org/wisteriapost/entry/caller/OrganisationTokensTests.java
@@ -21,7 +21,7 @@
  * An unknown token is rejected for good only by token files that were read recently,
  * since it may have been written to its organisation's file meanwhile.
  */
-class OrganisationsTests {
+class OrganisationTokensTests {
 
 	private static final long MILLI = 1_000_000;
 
@@ -30,7 +30,7 @@
 	@TempDir
 	private Path folder;
 
-	private Organisations organisations;
+	private OrganisationTokens organisations;
 
 	private long now = 100_000 * MILLI;
 
@@ -46,9 +46,9 @@
 		return this.folder.resolve("baobab.token");
 	}
 
-	private Organisations organisations(String token) {
-		return Organisations.of(Settings.parse("test.ini", "[organisation baobab]\n" + token + "\n"), () -> this.now,
-				() -> this.wallMillis);
+	private OrganisationTokens organisations(String token) {
+		return OrganisationTokens.of(Settings.parse("test.ini", "[organisation baobab]\n" + token + "\n"),
+				() -> this.now, () -> this.wallMillis);
 	}
 
 	private void advance(long millis) {
@@ -107,7 +107,7 @@
 	// Tokens in settings change only with a restart.
 	@Test
 	void tokensInSettingsNeverBecomeStale() {
-		Organisations fixed = organisations("token = first");
+		OrganisationTokens fixed = organisations("token = first");
 		advance(60_000);
 		assertThat(fixed.mayReject(OTHER), Matchers.equalTo(true));
 	}
--- a/entry/src/test/java/org/wisteriapost/entry/caller/PipelinedRefusalTests.java
+++ b/entry/src/test/java/org/wisteriapost/entry/caller/PipelinedRefusalTests.java
@@ -27,7 +27,8 @@
 			.setIoThreads(1)
 			.setWorkerOption(Options.STACK_SIZE, 256L << 10)
 			.setHandler((exchange) -> exchange.dispatch(SameThreadExecutor.INSTANCE,
-					() -> new CallerAnswer(exchange, "request", 1 << 20).refuse(Refusal.bad(400, "bad", "bad"))))
+					() -> new CallerAnswer(exchange, "request", 1 << 20)
+						.refuse(Refusal.invalidRequest(400, "bad", "bad"))))
 			.build();
 		server.start();
 		int port = ((InetSocketAddress) server.getListenerInfo().getFirst().getAddress()).getPort();
--- a/entry/src/test/java/org/wisteriapost/entry/direct/DecodeOnlyStore.java
+++ b/entry/src/test/java/org/wisteriapost/entry/direct/DecodeOnlyStore.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.CompletableFuture;
 
 import org.wisteriapost.policy.fleet.EntryInfo;
-import org.wisteriapost.protocol.site.Kind;
+import org.wisteriapost.protocol.site.ObjectKind;
 import org.wisteriapost.protocol.site.ObjectStore;
 
 /**
@@ -20,18 +20,18 @@
 	}
 
 	@Override
-	public Optional<Item> decode(Kind kind, byte[] content) {
+	public Optional<Item> decode(ObjectKind kind, byte[] content) {
 		String[] parts = new String(content, StandardCharsets.UTF_8).split("@");
 		return Optional.of(item(parts[0], Long.parseLong(parts[1])));
 	}
 
 	@Override
-	public CompletableFuture<Page> list(Kind kind, Optional<String> after) {
+	public CompletableFuture<Page> list(ObjectKind kind, Optional<String> after) {
 		throw new UnsupportedOperationException();
 	}
 
 	@Override
-	public CompletableFuture<Changes> watch(Kind kind, long revision, Duration wait) {
+	public CompletableFuture<Changes> watch(ObjectKind kind, long revision, Duration wait) {
 		throw new UnsupportedOperationException();
 	}
 
--- a/entry/src/test/java/org/wisteriapost/entry/direct/DirectHttpServerTests.java
+++ b/entry/src/test/java/org/wisteriapost/entry/direct/DirectHttpServerTests.java
@@ -25,11 +25,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.wisteriapost.policy.routing.CallLimits;
-import org.wisteriapost.protocol.http.HttpCaller;
-import org.wisteriapost.protocol.site.CallDialect;
-import org.wisteriapost.protocol.site.CallerFields;
-import org.wisteriapost.protocol.site.OutboundCall;
-import org.wisteriapost.protocol.site.RunnerReply;
+import org.wisteriapost.protocol.http.PooledHttpClient;
+import org.wisteriapost.protocol.site.CallProtocol;
+import org.wisteriapost.protocol.site.CallerRequestFields;
+import org.wisteriapost.protocol.site.RunnerRequestFields;
+import org.wisteriapost.protocol.site.RunnerResponseFields;
 import org.wisteriapost.protocol.site.SiteSettings;
 
 import static org.hamcrest.MatcherAssert.assertThat;
@@ -44,7 +44,7 @@
 
 	private static final CallLimits LARGE = limits(10_000);
 
-	private final HttpCaller caller = HttpCaller.create(1);
+	private final PooledHttpClient caller = PooledHttpClient.create(1);
 
 	private final FakeEntry entry = new FakeEntry();
 
@@ -64,8 +64,8 @@
 	private static SiteSettings settings() {
 		return new SiteSettings("a", "127.0.0.1", "p1", "r1", Optional.of(new InetSocketAddress("127.0.0.1", 0)),
 				Optional.empty(), Optional.empty(), 1, 1, URI.create("http://store.example"), Optional.empty(), "",
-				1_000_000, new SiteSettings.Bounds(Duration.ofSeconds(8), Duration.ofSeconds(3), Duration.ofSeconds(8),
-						0.2, 100, Duration.ofSeconds(10), Duration.ofSeconds(3)));
+				1_000_000, new SiteSettings.Guarantees(Duration.ofSeconds(8), Duration.ofSeconds(3),
+						Duration.ofSeconds(8), 0.2, 100, Duration.ofSeconds(10), Duration.ofSeconds(3)));
 	}
 
 	// Uses a plain socket: an HTTP client that is still sending a large body may see a
@@ -113,7 +113,8 @@
 			case STREAMED -> postChunked(1000);
 		};
 		assertThat(answer.status(), Matchers.equalTo(status));
-		assertThat(answer.body(), Matchers.containsString(recent ? "too-large" : Intake.TABLE_DOUBTFUL.name()));
+		assertThat(answer.body(),
+				Matchers.containsString(recent ? "too-large" : RequestAdmission.TABLE_DOUBTFUL.name()));
 		assertThat(answer.headers().containsKey("retry-after"), Matchers.equalTo(!recent));
 	}
 
@@ -124,7 +125,7 @@
 		this.entry.limits.add(LARGE);
 		this.entry.mayReject = true;
 		Answer answer = postChunked(1000);
-		assertThat(answer.body(), Matchers.containsString(Intake.TABLE_DOUBTFUL.name()));
+		assertThat(answer.body(), Matchers.containsString(RequestAdmission.TABLE_DOUBTFUL.name()));
 		assertThat(answer.status(), Matchers.equalTo(503));
 	}
 
@@ -188,27 +189,27 @@
 	}
 
 	/** Supplies an attempt id and no other field. */
-	private static final class MinimalDialect implements CallDialect {
+	private static final class MinimalDialect implements CallProtocol {
 
 		@Override
-		public CallerFields read(Function<String, String> header) {
-			return new CallerFields(Optional.of("attempt"), OptionalLong.empty(), 0, 0, OptionalInt.empty(),
+		public CallerRequestFields parseRequest(Function<String, String> header) {
+			return new CallerRequestFields(Optional.of("attempt"), OptionalLong.empty(), 0, 0, OptionalInt.empty(),
 					Optional.empty(), Optional.empty());
 		}
 
 		@Override
-		public boolean reserved(String name) {
+		public boolean isReservedHeader(String name) {
 			return false;
 		}
 
 		@Override
-		public List<Map.Entry<String, String>> outbound(OutboundCall call) {
+		public List<Map.Entry<String, String>> runnerHeaders(RunnerRequestFields call) {
 			return List.of();
 		}
 
 		@Override
-		public RunnerReply reply(int status, Map<String, String> headers) {
-			return new RunnerReply(Optional.empty(), false, false, OptionalInt.empty());
+		public RunnerResponseFields parseResponse(int status, Map<String, String> headers) {
+			return new RunnerResponseFields(Optional.empty(), false, false, OptionalInt.empty());
 		}
 
 		@Override
@@ -222,7 +223,7 @@
 		}
 
 		@Override
-		public String placeParameter() {
+		public String failureDomainParameter() {
 			return "place";
 		}
 
@@ -232,7 +233,7 @@
 		}
 
 		@Override
-		public byte[] directory(List<String> addresses, int keepSeconds) {
+		public byte[] encodeDirectory(List<String> addresses, int keepSeconds) {
 			return new byte[0];
 		}
 
--- a/entry/src/test/java/org/wisteriapost/entry/direct/EntryRegistryTests.java
+++ b/entry/src/test/java/org/wisteriapost/entry/direct/EntryRegistryTests.java
@@ -38,10 +38,10 @@
 		return entries;
 	}
 
-	private static EntryRoster linked(List<EntryInfo> all, EntryInfo self) {
-		EntryRoster registry = new EntryRoster(self);
+	private static EntryRegistry linked(List<EntryInfo> all, EntryInfo self) {
+		EntryRegistry registry = new EntryRegistry(self);
 		all.forEach((info) -> registry.put(info, 1, 0));
-		registry.linkTargets().forEach((info) -> registry.linked(info.name(), true, 0));
+		registry.linkTargets().forEach((info) -> registry.linkChanged(info.name(), true, 0));
 		return registry;
 	}
 
@@ -52,20 +52,20 @@
 	void intentionallyUnlinkedEntriesAreCounted(int failureDomains, int perFailureDomain, int total,
 			int inFailureDomain) {
 		List<EntryInfo> entries = entries(failureDomains, perFailureDomain);
-		EntryCount count = linked(entries, entries.getFirst()).count();
-		assertThat(count.all(), Matchers.equalTo(total));
-		assertThat(count.near(), Matchers.equalTo(inFailureDomain));
-		assertThat(count.byPlace(), Matchers.equalTo(total > 16));
+		EntryCount count = linked(entries, entries.getFirst()).entryCount();
+		assertThat(count.total(), Matchers.equalTo(total));
+		assertThat(count.inFailureDomain(), Matchers.equalTo(inFailureDomain));
+		assertThat(count.partitioned(), Matchers.equalTo(total > 16));
 	}
 
 	@Test
 	void unreachableEntriesAreNotCounted() {
 		List<EntryInfo> entries = entries(5, 10);
-		EntryRoster registry = linked(entries, entries.getFirst());
-		registry.linked("edge-0-3", false, SECOND);
-		registry.linked("edge-0-4", false, SECOND);
-		assertThat(registry.count(), Matchers.equalTo(new EntryCount(48, 8, true)));
-		assertThat(registry.ready(true).stream().map(EntryInfo::name).toList(),
+		EntryRegistry registry = linked(entries, entries.getFirst());
+		registry.linkChanged("edge-0-3", false, SECOND);
+		registry.linkChanged("edge-0-4", false, SECOND);
+		assertThat(registry.entryCount(), Matchers.equalTo(new EntryCount(48, 8, true)));
+		assertThat(registry.advertisedEntries(true).stream().map(EntryInfo::name).toList(),
 				Matchers.not(Matchers.hasItem("edge-0-3")));
 	}
 
@@ -73,9 +73,9 @@
 	// without a change.
 	@ParameterizedTest
 	@MethodSource("changes")
-	void derivedListsAreRecomputedOnlyAfterChanges(Consumer<EntryRoster> change) {
+	void derivedListsAreRecomputedOnlyAfterChanges(Consumer<EntryRegistry> change) {
 		List<EntryInfo> entries = entries(3, 7);
-		EntryRoster registry = linked(entries, entries.getFirst());
+		EntryRegistry registry = linked(entries, entries.getFirst());
 		List<Object> before = derivedLists(registry);
 		for (int i = 0; i < 3; i++) {
 			assertThat(derivedLists(registry), sameInstances(before));
@@ -87,17 +87,18 @@
 		assertThat(after, Matchers.not(Matchers.equalTo(before)));
 	}
 
-	private static List<Consumer<EntryRoster>> changes() {
+	private static List<Consumer<EntryRegistry>> changes() {
 		return List.of((registry) -> registry.put(new EntryInfo("edge-0-1", 2, "other:80", "", "hall-0", ""), 2, 0),
 				(registry) -> registry.remove("edge-0-1"),
 				(registry) -> registry.retain(Set.of("edge-0-0", "edge-0-2")),
-				(registry) -> registry.linked("edge-0-1", false, 0), (registry) -> registry.leaving("edge-0-1"));
+				(registry) -> registry.linkChanged("edge-0-1", false, 0),
+				(registry) -> registry.markLeaving("edge-0-1"));
 	}
 
-	private static List<Object> derivedLists(EntryRoster registry) {
+	private static List<Object> derivedLists(EntryRegistry registry) {
 		return List.of(registry.registeredPeers(), registry.linkTargets(), registry.livePeers(),
-				registry.failureDomainPeers(), registry.told(), registry.ready(true), registry.ready(false),
-				registry.count(), registry.sharingReader());
+				registry.failureDomainPeers(), registry.loadReportReceivers(), registry.advertisedEntries(true),
+				registry.advertisedEntries(false), registry.entryCount(), registry.leaderGroup());
 	}
 
 	private static Matcher<Iterable<? extends Object>> sameInstances(List<Object> those) {
@@ -110,32 +111,33 @@
 	@Test
 	void onlyIntendedLinkTargetsExpire() {
 		List<EntryInfo> entries = entries(5, 10);
-		EntryRoster first = linked(entries, entries.getFirst());
-		assertThat(first.dead(60 * SECOND).isPresent(), Matchers.equalTo(false));
-		first.linked("edge-0-7", false, SECOND);
-		assertThat(first.dead(10 * SECOND).isPresent(), Matchers.equalTo(false));
-		assertThat(first.dead(14 * SECOND).orElseThrow().info().name(), Matchers.equalTo("edge-0-7"));
-		EntryRoster second = linked(entries, entries.get(1));
-		second.linked("edge-0-7", false, SECOND);
-		assertThat(second.dead(60 * SECOND).isPresent(), Matchers.equalTo(false));
+		EntryRegistry first = linked(entries, entries.getFirst());
+		assertThat(first.expiredRegistration(60 * SECOND).isPresent(), Matchers.equalTo(false));
+		first.linkChanged("edge-0-7", false, SECOND);
+		assertThat(first.expiredRegistration(10 * SECOND).isPresent(), Matchers.equalTo(false));
+		assertThat(first.expiredRegistration(14 * SECOND).orElseThrow().info().name(), Matchers.equalTo("edge-0-7"));
+		EntryRegistry second = linked(entries, entries.get(1));
+		second.linkChanged("edge-0-7", false, SECOND);
+		assertThat(second.expiredRegistration(60 * SECOND).isPresent(), Matchers.equalTo(false));
 	}
 
 	@ParameterizedTest
 	@CsvSource({ "3,2,0", "3,3,8", "5,10,9" })
 	void leaderGroupExistsAboveThreshold(int failureDomains, int perFailureDomain, int others) {
 		List<EntryInfo> entries = entries(failureDomains, perFailureDomain);
-		assertThat(linked(entries, entries.getFirst()).sharingReader(), Matchers.hasSize(others));
+		assertThat(linked(entries, entries.getFirst()).leaderGroup(), Matchers.hasSize(others));
 	}
 
 	@Test
 	void distancesFollowFailureDomainAndRegion() {
-		EntryRoster registry = new EntryRoster(entry("self", "hall-1", "north"));
+		EntryRegistry registry = new EntryRegistry(entry("self", "hall-1", "north"));
 		registry.put(entry("a", "hall-1", "north"), 1, 0);
 		registry.put(entry("b", "hall-2", "north"), 1, 0);
 		registry.put(entry("c", "hall-1", "south"), 1, 0);
-		assertThat(registry.distances(List.of("a", "b", "c", "d")),
-				Matchers.contains(new LinkedEntry("a", Distance.OWN_PLACE), new LinkedEntry("b", Distance.OWN_REGION),
-						new LinkedEntry("c", Distance.ELSEWHERE), new LinkedEntry("d", Distance.ELSEWHERE)));
+		assertThat(registry.linkDistances(List.of("a", "b", "c", "d")),
+				Matchers.contains(new LinkedEntry("a", Distance.SAME_FAILURE_DOMAIN),
+						new LinkedEntry("b", Distance.SAME_REGION), new LinkedEntry("c", Distance.REMOTE),
+						new LinkedEntry("d", Distance.REMOTE)));
 	}
 
 	private static EntryInfo entry(String name, String domain, String region) {
--- a/entry/src/test/java/org/wisteriapost/entry/direct/StateBench.java
+++ b/entry/src/test/java/org/wisteriapost/entry/direct/EntryStateFixture.java
@@ -28,11 +28,11 @@
 import org.wisteriapost.policy.dispatch.Dispatcher;
 import org.wisteriapost.policy.fleet.EntryInfo;
 import org.wisteriapost.policy.fleet.LinkedEntry;
-import org.wisteriapost.policy.fleet.Rendezvous;
+import org.wisteriapost.policy.fleet.RendezvousHashing;
+import org.wisteriapost.policy.fleet.RunnerIncarnation;
 import org.wisteriapost.policy.fleet.RunnerInfo;
-import org.wisteriapost.policy.fleet.RunnerStart;
-import org.wisteriapost.policy.fleet.StoreDuty;
-import org.wisteriapost.policy.fleet.UpstreamChoice;
+import org.wisteriapost.policy.fleet.StoreRole;
+import org.wisteriapost.policy.fleet.UpstreamSelector;
 import org.wisteriapost.policy.routing.CallLimits;
 import org.wisteriapost.policy.routing.Organisation;
 import org.wisteriapost.policy.routing.Route;
@@ -40,19 +40,19 @@
 import org.wisteriapost.policy.routing.RouteKind;
 import org.wisteriapost.policy.routing.RouteTable;
 import org.wisteriapost.policy.routing.ServiceSpec;
-import org.wisteriapost.protocol.site.CallerFields;
-import org.wisteriapost.protocol.site.Declared;
-import org.wisteriapost.protocol.site.Follower;
-import org.wisteriapost.protocol.site.Kind;
+import org.wisteriapost.protocol.site.CallerRequestFields;
+import org.wisteriapost.protocol.site.DecodedObject;
+import org.wisteriapost.protocol.site.ObjectKind;
 import org.wisteriapost.protocol.site.ObjectStore;
 import org.wisteriapost.protocol.site.SiteSettings;
+import org.wisteriapost.protocol.site.StoreWatcher;
 import org.wisteriapost.protocol.wire.Frame;
 
 /**
  * Runs one entry's state machine and a peer that may lead it, without sockets or threads
  * and with a clock that the test advances.
  */
-final class StateBench implements AutoCloseable {
+final class EntryStateFixture implements AutoCloseable {
 
 	static final long MILLI = 1_000_000;
 
@@ -66,30 +66,30 @@
 
 	private static final int LEADER_TICKS = 5;
 
-	private static final List<String> NAMES = Rendezvous.order(List.of("a", "b"), "store");
+	private static final List<String> NAMES = RendezvousHashing.rank(List.of("a", "b"), "store");
 
 	/** The peer, which rendezvous hashing makes the leader of both. */
-	static final String READER = NAMES.getFirst();
+	static final String LEADER = NAMES.getFirst();
 
 	private static final String SELF = NAMES.getLast();
 
 	private final DecisionLog log = DecisionLog.start("test", new PrintStream(OutputStream.nullOutputStream()));
 
-	private final DeclaredStore store = new DeclaredStore(5);
+	private final FakeObjectStore store = new FakeObjectStore(5);
 
-	private final Following following = new Following();
+	private final StoreWatches following = new StoreWatches();
 
 	private final Queue<DirectEvent> events = new ArrayDeque<>();
 
 	private final List<String> answers = new ArrayList<>();
 
-	private final List<Frame> sent = new ArrayList<>();
+	private final List<Frame> sentFrames = new ArrayList<>();
 
 	private final DirectView view;
 
 	private final DirectState state;
 
-	private final SiteNews reader;
+	private final StoreReplication leader;
 
 	private final Queue<Frame> fromLeader = new ArrayDeque<>();
 
@@ -103,7 +103,7 @@
 
 	private long ticks;
 
-	StateBench() {
+	EntryStateFixture() {
 		EntryClocks clocks = new EntryClocks(() -> this.now, () -> this.wallMillis);
 		UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(42);
 		DispatchLimits limits = new DispatchLimits("p1", 0.2, 100, Duration.ofSeconds(10), Duration.ofSeconds(8));
@@ -111,14 +111,14 @@
 		this.state = new DirectState(settings(), entry(SELF), Dispatcher.create(limits, random), new Answers(),
 				this.log, DirectMetrics.create(new SimpleMeterRegistry()), random, clocks, this.view);
 		this.state.connect(new Sender(), this.store, this.following);
-		this.reader = new SiteNews(this.store, StoreDuty.of(READER), UpstreamChoice.of(READER),
+		this.leader = new StoreReplication(this.store, StoreRole.of(LEADER), UpstreamSelector.of(LEADER),
 				(peer, frame) -> this.fromLeader.add(frame), () -> this.now, this.log);
 	}
 
 	private static SiteSettings settings() {
 		return new SiteSettings(SELF, "127.0.0.1", "p1", "r1", Optional.empty(), Optional.empty(), Optional.empty(), 1,
 				1, URI.create("http://store.example"), Optional.empty(), "", 1_000_000,
-				new SiteSettings.Bounds(Duration.ofSeconds(8), ACTIVATION_DELAY, Duration.ofSeconds(8), 0.2, 100,
+				new SiteSettings.Guarantees(Duration.ofSeconds(8), ACTIVATION_DELAY, Duration.ofSeconds(8), 0.2, 100,
 						Duration.ofSeconds(10), Duration.ofSeconds(3)));
 	}
 
@@ -138,12 +138,12 @@
 	}
 
 	ObjectStore.Item routes(long revision, RouteTable table) {
-		return this.store.item("current", revision, new Declared.Routes(table));
+		return this.store.item("current", revision, new DecodedObject.Routes(table));
 	}
 
 	ObjectStore.Item runner(long revision, String address) {
-		return this.store.item("r1", revision, new Declared.Runner(
-				new RunnerInfo("r1", "api", address, "p1", 6, false, 0, Map.of(), revision, RunnerStart.UNKNOWN)));
+		return this.store.item("r1", revision, new DecodedObject.Runner(new RunnerInfo("r1", "api", address, "p1", 6,
+				false, 0, Map.of(), revision, RunnerIncarnation.UNKNOWN)));
 	}
 
 	/**
@@ -151,9 +151,9 @@
 	 */
 	List<ObjectStore.Item> entries() {
 		List<ObjectStore.Item> entries = new ArrayList<>();
-		entries.add(this.store.item(READER, 2, new Declared.Entry(entry(READER))));
-		for (int i = 1; i < StoreDuty.MOST_READING_ALL; i++) {
-			entries.add(this.store.item("n" + i, 2, new Declared.Entry(entry("n" + i))));
+		entries.add(this.store.item(LEADER, 2, new DecodedObject.Entry(entry(LEADER))));
+		for (int i = 1; i < StoreRole.MAX_ENTRIES_WITHOUT_LEADER; i++) {
+			entries.add(this.store.item("n" + i, 2, new DecodedObject.Entry(entry("n" + i))));
 		}
 		return entries;
 	}
@@ -161,27 +161,27 @@
 	/**
 	 * Delivers the same listing of the store to the entry and to its leader.
 	 */
-	void bothRead(List<ObjectStore.Item> routes, List<ObjectStore.Item> runners) {
-		selfReads(routes, runners);
-		readerReads(routes, runners);
+	void listOnBoth(List<ObjectStore.Item> routes, List<ObjectStore.Item> runners) {
+		listOnSelf(routes, runners);
+		listOnLeader(routes, runners);
 	}
 
-	void selfReads(List<ObjectStore.Item> routes, List<ObjectStore.Item> runners) {
-		this.events.add(new DirectEvent.StoreReachable(Kind.RUNNERS, true));
-		for (Kind kind : Kind.values()) {
-			this.events.add(new DirectEvent.AllObjects(kind, of(kind, routes, runners), 5));
+	void listOnSelf(List<ObjectStore.Item> routes, List<ObjectStore.Item> runners) {
+		this.events.add(new DirectEvent.StoreReachability(ObjectKind.RUNNERS, true));
+		for (ObjectKind kind : ObjectKind.values()) {
+			this.events.add(new DirectEvent.ObjectsListed(kind, of(kind, routes, runners), 5));
 		}
-		pump();
+		applyStoreEvents();
 	}
 
-	void readerReads(List<ObjectStore.Item> routes, List<ObjectStore.Item> runners) {
-		this.reader.reachable(true);
-		for (Kind kind : Kind.values()) {
-			this.reader.read(kind, of(kind, routes, runners), 5);
+	void listOnLeader(List<ObjectStore.Item> routes, List<ObjectStore.Item> runners) {
+		this.leader.storeReachable(true);
+		for (ObjectKind kind : ObjectKind.values()) {
+			this.leader.applyFromStore(kind, of(kind, routes, runners), 5);
 		}
 	}
 
-	private List<ObjectStore.Item> of(Kind kind, List<ObjectStore.Item> routes, List<ObjectStore.Item> runners) {
+	private List<ObjectStore.Item> of(ObjectKind kind, List<ObjectStore.Item> routes, List<ObjectStore.Item> runners) {
 		return switch (kind) {
 			case ROUTES -> routes;
 			case RUNNERS -> runners;
@@ -193,27 +193,27 @@
 	/**
 	 * Makes the entry follow a store that holds the given objects.
 	 */
-	void follow(List<ObjectStore.Item> routes, List<ObjectStore.Item> runners) {
-		for (Kind kind : Kind.values()) {
-			this.store.listed(kind, of(kind, routes, runners));
-			this.following.add(kind, Follower.start(this.store, kind, new InlineTimer(),
+	void followStore(List<ObjectStore.Item> routes, List<ObjectStore.Item> runners) {
+		for (ObjectKind kind : ObjectKind.values()) {
+			this.store.setListing(kind, of(kind, routes, runners));
+			this.following.add(kind, StoreWatcher.start(this.store, kind, new InlineTimer(),
 					DirectProcess.listener(kind, this.events::add)));
 		}
-		pump();
+		applyStoreEvents();
 	}
 
 	void link(boolean up) {
 		this.linked = up;
-		apply(new DirectEvent.PeerLink(READER, up));
+		apply(new DirectEvent.PeerLinkChanged(LEADER, up));
 		if (up) {
-			apply(new DirectEvent.PeerMet(READER));
+			apply(new DirectEvent.PeerIdentified(LEADER));
 		}
 	}
 
 	/**
 	 * Runs until the entry has subscribed to its leader and the reply is in transit.
 	 */
-	void untilAsked() {
+	void runUntilSubscribed() {
 		link(true);
 		while (this.fromLeader.isEmpty()) {
 			tick();
@@ -223,9 +223,9 @@
 	/**
 	 * Delivers the frames that the leader has sent.
 	 */
-	void hear() {
+	void deliverUpdates() {
 		while (!this.fromLeader.isEmpty()) {
-			apply(new DirectEvent.PeerNews(READER, this.fromLeader.remove().getNews()));
+			apply(new DirectEvent.PeerStateUpdated(LEADER, this.fromLeader.remove().getNews()));
 		}
 	}
 
@@ -235,7 +235,7 @@
 	void run(Duration time) {
 		for (long i = 0; i < time.toNanos() / TICK; i++) {
 			tick();
-			hear();
+			deliverUpdates();
 		}
 	}
 
@@ -244,7 +244,7 @@
 		this.wallMillis += TimeUnit.NANOSECONDS.toMillis(TICK);
 		this.ticks++;
 		if (this.ticks % LEADER_TICKS == 0) {
-			this.reader.tick(List.of(LinkedEntry.unknown(SELF)), this.now);
+			this.leader.tick(List.of(LinkedEntry.unknown(SELF)), this.now);
 		}
 		apply(new DirectEvent.Tick());
 	}
@@ -252,7 +252,7 @@
 	/**
 	 * Advances the clocks without applying any event.
 	 */
-	void pass(long millis) {
+	void advanceClocks(long millis) {
 		this.now += millis * MILLI;
 		this.wallMillis += millis;
 	}
@@ -271,7 +271,7 @@
 	/**
 	 * Applies the pending events from the store.
 	 */
-	void pump() {
+	void applyStoreEvents() {
 		while (!this.events.isEmpty()) {
 			apply(this.events.remove());
 		}
@@ -286,19 +286,19 @@
 	 */
 	String request(String path, Optional<String> token) {
 		this.answers.clear();
-		CallerFields fields = new CallerFields(Optional.of("attempt"), OptionalLong.empty(), 0, 0, OptionalInt.empty(),
-				Optional.empty(), Optional.empty());
+		CallerRequestFields fields = new CallerRequestFields(Optional.of("attempt"), OptionalLong.empty(), 0, 0,
+				OptionalInt.empty(), Optional.empty(), Optional.empty());
 		apply(new DirectEvent.RequestArrived(new IncomingRequest(++this.ids, "GET", HOST, path, path, Map.of(), token,
 				fields, new byte[0], null, this.now)));
 		return this.answers.isEmpty() ? "waits" : this.answers.getLast();
 	}
 
-	DeclaredStore store() {
+	FakeObjectStore store() {
 		return this.store;
 	}
 
-	SiteNews reader() {
-		return this.reader;
+	StoreReplication leader() {
+		return this.leader;
 	}
 
 	DirectView view() {
@@ -308,8 +308,8 @@
 	/**
 	 * Returns the frames that were sent to the leader.
 	 */
-	List<Frame> sent() {
-		return this.sent;
+	List<Frame> sentFrames() {
+		return this.sentFrames;
 	}
 
 	@Override
@@ -322,7 +322,7 @@
 
 		@Override
 		public void send(DirectCall call, DispatchEffect.Send send) {
-			StateBench.this.answers.add("sent to " + send.runner().address());
+			EntryStateFixture.this.answers.add("sent to " + send.runner().address());
 		}
 
 		@Override
@@ -331,53 +331,53 @@
 
 		@Override
 		public void refuse(DirectCall call, Code code, long retryAfterMillis) {
-			StateBench.this.answers.add("refused " + code.name());
+			EntryStateFixture.this.answers.add("refused " + code.name());
 		}
 
 		@Override
 		public void reject(IncomingRequest arrival, int status, Code code) {
-			StateBench.this.answers.add("rejected " + status);
+			EntryStateFixture.this.answers.add("rejected " + status);
 		}
 
 		@Override
 		public void refuse(IncomingRequest arrival, Code code, long retryAfterMillis) {
-			StateBench.this.answers.add("refused " + code.name());
+			EntryStateFixture.this.answers.add("refused " + code.name());
 		}
 
 		@Override
 		public void fail(DirectCall call, Code code, boolean timeout) {
-			StateBench.this.answers.add("failed " + code.name());
+			EntryStateFixture.this.answers.add("failed " + code.name());
 		}
 
 		@Override
 		public void forwardRunnerFailure(DirectCall call) {
-			StateBench.this.answers.add("passed on");
+			EntryStateFixture.this.answers.add("passed on");
 		}
 
 	}
 
 	/** Delivers frames to the leader, which handles them at once. */
-	private final class Sender implements PeerSender {
+	private final class Sender implements PeerTransport {
 
 		@Override
-		public void desired(Map<String, InetSocketAddress> peers) {
+		public void setDesiredPeers(Map<String, InetSocketAddress> peers) {
 		}
 
 		@Override
-		public Sending send(String name, Frame frame) {
-			if (!StateBench.this.linked || !name.equals(READER)) {
-				return Sending.NO_LINK;
+		public SendResult send(String name, Frame frame) {
+			if (!EntryStateFixture.this.linked || !name.equals(LEADER)) {
+				return SendResult.NO_LINK;
 			}
-			StateBench.this.sent.add(frame);
+			EntryStateFixture.this.sentFrames.add(frame);
 			if (frame.hasNewsRequest()) {
-				StateBench.this.reader.asked(SELF, frame.getNewsRequest());
+				EntryStateFixture.this.leader.requestReceived(SELF, frame.getNewsRequest());
 			}
-			return Sending.SENT;
+			return SendResult.SENT;
 		}
 
 		@Override
-		public Set<String> entries() {
-			return StateBench.this.linked ? Set.of(READER) : Set.of();
+		public Set<String> linkedEntries() {
+			return EntryStateFixture.this.linked ? Set.of(LEADER) : Set.of();
 		}
 
 	}
--- a/entry/src/test/java/org/wisteriapost/entry/direct/FailureDomainRelayTests.java
+++ b/entry/src/test/java/org/wisteriapost/entry/direct/FailureDomainRelayTests.java
@@ -13,12 +13,12 @@
 import org.junit.jupiter.api.Test;
 import org.wisteriapost.policy.dispatch.DispatchLimits;
 import org.wisteriapost.policy.dispatch.Dispatcher;
-import org.wisteriapost.policy.dispatch.EngineWord;
-import org.wisteriapost.policy.dispatch.PeerLoad;
+import org.wisteriapost.policy.dispatch.EngineStatus;
+import org.wisteriapost.policy.dispatch.InFlightLoad;
 import org.wisteriapost.policy.dispatch.RunnerLoad;
 import org.wisteriapost.policy.fleet.EntryInfo;
+import org.wisteriapost.policy.fleet.RunnerIncarnation;
 import org.wisteriapost.policy.fleet.RunnerInfo;
-import org.wisteriapost.policy.fleet.RunnerStart;
 import org.wisteriapost.protocol.wire.EngineState;
 import org.wisteriapost.protocol.wire.Frame;
 
@@ -65,38 +65,38 @@
 
 	private void kill(String name) {
 		this.entries.remove(name);
-		this.entries.values().forEach((entry) -> entry.registry.linked(name, false, 0));
+		this.entries.values().forEach((entry) -> entry.registry.linkChanged(name, false, 0));
 	}
 
 	private Entry anyEntryOf(String failureDomain) {
 		return this.entries.values()
 			.stream()
-			.filter((entry) -> entry.info.place().equals(failureDomain))
+			.filter((entry) -> entry.info.failureDomain().equals(failureDomain))
 			.findFirst()
 			.orElseThrow();
 	}
 
 	private void setLoad(Entry entry, String failureDomain, int active) {
-		entry.dispatcher.peerLoad(failureDomain + "-other",
-				new RunnerLoad("engine-" + failureDomain, RunnerStart.UNKNOWN, new PeerLoad(active, 0, 0)),
+		entry.dispatcher.updatePeerLoad(failureDomain + "-other",
+				new RunnerLoad("engine-" + failureDomain, RunnerIncarnation.UNKNOWN, new InFlightLoad(active, 0, 0)),
 				this.ticks * TICK_NANOS);
 	}
 
 	private void setLoadInAll(String failureDomain, int active) {
 		this.entries.values()
 			.stream()
-			.filter((entry) -> entry.info.place().equals(failureDomain))
+			.filter((entry) -> entry.info.failureDomain().equals(failureDomain))
 			.forEach((entry) -> setLoad(entry, failureDomain, active));
 	}
 
 	@Test
 	void loadCrossesOneLinkPerFailureDomain() {
 		setLoadInAll("hall-a", 5);
-		run(PlaceNews.REPORT_INTERVAL_TICKS);
+		run(FailureDomainRelay.REPORT_INTERVAL_TICKS);
 		assertThat(this.crossDomainFrames, Matchers.hasSize(FAILURE_DOMAINS.size() - 1));
 		long informed = this.entries.values()
 			.stream()
-			.filter((entry) -> !entry.info.place().equals("hall-a"))
+			.filter((entry) -> !entry.info.failureDomain().equals("hall-a"))
 			.filter((entry) -> entry.receivedLoads > 0)
 			.count();
 		assertThat(informed, Matchers.equalTo(2L * ENTRIES_PER_FAILURE_DOMAIN));
@@ -107,12 +107,12 @@
 	@Test
 	void anotherEntryBecomesRelayWhenRelayDies() {
 		setLoadInAll("hall-a", 5);
-		run(PlaceNews.REPORT_INTERVAL_TICKS);
+		run(FailureDomainRelay.REPORT_INTERVAL_TICKS);
 		String relay = this.crossDomainFrames.getFirst().substring(0, this.crossDomainFrames.getFirst().indexOf('>'));
 		kill(relay);
 		this.crossDomainFrames.clear();
 		setLoadInAll("hall-a", 6);
-		run(PlaceNews.REPORT_INTERVAL_TICKS);
+		run(FailureDomainRelay.REPORT_INTERVAL_TICKS);
 		assertThat(this.crossDomainFrames, Matchers.hasSize(FAILURE_DOMAINS.size() - 1));
 		assertThat(this.crossDomainFrames.getFirst(), Matchers.not(Matchers.startsWith(relay + ">")));
 	}
@@ -121,23 +121,24 @@
 	@Test
 	void unchangedLoadIsRepeatedEachSecond() {
 		setLoadInAll("hall-a", 5);
-		run(PlaceNews.REPORT_INTERVAL_TICKS);
+		run(FailureDomainRelay.REPORT_INTERVAL_TICKS);
 		this.crossDomainFrames.clear();
 		for (int second = 0; second < 5; second++) {
 			setLoadInAll("hall-a", 5);
-			run(PlaceNews.FULL_REPORT_INTERVAL_TICKS);
+			run(FailureDomainRelay.FULL_REPORT_INTERVAL_TICKS);
 		}
 		assertThat(this.crossDomainFrames.size(), Matchers.equalTo(5 * (FAILURE_DOMAINS.size() - 1)));
 	}
 
 	@Test
 	void engineStatusReachesOtherFailureDomains() {
-		EngineWord status = new EngineWord(OptionalInt.of(2), true, OptionalLong.empty(), RunnerStart.UNKNOWN);
+		EngineStatus status = new EngineStatus(OptionalInt.of(2), true, OptionalLong.empty(),
+				RunnerIncarnation.UNKNOWN);
 		this.entries.values()
 			.stream()
-			.filter((entry) -> entry.info.place().equals("hall-b"))
-			.forEach((entry) -> entry.dispatcher.agentSays(engine("hall-b"), status, 0));
-		run(PlaceNews.REPORT_INTERVAL_TICKS);
+			.filter((entry) -> entry.info.failureDomain().equals("hall-b"))
+			.forEach((entry) -> entry.dispatcher.updateEngineStatus(engine("hall-b"), status, 0));
+		run(FailureDomainRelay.REPORT_INTERVAL_TICKS);
 		assertThat(anyEntryOf("hall-c").receivedEngines.stream().map(EngineState::getAddress).toList(),
 				Matchers.contains(engine("hall-b")));
 		assertThat(anyEntryOf("hall-c").receivedEngines.getFirst().getSwitching(), Matchers.equalTo(true));
@@ -153,8 +154,8 @@
 				.setPlace("hall-c")
 				.addEngines(EngineState.newBuilder().setAddress(engine("hall-c"))))
 			.build();
-		assertThat(entry.relay.heard("hall-b-0", wrong.getPlaceState(), 0), Matchers.empty());
-		assertThat(entry.relay.heard("nobody", wrong.getPlaceState(), 0), Matchers.empty());
+		assertThat(entry.relay.stateReceived("hall-b-0", wrong.getPlaceState(), 0), Matchers.empty());
+		assertThat(entry.relay.stateReceived("nobody", wrong.getPlaceState(), 0), Matchers.empty());
 		assertThat(this.crossDomainFrames, Matchers.empty());
 	}
 
@@ -163,11 +164,11 @@
 
 		private final EntryInfo info;
 
-		private final EntryRoster registry;
+		private final EntryRegistry registry;
 
 		private final Dispatcher dispatcher;
 
-		private final PlaceNews relay;
+		private final FailureDomainRelay relay;
 
 		private final List<EngineState> receivedEngines = new ArrayList<>();
 
@@ -175,25 +176,29 @@
 
 		private Entry(EntryInfo info, List<EntryInfo> all) {
 			this.info = info;
-			this.registry = new EntryRoster(info);
+			this.registry = new EntryRegistry(info);
 			all.forEach((one) -> this.registry.put(one, 1, 0));
-			this.registry.linkTargets().forEach((one) -> this.registry.linked(one.name(), true, 0));
+			this.registry.linkTargets().forEach((one) -> this.registry.linkChanged(one.name(), true, 0));
 			this.dispatcher = Dispatcher.create(
-					new DispatchLimits(info.place(), 0.2, 100, Duration.ofSeconds(10), Duration.ofSeconds(8)),
+					new DispatchLimits(info.failureDomain(), 0.2, 100, Duration.ofSeconds(10), Duration.ofSeconds(8)),
 					RandomSource.XO_RO_SHI_RO_128_PP.create(1));
 			FAILURE_DOMAINS
-				.forEach((failureDomain) -> this.dispatcher.runner(new RunnerInfo("engine-" + failureDomain, "lm",
-						engine(failureDomain), failureDomain, 8, false, 0, Map.of("m", 1), 1, RunnerStart.UNKNOWN), 0));
-			this.relay = new PlaceNews(info.place(), this.registry, this.dispatcher, this::send);
+				.forEach(
+						(failureDomain) -> this.dispatcher
+							.updateRunner(
+									new RunnerInfo("engine-" + failureDomain, "lm", engine(failureDomain),
+											failureDomain, 8, false, 0, Map.of("m", 1), 1, RunnerIncarnation.UNKNOWN),
+									0));
+			this.relay = new FailureDomainRelay(info.failureDomain(), this.registry, this.dispatcher, this::send);
 		}
 
 		private void send(String peer, Frame frame) {
 			Entry to = FailureDomainRelayTests.this.entries.get(peer);
-			if (!to.info.place().equals(this.info.place())) {
+			if (!to.info.failureDomain().equals(this.info.failureDomain())) {
 				FailureDomainRelayTests.this.crossDomainFrames.add(this.info.name() + ">" + peer);
 			}
 			to.receivedLoads += frame.getPlaceState().getLoadsCount();
-			to.receivedEngines.addAll(to.relay.heard(this.info.name(), frame.getPlaceState(), 0));
+			to.receivedEngines.addAll(to.relay.stateReceived(this.info.name(), frame.getPlaceState(), 0));
 		}
 
 	}
--- a/entry/src/test/java/org/wisteriapost/entry/direct/DeclaredStore.java
+++ b/entry/src/test/java/org/wisteriapost/entry/direct/FakeObjectStore.java
@@ -11,21 +11,21 @@
 import java.util.concurrent.CompletableFuture;
 
 import org.wisteriapost.policy.fleet.EntryInfo;
-import org.wisteriapost.protocol.site.Declared;
-import org.wisteriapost.protocol.site.Kind;
+import org.wisteriapost.protocol.site.DecodedObject;
+import org.wisteriapost.protocol.site.ObjectKind;
 import org.wisteriapost.protocol.site.ObjectStore;
 
 /**
  * A store whose objects are set by the test. Watches stay pending until the test
  * completes them; listings are answered at once.
  */
-final class DeclaredStore implements ObjectStore {
+final class FakeObjectStore implements ObjectStore {
 
 	private final Map<String, Item> itemsByContent = new HashMap<>();
 
-	private final Map<Kind, List<Item>> listings = new EnumMap<>(Kind.class);
+	private final Map<ObjectKind, List<Item>> listings = new EnumMap<>(ObjectKind.class);
 
-	private final Map<Kind, CompletableFuture<Changes>> watches = new EnumMap<>(Kind.class);
+	private final Map<ObjectKind, CompletableFuture<Changes>> watches = new EnumMap<>(ObjectKind.class);
 
 	private final List<String> calls = new ArrayList<>();
 
@@ -35,28 +35,28 @@
 	 * Creates a store.
 	 * @param at its revision
 	 */
-	DeclaredStore(long at) {
+	FakeObjectStore(long at) {
 		this.at = at;
 	}
 
 	/**
 	 * Returns an object that {@link #decode} restores from its content.
 	 */
-	Item item(String name, long revision, Declared value) {
+	Item item(String name, long revision, DecodedObject value) {
 		String text = name + "@" + revision;
 		Item item = new Item(name, revision, Optional.of(value), () -> text.getBytes(StandardCharsets.UTF_8));
 		this.itemsByContent.put(text, item);
 		return item;
 	}
 
-	void listed(Kind kind, List<Item> items) {
+	void setListing(ObjectKind kind, List<Item> items) {
 		this.listings.put(kind, items);
 	}
 
 	/**
 	 * Returns the latest watch of a kind.
 	 */
-	CompletableFuture<Changes> watch(Kind kind) {
+	CompletableFuture<Changes> watch(ObjectKind kind) {
 		return this.watches.get(kind);
 	}
 
@@ -70,13 +70,13 @@
 	}
 
 	@Override
-	public CompletableFuture<Page> list(Kind kind, Optional<String> after) {
+	public CompletableFuture<Page> list(ObjectKind kind, Optional<String> after) {
 		this.calls.add("list " + kind);
 		return CompletableFuture.completedFuture(new Page(this.listings.getOrDefault(kind, List.of()), false, this.at));
 	}
 
 	@Override
-	public CompletableFuture<Changes> watch(Kind kind, long revision, Duration wait) {
+	public CompletableFuture<Changes> watch(ObjectKind kind, long revision, Duration wait) {
 		this.calls.add((wait.isZero() ? "since " : "watch ") + kind);
 		this.watches.put(kind, new CompletableFuture<>());
 		return this.watches.get(kind);
@@ -93,7 +93,7 @@
 	}
 
 	@Override
-	public Optional<Item> decode(Kind kind, byte[] content) {
+	public Optional<Item> decode(ObjectKind kind, byte[] content) {
 		return Optional.ofNullable(this.itemsByContent.get(new String(content, StandardCharsets.UTF_8)));
 	}
 
--- a/entry/src/test/java/org/wisteriapost/entry/direct/IncrementalReplicationTests.java
+++ b/entry/src/test/java/org/wisteriapost/entry/direct/IncrementalReplicationTests.java
@@ -13,10 +13,10 @@
 import org.junit.jupiter.api.Test;
 import org.wisteriapost.kernel.log.DecisionLog;
 import org.wisteriapost.policy.fleet.LinkedEntry;
-import org.wisteriapost.policy.fleet.Rendezvous;
-import org.wisteriapost.policy.fleet.StoreDuty;
-import org.wisteriapost.policy.fleet.UpstreamChoice;
-import org.wisteriapost.protocol.site.Kind;
+import org.wisteriapost.policy.fleet.RendezvousHashing;
+import org.wisteriapost.policy.fleet.StoreRole;
+import org.wisteriapost.policy.fleet.UpstreamSelector;
+import org.wisteriapost.protocol.site.ObjectKind;
 import org.wisteriapost.protocol.site.ObjectStore;
 import org.wisteriapost.protocol.wire.Frame;
 import org.wisteriapost.protocol.wire.News;
@@ -39,7 +39,7 @@
 
 	private final DecisionLog log = DecisionLog.start("test", new PrintStream(OutputStream.nullOutputStream()));
 
-	private final String upstreamName = Rendezvous.order(List.of("a", "b"), "store").getFirst();
+	private final String upstreamName = RendezvousHashing.rank(List.of("a", "b"), "store").getFirst();
 
 	private final String followerName = this.upstreamName.equals("a") ? "b" : "a";
 
@@ -47,26 +47,29 @@
 
 	private final List<Frame> requests = new ArrayList<>();
 
-	private final StoreDuty role = StoreDuty.of(this.followerName);
+	private final StoreRole role = StoreRole.of(this.followerName);
 
-	private final SiteNews upstream = new SiteNews(new DecodeOnlyStore(), StoreDuty.of(this.upstreamName),
-			UpstreamChoice.of(this.upstreamName), (peer, frame) -> this.answers.add(frame), () -> this.now, this.log);
+	private final StoreReplication upstream = new StoreReplication(new DecodeOnlyStore(),
+			StoreRole.of(this.upstreamName), UpstreamSelector.of(this.upstreamName),
+			(peer, frame) -> this.answers.add(frame), () -> this.now, this.log);
 
-	private final SiteNews follower = new SiteNews(new DecodeOnlyStore(), this.role,
-			UpstreamChoice.of(this.followerName), (peer, frame) -> this.requests.add(frame), () -> this.now, this.log);
+	private final StoreReplication follower = new StoreReplication(new DecodeOnlyStore(), this.role,
+			UpstreamSelector.of(this.followerName), (peer, frame) -> this.requests.add(frame), () -> this.now,
+			this.log);
 
-	private final StoreReading controller = new StoreReading(this.role, this.follower, new Following(),
+	private final StoreRoleController controller = new StoreRoleController(this.role, this.follower, new StoreWatches(),
 			(peer, frame) -> this.requests.add(frame), this.log);
 
 	private long now;
 
 	@BeforeEach
 	void readAtUpstream() {
-		for (Kind kind : Kind.values()) {
-			this.upstream.read(kind, (kind == Kind.ROUTES) ? List.of(large("table", 5), DecodeOnlyStore.item("r", 6))
-					: List.of(DecodeOnlyStore.item("x", 5)), 7);
+		for (ObjectKind kind : ObjectKind.values()) {
+			this.upstream.applyFromStore(kind, (kind == ObjectKind.ROUTES)
+					? List.of(large("table", 5), DecodeOnlyStore.item("r", 6)) : List.of(DecodeOnlyStore.item("x", 5)),
+					7);
 		}
-		this.upstream.reachable(true);
+		this.upstream.storeReachable(true);
 	}
 
 	@AfterEach
@@ -86,14 +89,14 @@
 	}
 
 	private void disconnectFromStore() {
-		this.follower.reachable(false);
+		this.follower.storeReachable(false);
 		tick();
 	}
 
 	private void deliverRequests() {
 		List<Frame> sent = List.copyOf(this.requests);
 		this.requests.clear();
-		sent.forEach((frame) -> this.upstream.asked(this.followerName, frame.getNewsRequest()));
+		sent.forEach((frame) -> this.upstream.requestReceived(this.followerName, frame.getNewsRequest()));
 	}
 
 	private int answerBytes() {
@@ -104,13 +107,13 @@
 		List<Frame> sent = List.copyOf(this.answers);
 		this.answers.clear();
 		return sent.stream()
-			.flatMap((frame) -> this.controller.heard(this.upstreamName, frame.getNews(), this.now).stream())
+			.flatMap((frame) -> this.controller.updateReceived(this.upstreamName, frame.getNews(), this.now).stream())
 			.toList();
 	}
 
-	private static List<String> names(List<DirectEvent> events, Kind kind) {
+	private static List<String> names(List<DirectEvent> events, ObjectKind kind) {
 		return events.stream()
-			.map(DirectEvent.AllObjects.class::cast)
+			.map(DirectEvent.ObjectsListed.class::cast)
 			.filter((all) -> all.kind() == kind)
 			.flatMap((all) -> all.items().stream())
 			.map(ObjectStore.Item::name)
@@ -125,26 +128,26 @@
 		disconnectFromStore();
 		deliverRequests();
 		assertThat(answerBytes(), Matchers.greaterThan(LARGE));
-		assertThat(names(deliverAnswers(), Kind.ROUTES), Matchers.contains("r", "table"));
-		this.follower.reachable(true);
+		assertThat(names(deliverAnswers(), ObjectKind.ROUTES), Matchers.contains("r", "table"));
+		this.follower.storeReachable(true);
 		disconnectFromStore();
 		deliverRequests();
 		assertThat(answerBytes(), Matchers.lessThan(SMALL));
-		assertThat(names(deliverAnswers(), Kind.ROUTES), Matchers.contains("r", "table"));
+		assertThat(names(deliverAnswers(), ObjectKind.ROUTES), Matchers.contains("r", "table"));
 		assertThat(this.follower.isComplete(this.upstreamName), Matchers.equalTo(true));
 	}
 
 	@Test
 	void changedObjectsAreSentAndUnlistedObjectsAreRemoved() {
-		this.follower.read(Kind.ROUTES,
+		this.follower.applyFromStore(ObjectKind.ROUTES,
 				List.of(large("table", 5), DecodeOnlyStore.item("r", 3), DecodeOnlyStore.item("old", 2)), 5);
 		disconnectFromStore();
 		deliverRequests();
 		assertThat(answerBytes(), Matchers.lessThan(SMALL));
 		List<DirectEvent> received = deliverAnswers();
-		assertThat(names(received, Kind.ROUTES), Matchers.contains("r", "table"));
+		assertThat(names(received, ObjectKind.ROUTES), Matchers.contains("r", "table"));
 		assertThat(received.stream()
-			.map(DirectEvent.AllObjects.class::cast)
+			.map(DirectEvent.ObjectsListed.class::cast)
 			.flatMap((all) -> all.items().stream())
 			.filter((item) -> item.name().equals("r"))
 			.map(ObjectStore.Item::revision)
@@ -156,51 +159,51 @@
 	// missing until they change.
 	@Test
 	void answerReferencingUnknownObjectIsDiscarded() {
-		this.follower.read(Kind.ROUTES, List.of(large("table", 5)), 5);
+		this.follower.applyFromStore(ObjectKind.ROUTES, List.of(large("table", 5)), 5);
 		disconnectFromStore();
 		deliverRequests();
-		this.follower.read(Kind.ROUTES, List.of(DecodeOnlyStore.item("s", 6)), 6);
-		assertThat(names(deliverAnswers(), Kind.ROUTES), Matchers.empty());
+		this.follower.applyFromStore(ObjectKind.ROUTES, List.of(DecodeOnlyStore.item("s", 6)), 6);
+		assertThat(names(deliverAnswers(), ObjectKind.ROUTES), Matchers.empty());
 		assertThat(this.follower.isComplete(this.upstreamName), Matchers.equalTo(false));
 		for (int i = 0; i < 5; i++) {
 			tick();
 		}
 		assertThat(this.requests.getFirst().getNewsRequest().getKnownList(), Matchers.empty());
 		deliverRequests();
-		assertThat(names(deliverAnswers(), Kind.ROUTES), Matchers.contains("r", "table"));
+		assertThat(names(deliverAnswers(), ObjectKind.ROUTES), Matchers.contains("r", "table"));
 		assertThat(this.follower.isComplete(this.upstreamName), Matchers.equalTo(true));
 	}
 
 	@Test
 	void incompleteAnswerDoesNotMakeEntryFollower() {
-		for (Kind kind : Kind.values()) {
-			this.follower.read(kind, (kind == Kind.ROUTES) ? List.of(large("table", 5)) : List.of(), 5);
+		for (ObjectKind kind : ObjectKind.values()) {
+			this.follower.applyFromStore(kind, (kind == ObjectKind.ROUTES) ? List.of(large("table", 5)) : List.of(), 5);
 		}
-		this.follower.reachable(true);
+		this.follower.storeReachable(true);
 		while (this.requests.isEmpty()) {
 			tick();
 		}
 		deliverRequests();
-		this.follower.read(Kind.ROUTES, List.of(), 5);
+		this.follower.applyFromStore(ObjectKind.ROUTES, List.of(), 5);
 		deliverAnswers();
-		assertThat(this.controller.rests(), Matchers.equalTo(false));
+		assertThat(this.controller.isFollower(), Matchers.equalTo(false));
 		for (int i = 0; i < 4; i++) {
 			tick();
 		}
 		deliverRequests();
 		deliverAnswers();
-		assertThat(this.controller.rests(), Matchers.equalTo(true));
+		assertThat(this.controller.isFollower(), Matchers.equalTo(true));
 	}
 
 	// An object whose removal was read while the older answer was in transit is not
 	// missing.
 	@Test
 	void objectRemovedSinceRequestIsNotMissing() {
-		this.follower.read(Kind.ROUTES, List.of(large("table", 5), DecodeOnlyStore.item("r", 6)), 6);
+		this.follower.applyFromStore(ObjectKind.ROUTES, List.of(large("table", 5), DecodeOnlyStore.item("r", 6)), 6);
 		disconnectFromStore();
 		deliverRequests();
-		this.follower.read(Kind.ROUTES, new ObjectStore.Change(DecodeOnlyStore.item("r", 8), true));
-		assertThat(names(deliverAnswers(), Kind.ROUTES), Matchers.contains("table"));
+		this.follower.applyFromStore(ObjectKind.ROUTES, new ObjectStore.Change(DecodeOnlyStore.item("r", 8), true));
+		assertThat(names(deliverAnswers(), ObjectKind.ROUTES), Matchers.contains("table"));
 		assertThat(this.follower.isComplete(this.upstreamName), Matchers.equalTo(true));
 	}
 
@@ -212,16 +215,16 @@
 		disconnectFromStore();
 		deliverRequests();
 		deliverAnswers();
-		this.upstream.read(Kind.RUNNERS, new ObjectStore.Change(DecodeOnlyStore.item("s", 8), false));
+		this.upstream.applyFromStore(ObjectKind.RUNNERS, new ObjectStore.Change(DecodeOnlyStore.item("s", 8), false));
 		this.answers.clear();
-		this.upstream.read(Kind.RUNNERS, new ObjectStore.Change(DecodeOnlyStore.item("t", 9), false));
+		this.upstream.applyFromStore(ObjectKind.RUNNERS, new ObjectStore.Change(DecodeOnlyStore.item("t", 9), false));
 		this.answers.forEach((frame) -> this.follower.updateReceived(this.upstreamName, frame.getNews()));
-		this.follower.reachable(true);
+		this.follower.storeReachable(true);
 		this.requests.clear();
-		this.follower.asked("third", NewsRequest.newBuilder().setWanted(true).build());
+		this.follower.requestReceived("third", NewsRequest.newBuilder().setWanted(true).build());
 		assertThat(this.requests.stream()
 			.map(Frame::getNews)
-			.filter((news) -> news.getKind() == SiteNews.toWire(Kind.RUNNERS))
+			.filter((news) -> news.getKind() == StoreReplication.toWire(ObjectKind.RUNNERS))
 			.map(News::getAt)
 			.toList(), Matchers.contains(7L));
 	}
@@ -232,9 +235,9 @@
 		disconnectFromStore();
 		deliverRequests();
 		deliverAnswers();
-		this.upstream.read(Kind.ROUTES, List.of(large("table", 5), DecodeOnlyStore.item("s", 8)), 9);
+		this.upstream.applyFromStore(ObjectKind.ROUTES, List.of(large("table", 5), DecodeOnlyStore.item("s", 8)), 9);
 		assertThat(answerBytes(), Matchers.lessThan(SMALL));
-		assertThat(names(deliverAnswers(), Kind.ROUTES), Matchers.contains("s", "table"));
+		assertThat(names(deliverAnswers(), ObjectKind.ROUTES), Matchers.contains("s", "table"));
 		assertThat(this.follower.isComplete(this.upstreamName), Matchers.equalTo(true));
 	}
 
@@ -245,9 +248,9 @@
 		disconnectFromStore();
 		deliverRequests();
 		deliverAnswers();
-		this.upstream.read(Kind.ROUTES, new ObjectStore.Change(DecodeOnlyStore.item("s", 8), false));
+		this.upstream.applyFromStore(ObjectKind.ROUTES, new ObjectStore.Change(DecodeOnlyStore.item("s", 8), false));
 		this.answers.clear();
-		this.upstream.read(Kind.ROUTES, List.of(large("table", 5), DecodeOnlyStore.item("s", 8)), 9);
+		this.upstream.applyFromStore(ObjectKind.ROUTES, List.of(large("table", 5), DecodeOnlyStore.item("s", 8)), 9);
 		deliverAnswers();
 		assertThat(this.follower.isComplete(this.upstreamName), Matchers.equalTo(false));
 		for (int i = 0; i < 4; i++) {
@@ -255,23 +258,23 @@
 		}
 		deliverRequests();
 		assertThat(answerBytes(), Matchers.lessThan(SMALL));
-		assertThat(names(deliverAnswers(), Kind.ROUTES), Matchers.contains("s", "table"));
+		assertThat(names(deliverAnswers(), ObjectKind.ROUTES), Matchers.contains("s", "table"));
 		assertThat(this.follower.isComplete(this.upstreamName), Matchers.equalTo(true));
 	}
 
 	// A legacy peer cannot handle an object without content.
 	@Test
 	void legacyPeerIsSentCompleteListing() {
-		this.upstream.asked("legacy", NewsRequest.newBuilder().setWanted(true).build());
+		this.upstream.requestReceived("legacy", NewsRequest.newBuilder().setWanted(true).build());
 		this.answers.clear();
-		this.upstream.read(Kind.ROUTES, List.of(large("table", 5), DecodeOnlyStore.item("s", 8)), 9);
+		this.upstream.applyFromStore(ObjectKind.ROUTES, List.of(large("table", 5), DecodeOnlyStore.item("s", 8)), 9);
 		assertThat(answerBytes(), Matchers.greaterThan(LARGE));
 	}
 
 	// A legacy peer sends no revisions.
 	@Test
 	void peerWithoutRevisionsIsSentEverything() {
-		this.upstream.asked("legacy", NewsRequest.newBuilder().setWanted(true).build());
+		this.upstream.requestReceived("legacy", NewsRequest.newBuilder().setWanted(true).build());
 		assertThat(answerBytes(), Matchers.greaterThan(LARGE));
 	}
 
--- a/entry/src/test/java/org/wisteriapost/entry/direct/LateStoreReadTests.java
+++ b/entry/src/test/java/org/wisteriapost/entry/direct/LateStoreReadTests.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.MethodSource;
 import org.wisteriapost.kernel.CodedException;
-import org.wisteriapost.protocol.site.Kind;
+import org.wisteriapost.protocol.site.ObjectKind;
 import org.wisteriapost.protocol.site.ObjectStore;
 
 import static org.hamcrest.MatcherAssert.assertThat;
@@ -31,13 +31,13 @@
 
 	private static final String KNOWN = "/known/";
 
-	private static final Optional<String> TOKEN = Optional.of(StateBench.TOKEN);
+	private static final Optional<String> TOKEN = Optional.of(EntryStateFixture.TOKEN);
 
 	private static final String OLD_ADDRESS = "10.0.0.1:80";
 
 	private static final String NEW_ADDRESS = "10.0.0.2:80";
 
-	private final StateBench bench = new StateBench();
+	private final EntryStateFixture bench = new EntryStateFixture();
 
 	@AfterEach
 	void stop() {
@@ -45,21 +45,21 @@
 	}
 
 	static Stream<Arguments> kindsAndReadModes() {
-		return Stream.of(Kind.values())
+		return Stream.of(ObjectKind.values())
 			.flatMap((kind) -> Stream.of(false, true).map((listed) -> Arguments.of(kind, listed)));
 	}
 
 	@ParameterizedTest
 	@MethodSource("kindsAndReadModes")
-	void discardedReadIsRepeated(Kind kind, boolean listed) {
-		List<ObjectStore.Item> routes = List.of(this.bench.routes(5, StateBench.table(1, KNOWN)));
+	void discardedReadIsRepeated(ObjectKind kind, boolean listed) {
+		List<ObjectStore.Item> routes = List.of(this.bench.routes(5, EntryStateFixture.table(1, KNOWN)));
 		List<ObjectStore.Item> runners = List.of(this.bench.runner(5, OLD_ADDRESS));
-		this.bench.follow(routes, runners);
-		this.bench.readerReads(routes, runners);
-		this.bench.untilAsked();
+		this.bench.followStore(routes, runners);
+		this.bench.listOnLeader(routes, runners);
+		this.bench.runUntilSubscribed();
 		completeRead(kind, listed);
-		this.bench.hear();
-		this.bench.pump();
+		this.bench.deliverUpdates();
+		this.bench.applyStoreEvents();
 		this.bench.store().drainCalls();
 		this.bench.link(false);
 		this.bench.run(Duration.ofMillis(200));
@@ -69,19 +69,19 @@
 	// If nothing was discarded, only later changes are requested.
 	@Test
 	void appliedReadIsNotRepeated() {
-		List<ObjectStore.Item> routes = List.of(this.bench.routes(5, StateBench.table(1, KNOWN)));
+		List<ObjectStore.Item> routes = List.of(this.bench.routes(5, EntryStateFixture.table(1, KNOWN)));
 		List<ObjectStore.Item> runners = List.of(this.bench.runner(5, OLD_ADDRESS));
-		this.bench.follow(routes, runners);
-		this.bench.readerReads(routes, runners);
-		this.bench.untilAsked();
-		this.bench.hear();
+		this.bench.followStore(routes, runners);
+		this.bench.listOnLeader(routes, runners);
+		this.bench.runUntilSubscribed();
+		this.bench.deliverUpdates();
 		this.bench.store().drainCalls();
 		this.bench.link(false);
 		this.bench.run(Duration.ofMillis(200));
 		assertThat(this.bench.store().drainCalls(), Matchers.containsInAnyOrder(expectedCalls(Set.of())));
 	}
 
-	private void completeRead(Kind kind, boolean listed) {
+	private void completeRead(ObjectKind kind, boolean listed) {
 		if (listed) {
 			this.bench.store().watch(kind).completeExceptionally(CodedException.of(ObjectStore.HISTORY_GONE, "test"));
 			return;
@@ -92,9 +92,9 @@
 			.complete(new ObjectStore.Changes(List.of(new ObjectStore.Change(item, false)), 9));
 	}
 
-	private static String[] expectedCalls(Set<Kind> listedKinds) {
+	private static String[] expectedCalls(Set<ObjectKind> listedKinds) {
 		List<String> calls = new ArrayList<>();
-		for (Kind kind : Kind.values()) {
+		for (ObjectKind kind : ObjectKind.values()) {
 			calls.add((listedKinds.contains(kind) ? "list " : "since ") + kind);
 			if (listedKinds.contains(kind)) {
 				calls.add("watch " + kind);
@@ -108,17 +108,18 @@
 	@ParameterizedTest
 	@CsvSource({ "MOVED,sent to " + NEW_ADDRESS, "REMOVED,waits", "ROUTE_DROPPED,refused table-doubtful" })
 	void olderUpdateFromPeerIsIgnored(Changed changed, String answer) {
-		List<ObjectStore.Item> routes = List.of(this.bench.routes(5, StateBench.table(1, KNOWN)));
+		List<ObjectStore.Item> routes = List.of(this.bench.routes(5, EntryStateFixture.table(1, KNOWN)));
 		List<ObjectStore.Item> runners = List.of(this.bench.runner(5, OLD_ADDRESS));
-		this.bench.bothRead(routes, runners);
+		this.bench.listOnBoth(routes, runners);
 		ObjectStore.Change change = switch (changed) {
 			case MOVED -> new ObjectStore.Change(this.bench.runner(9, NEW_ADDRESS), false);
 			case REMOVED -> new ObjectStore.Change(this.bench.runner(9, OLD_ADDRESS), true);
-			case ROUTE_DROPPED -> new ObjectStore.Change(this.bench.routes(9, StateBench.table(2, "/other/")), false);
+			case ROUTE_DROPPED ->
+				new ObjectStore.Change(this.bench.routes(9, EntryStateFixture.table(2, "/other/")), false);
 		};
-		Kind kind = (changed == Changed.ROUTE_DROPPED) ? Kind.ROUTES : Kind.RUNNERS;
+		ObjectKind kind = (changed == Changed.ROUTE_DROPPED) ? ObjectKind.ROUTES : ObjectKind.RUNNERS;
 		this.bench.apply(new DirectEvent.ObjectChanged(kind, change));
-		this.bench.apply(new DirectEvent.StoreReachable(Kind.RUNNERS, false));
+		this.bench.apply(new DirectEvent.StoreReachability(ObjectKind.RUNNERS, false));
 		this.bench.link(true);
 		this.bench.run(Duration.ofSeconds(1));
 		assertThat(this.bench.request(KNOWN, TOKEN), Matchers.equalTo(answer));
--- a/entry/src/test/java/org/wisteriapost/entry/direct/LeaderChangeTests.java
+++ b/entry/src/test/java/org/wisteriapost/entry/direct/LeaderChangeTests.java
@@ -48,7 +48,7 @@
 		run(8000);
 		this.entries.values().forEach((entry) -> entry.maxLagNanos = 0);
 		run(8000);
-		assertThat(this.entries.values().stream().filter((entry) -> !entry.controller.rests()).toList(),
+		assertThat(this.entries.values().stream().filter((entry) -> !entry.controller.isFollower()).toList(),
 				Matchers.hasSize(1));
 		assertThat(this.entries.values().stream().map((entry) -> entry.maxLagNanos / 1_000_000).toList(),
 				Matchers.everyItem(Matchers.lessThan(500L)));
--- a/entry/src/test/java/org/wisteriapost/entry/direct/LeaderFailureTests.java
+++ b/entry/src/test/java/org/wisteriapost/entry/direct/LeaderFailureTests.java
@@ -66,7 +66,7 @@
 		run((failure == Failure.FREEZES) ? SILENCE_DETECTION_MILLIS : 100);
 		Entry successor = this.entries.values()
 			.stream()
-			.filter((entry) -> entry != first && !entry.controller.rests())
+			.filter((entry) -> entry != first && !entry.controller.isFollower())
 			.findFirst()
 			.orElseThrow();
 		fail(successor, failure);
--- a/entry/src/test/java/org/wisteriapost/entry/direct/LeaderHarness.java
+++ b/entry/src/test/java/org/wisteriapost/entry/direct/LeaderHarness.java
@@ -19,10 +19,10 @@
 import org.wisteriapost.kernel.log.DecisionLog;
 import org.wisteriapost.policy.fleet.LinkedEntry;
 import org.wisteriapost.policy.fleet.LinkedEntry.Distance;
-import org.wisteriapost.policy.fleet.Rendezvous;
-import org.wisteriapost.policy.fleet.StoreDuty;
-import org.wisteriapost.policy.fleet.UpstreamChoice;
-import org.wisteriapost.protocol.site.Kind;
+import org.wisteriapost.policy.fleet.RendezvousHashing;
+import org.wisteriapost.policy.fleet.StoreRole;
+import org.wisteriapost.policy.fleet.UpstreamSelector;
+import org.wisteriapost.protocol.site.ObjectKind;
 import org.wisteriapost.protocol.site.ObjectStore;
 import org.wisteriapost.protocol.wire.Frame;
 import org.wisteriapost.protocol.wire.StoreKind;
@@ -90,13 +90,16 @@
 	}
 
 	List<Entry> rankedEntries() {
-		return Rendezvous.order(List.copyOf(this.entries.keySet()), "store").stream().map(this.entries::get).toList();
+		return RendezvousHashing.rank(List.copyOf(this.entries.keySet()), "store")
+			.stream()
+			.map(this.entries::get)
+			.toList();
 	}
 
 	Entry awaitSingleLeader() {
 		this.entries.values().forEach((entry) -> entry.readAll(0));
 		run(4000);
-		List<Entry> readers = this.entries.values().stream().filter((entry) -> !entry.controller.rests()).toList();
+		List<Entry> readers = this.entries.values().stream().filter((entry) -> !entry.controller.isFollower()).toList();
 		assertThat(readers, Matchers.hasSize(1));
 		this.maxReaders = 0;
 		this.fullAnswers = 0;
@@ -120,7 +123,7 @@
 			case CRASHES -> entry.dead = true;
 			case REJECTED_BY_STORE -> {
 				entry.rejectedByStore = true;
-				entry.replication.reachable(false);
+				entry.replication.storeReachable(false);
 			}
 			case FREEZES -> entry.frozenUntil = this.steps * STEP + Duration.ofSeconds(3).toNanos();
 		}
@@ -137,7 +140,7 @@
 			this.maxReaders = Math.max(this.maxReaders,
 					(int) this.entries.values()
 						.stream()
-						.filter((entry) -> entry.runs() && !entry.rejectedByStore && !entry.controller.rests())
+						.filter((entry) -> entry.runs() && !entry.rejectedByStore && !entry.controller.isFollower())
 						.count());
 		}
 	}
@@ -205,13 +208,13 @@
 
 		final int offset;
 
-		final StoreDuty role;
+		final StoreRole role;
 
-		final UpstreamChoice upstream;
+		final UpstreamSelector upstream;
 
-		final SiteNews replication;
+		final StoreReplication replication;
 
-		final StoreReading controller;
+		final StoreRoleController controller;
 
 		boolean dead;
 
@@ -239,11 +242,11 @@
 		private Entry(String name, int offset) {
 			this.name = name;
 			this.offset = offset;
-			this.role = StoreDuty.of(name);
-			this.upstream = UpstreamChoice.of(name);
-			this.replication = new SiteNews(new DecodeOnlyStore(), this.role, this.upstream, this::send,
+			this.role = StoreRole.of(name);
+			this.upstream = UpstreamSelector.of(name);
+			this.replication = new StoreReplication(new DecodeOnlyStore(), this.role, this.upstream, this::send,
 					LeaderHarness.this::now, LeaderHarness.this.log);
-			this.controller = new StoreReading(this.role, this.replication, new Following(), this::send,
+			this.controller = new StoreRoleController(this.role, this.replication, new StoreWatches(), this::send,
 					LeaderHarness.this.log);
 		}
 
@@ -259,12 +262,13 @@
 					.filter((entry) -> !LeaderHarness.this.closedLinks.contains(entry.name + " to " + this.name))
 					.map((entry) -> entry.name)
 					.collect(Collectors.toSet());
-				this.replication
-					.tick(others.stream().map((other) -> new LinkedEntry(other, Distance.OWN_PLACE)).toList(), now());
+				this.replication.tick(
+						others.stream().map((other) -> new LinkedEntry(other, Distance.SAME_FAILURE_DOMAIN)).toList(),
+						now());
 				this.controller.tick(others, this.hasReadAll || this.wasFollower, now());
 			}
 			read();
-			this.replication.asOfNanos()
+			this.replication.routesConfirmedNanos()
 				.ifPresent((asOf) -> this.maxStalenessNanos = Math.max(this.maxStalenessNanos, now() - asOf));
 			if (this.known < revision()) {
 				this.maxLagNanos = Math.max(this.maxLagNanos,
@@ -275,10 +279,10 @@
 		void storeSilent() {
 			long silentNanos = now() - this.storeSilentNanos;
 			if (silentNanos == STORE_DOUBTFUL_NANOS) {
-				this.replication.dismiss();
+				this.replication.dismissSubscribers();
 			}
 			if (silentNanos == STORE_UNREACHABLE_NANOS) {
-				this.replication.reachable(false);
+				this.replication.storeReachable(false);
 			}
 		}
 
@@ -287,7 +291,7 @@
 				storeSilent();
 				return;
 			}
-			if (this.controller.rests()) {
+			if (this.controller.isFollower()) {
 				this.wasFollower = true;
 				this.hasReadAll = false;
 				return;
@@ -304,22 +308,22 @@
 			}
 			while (this.known < revision()) {
 				this.known++;
-				this.replication.read(Kind.RUNNERS,
+				this.replication.applyFromStore(ObjectKind.RUNNERS,
 						new ObjectStore.Change(DecodeOnlyStore.item("r", this.known), false));
 			}
 			if (now() < this.routesSilentNanos) {
-				this.replication.confirmed(now());
+				this.replication.routesConfirmed(now());
 			}
 		}
 
 		void readAll(long at) {
 			this.hasReadAll = true;
 			this.known = at;
-			for (Kind kind : Kind.values()) {
-				this.replication.read(kind, (kind == Kind.RUNNERS) ? List.of(DecodeOnlyStore.item("r", at)) : List.of(),
-						at);
+			for (ObjectKind kind : ObjectKind.values()) {
+				this.replication.applyFromStore(kind,
+						(kind == ObjectKind.RUNNERS) ? List.of(DecodeOnlyStore.item("r", at)) : List.of(), at);
 			}
-			this.replication.reachable(true);
+			this.replication.storeReachable(true);
 		}
 
 		void send(String peer, Frame frame) {
@@ -339,16 +343,16 @@
 
 		void receive(Sent sent) {
 			if (sent.frame.hasNewsRequest()) {
-				this.replication.asked(sent.from, sent.frame.getNewsRequest());
+				this.replication.requestReceived(sent.from, sent.frame.getNewsRequest());
 				return;
 			}
-			if (sent.frame.getNews().getCurrent() && !this.role.believes(sent.from)
-					&& !this.upstream.believes(sent.from)) {
+			if (sent.frame.getNews().getCurrent() && !this.role.acceptsUpdatesFrom(sent.from)
+					&& !this.upstream.acceptsUpdatesFrom(sent.from)) {
 				LeaderHarness.this.unsolicited.add(sent.from + " to " + this.name);
 			}
-			for (DirectEvent event : this.controller.heard(sent.from, sent.frame.getNews(), now())) {
+			for (DirectEvent event : this.controller.updateReceived(sent.from, sent.frame.getNews(), now())) {
 				List<ObjectStore.Item> items = switch (event) {
-					case DirectEvent.AllObjects all -> all.items();
+					case DirectEvent.ObjectsListed all -> all.items();
 					case DirectEvent.ObjectChanged changed -> List.of(changed.change().item());
 					default -> throw new IllegalArgumentException(event.toString());
 				};
--- a/entry/src/test/java/org/wisteriapost/entry/direct/LoadReporterTests.java
+++ b/entry/src/test/java/org/wisteriapost/entry/direct/LoadReporterTests.java
@@ -7,11 +7,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.wisteriapost.policy.dispatch.PeerLoad;
+import org.wisteriapost.policy.dispatch.InFlightLoad;
 import org.wisteriapost.policy.dispatch.RefusedRequest;
 import org.wisteriapost.policy.dispatch.RunnerLoad;
 import org.wisteriapost.policy.fleet.EntryInfo;
-import org.wisteriapost.policy.fleet.RunnerStart;
+import org.wisteriapost.policy.fleet.RunnerIncarnation;
 import org.wisteriapost.protocol.wire.Frame;
 
 import static org.hamcrest.MatcherAssert.assertThat;
@@ -24,7 +24,7 @@
 
 	private final List<Frame> frames = new ArrayList<>();
 
-	private final LoadReports reporter = new LoadReports("hall-a", (peer, frame) -> {
+	private final LoadReporter reporter = new LoadReporter("hall-a", (peer, frame) -> {
 		this.sent.add(peer);
 		this.frames.add(frame);
 	});
@@ -42,12 +42,12 @@
 		return entries;
 	}
 
-	private static List<RunnerLoad> loads(PeerLoad load) {
-		return List.of(new RunnerLoad("runner", RunnerStart.UNKNOWN, load));
+	private static List<RunnerLoad> loads(InFlightLoad load) {
+		return List.of(new RunnerLoad("runner", RunnerIncarnation.UNKNOWN, load));
 	}
 
 	private static List<RunnerLoad> changingLoads(long tick) {
-		return loads(new PeerLoad(1 + (int) (tick % 7), 0, 0));
+		return loads(new InFlightLoad(1 + (int) (tick % 7), 0, 0));
 	}
 
 	// Load changes all the time. Without a bound per entry the messages would grow with
@@ -76,7 +76,7 @@
 	@Test
 	void unchangedLoadIsRepeatedEachSecond() {
 		for (long tick = 0; tick < TICKS_IN_10_S; tick++) {
-			tick(tick, entries(1, 0), loads(new PeerLoad(3, 0, 0)));
+			tick(tick, entries(1, 0), loads(new InFlightLoad(3, 0, 0)));
 		}
 		assertThat(this.sent.size(), Matchers.allOf(Matchers.greaterThanOrEqualTo(9), Matchers.lessThanOrEqualTo(11)));
 	}
@@ -86,7 +86,7 @@
 	@Test
 	void refusedRequestIsReportedOnceToEachEntry() {
 		tick(0, entries(1, 1), List.of());
-		this.reporter.refused(new RefusedRequest(7, 0, 6_000_000_000L));
+		this.reporter.addRefusedRequest(new RefusedRequest(7, 0, 6_000_000_000L));
 		for (long tick = 1; tick < 100; tick++) {
 			tick(tick, entries(1, 1), List.of());
 		}
@@ -94,16 +94,16 @@
 		assertThat(this.frames.getFirst().getLoadReport().getRefused(0),
 				Matchers.equalTo(org.wisteriapost.protocol.wire.RefusedRequest.newBuilder()
 					.setRequest(7)
-					.setAskedMillis(LoadReports.LOCAL_INTERVAL_TICKS * 20)
-					.setLeftMillis(6000 - LoadReports.LOCAL_INTERVAL_TICKS * 20)
+					.setAskedMillis(LoadReporter.LOCAL_INTERVAL_TICKS * 20)
+					.setLeftMillis(6000 - LoadReporter.LOCAL_INTERVAL_TICKS * 20)
 					.build()));
 	}
 
 	@Test
 	void endedLoadIsReportedOnce() {
-		tick(0, entries(1, 0), loads(new PeerLoad(3, 0, 0)));
-		tick(10, entries(1, 0), loads(PeerLoad.NONE));
-		tick(20, entries(1, 0), loads(PeerLoad.NONE));
+		tick(0, entries(1, 0), loads(new InFlightLoad(3, 0, 0)));
+		tick(10, entries(1, 0), loads(InFlightLoad.NONE));
+		tick(20, entries(1, 0), loads(InFlightLoad.NONE));
 		assertThat(this.frames, Matchers.hasSize(2));
 		assertThat(this.frames.getLast().getLoadReport().getLoads(0).getActive(), Matchers.equalTo(0));
 	}
--- a/entry/src/test/java/org/wisteriapost/entry/direct/LossyReplicationTests.java
+++ b/entry/src/test/java/org/wisteriapost/entry/direct/LossyReplicationTests.java
@@ -18,10 +18,10 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.wisteriapost.kernel.log.DecisionLog;
 import org.wisteriapost.policy.fleet.LinkedEntry;
-import org.wisteriapost.policy.fleet.Rendezvous;
-import org.wisteriapost.policy.fleet.StoreDuty;
-import org.wisteriapost.policy.fleet.UpstreamChoice;
-import org.wisteriapost.protocol.site.Kind;
+import org.wisteriapost.policy.fleet.RendezvousHashing;
+import org.wisteriapost.policy.fleet.StoreRole;
+import org.wisteriapost.policy.fleet.UpstreamSelector;
+import org.wisteriapost.protocol.site.ObjectKind;
 import org.wisteriapost.protocol.site.ObjectStore;
 import org.wisteriapost.protocol.wire.Frame;
 import org.wisteriapost.protocol.wire.News;
@@ -41,7 +41,7 @@
 
 	private final DecisionLog log = DecisionLog.start("test", new PrintStream(OutputStream.nullOutputStream()));
 
-	private final String leaderName = Rendezvous.order(List.of("a", "b"), "store").getFirst();
+	private final String leaderName = RendezvousHashing.rank(List.of("a", "b"), "store").getFirst();
 
 	private final String followerName = this.leaderName.equals("a") ? "b" : "a";
 
@@ -49,7 +49,7 @@
 
 	private final Entry follower = new Entry(this.followerName, this.leaderName);
 
-	private final Map<Kind, Map<String, Long>> stored = new TreeMap<>();
+	private final Map<ObjectKind, Map<String, Long>> stored = new TreeMap<>();
 
 	private UniformRandomProvider random = RandomSource.SPLIT_MIX_64.create(1);
 
@@ -68,14 +68,14 @@
 
 	private void start(long seed) {
 		this.random = RandomSource.SPLIT_MIX_64.create(seed);
-		for (Kind kind : Kind.values()) {
+		for (ObjectKind kind : ObjectKind.values()) {
 			this.stored.put(kind, new TreeMap<>(Map.of("x", 5L)));
 			for (Entry entry : List.of(this.leader, this.follower)) {
 				entry.read(kind, List.of(DecodeOnlyStore.item("x", 5)), 5);
 			}
 		}
-		this.leader.replication.reachable(true);
-		this.follower.replication.reachable(true);
+		this.leader.replication.storeReachable(true);
+		this.follower.replication.storeReachable(true);
 	}
 
 	private void run(int ticks) {
@@ -89,11 +89,12 @@
 	}
 
 	private void changeStore() {
-		Kind kind = Kind.values()[this.random.nextInt(Kind.values().length)];
+		ObjectKind kind = ObjectKind.values()[this.random.nextInt(ObjectKind.values().length)];
 		String name = "o" + this.random.nextInt(5);
 		this.revision++;
 		boolean deleted = this.stored.get(kind).containsKey(name) && this.random.nextBoolean();
-		this.leader.replication.read(kind, new ObjectStore.Change(DecodeOnlyStore.item(name, this.revision), deleted));
+		this.leader.replication.applyFromStore(kind,
+				new ObjectStore.Change(DecodeOnlyStore.item(name, this.revision), deleted));
 		if (deleted) {
 			this.stored.get(kind).remove(name);
 		}
@@ -120,14 +121,14 @@
 	void followerConvergesWithLeader(long seed) {
 		start(seed);
 		run(20);
-		assertThat(this.follower.controller.rests(), Matchers.equalTo(true));
+		assertThat(this.follower.controller.isFollower(), Matchers.equalTo(true));
 		// Losses short enough for the entry to stay a follower.
 		for (int i = 0; i < 30; i++) {
 			this.loss = LOSS;
 			changeStore();
 			this.loss = 0;
 			run(8);
-			assertThat(this.follower.controller.rests(), Matchers.equalTo(true));
+			assertThat(this.follower.controller.isFollower(), Matchers.equalTo(true));
 		}
 		run(20);
 		assertThat(this.follower.objects, Matchers.equalTo(this.stored));
@@ -139,7 +140,7 @@
 	@ValueSource(longs = { 1, 2, 3, 4, 5, 6, 7, 8 })
 	void disconnectedEntryConvergesWithUpstream(long seed) {
 		start(seed);
-		this.follower.replication.reachable(false);
+		this.follower.replication.storeReachable(false);
 		changeStoreOverLossyLink(30);
 		assertThat(this.follower.objects, Matchers.equalTo(this.stored));
 	}
@@ -149,7 +150,7 @@
 	@ValueSource(longs = { 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12 })
 	void disconnectedEntryConvergesWithRelistingUpstream(long seed) {
 		start(seed);
-		this.follower.replication.reachable(false);
+		this.follower.replication.storeReachable(false);
 		this.loss = LOSS;
 		for (int i = 0; i < 30; i++) {
 			changeStore();
@@ -164,13 +165,13 @@
 	}
 
 	private void relist() {
-		Kind kind = Kind.values()[this.random.nextInt(Kind.values().length)];
+		ObjectKind kind = ObjectKind.values()[this.random.nextInt(ObjectKind.values().length)];
 		List<ObjectStore.Item> all = this.stored.get(kind)
 			.entrySet()
 			.stream()
 			.map((one) -> DecodeOnlyStore.item(one.getKey(), one.getValue()))
 			.toList();
-		this.leader.replication.read(kind, all, this.revision);
+		this.leader.replication.applyFromStore(kind, all, this.revision);
 	}
 
 	// If the last update is lost, only the next heartbeat reveals it.
@@ -182,7 +183,7 @@
 		changeStore();
 		this.loss = 0;
 		run(10);
-		assertThat(this.follower.controller.rests(), Matchers.equalTo(true));
+		assertThat(this.follower.controller.isFollower(), Matchers.equalTo(true));
 		assertThat(this.follower.objects, Matchers.equalTo(this.stored));
 	}
 
@@ -195,7 +196,7 @@
 		this.drops = (frame) -> frame.getNews().getObjectsCount() > 0;
 		changeStore();
 		run(25);
-		assertThat(this.follower.controller.rests(), Matchers.equalTo(false));
+		assertThat(this.follower.controller.isFollower(), Matchers.equalTo(false));
 	}
 
 	// The entry becomes a follower while a third one is subscribed to it. Without a
@@ -203,7 +204,7 @@
 	@Test
 	void subscriberIsNotifiedWhenEntryStopsReading() {
 		start(1);
-		this.follower.replication.asked("third", NewsRequest.newBuilder().setWanted(true).build());
+		this.follower.replication.requestReceived("third", NewsRequest.newBuilder().setWanted(true).build());
 		this.follower.sent.clear();
 		this.follower.replication.stopReading();
 		assertThat(this.follower.sent.stream().map((frame) -> frame.getNews().getCurrent()).toList(),
@@ -217,7 +218,7 @@
 	void sequenceOfPreviousLinkIsDiscarded() {
 		start(1);
 		run(20);
-		this.follower.replication.linked(this.leaderName);
+		this.follower.replication.linkEstablished(this.leaderName);
 		this.loss = 1;
 		changeStore();
 		this.loss = 0;
@@ -243,31 +244,31 @@
 
 		private final String other;
 
-		private final SiteNews replication;
+		private final StoreReplication replication;
 
-		private final StoreReading controller;
+		private final StoreRoleController controller;
 
 		// The objects that the entry knows, by kind: names with revisions.
-		private final Map<Kind, Map<String, Long>> objects = new TreeMap<>();
+		private final Map<ObjectKind, Map<String, Long>> objects = new TreeMap<>();
 
 		private final Queue<Frame> sent = new ArrayDeque<>();
 
 		private Entry(String name, String other) {
 			this.name = name;
 			this.other = other;
-			StoreDuty role = StoreDuty.of(name);
-			this.replication = new SiteNews(new DecodeOnlyStore(), role, UpstreamChoice.of(name), this::send,
+			StoreRole role = StoreRole.of(name);
+			this.replication = new StoreReplication(new DecodeOnlyStore(), role, UpstreamSelector.of(name), this::send,
 					() -> LossyReplicationTests.this.now, LossyReplicationTests.this.log);
-			this.controller = new StoreReading(role, this.replication, new Following(), this::send,
+			this.controller = new StoreRoleController(role, this.replication, new StoreWatches(), this::send,
 					LossyReplicationTests.this.log);
 		}
 
-		private void read(Kind kind, List<ObjectStore.Item> all, long at) {
-			this.replication.read(kind, all, at);
+		private void read(ObjectKind kind, List<ObjectStore.Item> all, long at) {
+			this.replication.applyFromStore(kind, all, at);
 			replaceAll(kind, all);
 		}
 
-		private void replaceAll(Kind kind, List<ObjectStore.Item> all) {
+		private void replaceAll(ObjectKind kind, List<ObjectStore.Item> all) {
 			Map<String, Long> known = new TreeMap<>();
 			all.forEach((item) -> known.put(item.name(), item.revision()));
 			this.objects.put(kind, known);
@@ -290,10 +291,10 @@
 			this.sent.clear();
 			for (Frame frame : frames) {
 				if (frame.hasNewsRequest()) {
-					receiver.replication.asked(this.name, frame.getNewsRequest());
+					receiver.replication.requestReceived(this.name, frame.getNewsRequest());
 				}
 				else {
-					receiver.controller.heard(this.name, frame.getNews(), LossyReplicationTests.this.now)
+					receiver.controller.updateReceived(this.name, frame.getNews(), LossyReplicationTests.this.now)
 						.forEach(receiver::apply);
 				}
 			}
@@ -301,7 +302,7 @@
 
 		private void apply(DirectEvent event) {
 			switch (event) {
-				case DirectEvent.AllObjects all -> replaceAll(all.kind(), all.items());
+				case DirectEvent.ObjectsListed all -> replaceAll(all.kind(), all.items());
 				case DirectEvent.ObjectChanged changed -> {
 					ObjectStore.Item item = changed.change().item();
 					if (changed.change().deleted()) {
--- a/entry/src/test/java/org/wisteriapost/entry/direct/ReaderPartLossTests.java
+++ b/entry/src/test/java/org/wisteriapost/entry/direct/PartialLeaderFailureTests.java
@@ -15,7 +15,7 @@
  * Some followers of a failure domain lose their leader at the same time, while the others
  * still hear it.
  */
-class ReaderPartLossTests extends LeaderHarness {
+class PartialLeaderFailureTests extends LeaderHarness {
 
 	private static final long MAX_STALENESS_MILLIS = 3000;
 
@@ -41,7 +41,7 @@
 	// During a rollout, a follower of the new version alone loses its leader.
 	@ParameterizedTest
 	@CsvSource({ "SILENT_TO_ONE,1", "SILENT_TO_ONE,5", "SILENT_TO_ONE,13", "STORE_SILENT,13" })
-	void whoAloneLosesItsReaderBesideOlderOnesIsNotWithoutNewsForTheBound(Failure failure, int rank) {
+	void stalenessStaysWithinBoundAmongLegacyPeers(Failure failure, int rank) {
 		Entry leader = awaitSingleLeader();
 		this.legacyPeers = true;
 		Entry affected = rankedEntries().get(rank);
