--- a/entry/src/test/java/org/wisteriapost/entry/direct/PeerNotifierTests.java
+++ b/entry/src/test/java/org/wisteriapost/entry/direct/PeerNotifierTests.java
@@ -17,9 +17,9 @@
 import org.wisteriapost.policy.dispatch.DispatchLimits;
 import org.wisteriapost.policy.dispatch.Dispatcher;
 import org.wisteriapost.policy.fleet.EntryInfo;
-import org.wisteriapost.policy.fleet.NamedWeights;
+import org.wisteriapost.policy.fleet.RunnerIncarnation;
 import org.wisteriapost.policy.fleet.RunnerInfo;
-import org.wisteriapost.policy.fleet.RunnerStart;
+import org.wisteriapost.policy.fleet.TargetWeights;
 import org.wisteriapost.policy.routing.CallLimits;
 import org.wisteriapost.policy.routing.EngineSpec;
 import org.wisteriapost.policy.routing.RouteTable;
@@ -43,20 +43,20 @@
 
 	private static final EntryInfo OTHER = new EntryInfo("edge-2", 1, "10.0.0.2:80", "10.0.0.2:7700", "hall-a", "");
 
-	private final EntryRoster registry = new EntryRoster(SELF);
+	private final EntryRegistry registry = new EntryRegistry(SELF);
 
 	private final Dispatcher dispatcher = Dispatcher.create(
 			new DispatchLimits("hall-a", 0.2, 10, Duration.ofSeconds(10), Duration.ofSeconds(8)),
 			RandomSource.XO_RO_SHI_RO_128_PP.create(1));
 
-	private final Announcer notifier = new Announcer(settings(), SELF, this.registry, this.dispatcher);
+	private final PeerNotifier notifier = new PeerNotifier(settings(), SELF, this.registry, this.dispatcher);
 
 	private final FullLinkTransport links = new FullLinkTransport();
 
 	private final Optional<RouteTable> table = Optional.of(table());
 
 	private static SiteSettings settings() {
-		SiteSettings.Bounds bounds = new SiteSettings.Bounds(Duration.ofSeconds(8), Duration.ofSeconds(2),
+		SiteSettings.Guarantees bounds = new SiteSettings.Guarantees(Duration.ofSeconds(8), Duration.ofSeconds(2),
 				Duration.ofSeconds(8), 0.2, 10, Duration.ofSeconds(10), Duration.ofSeconds(5));
 		return new SiteSettings("edge-1", "10.0.0.1", "hall-a", "", Optional.empty(), Optional.empty(),
 				Optional.empty(), 7700, 7701, URI.create("http://10.0.0.8:1"), Optional.empty(), "", 1, bounds);
@@ -73,12 +73,12 @@
 
 	@BeforeEach
 	void start() {
-		this.notifier.connect(this.links);
+		this.notifier.setTransport(this.links);
 		this.registry.put(OTHER, 1, 0);
-		this.registry.linked("edge-2", true, 0);
-		this.dispatcher.table(this.table.get());
-		this.dispatcher.runner(
-				new RunnerInfo("r1", "lm", AGENT, "hall-a", 16, false, 0, Map.of("lm", 1), 1, RunnerStart.UNKNOWN), 0);
+		this.registry.linkChanged("edge-2", true, 0);
+		this.dispatcher.updateRouteTable(this.table.get());
+		this.dispatcher.updateRunner(new RunnerInfo("r1", "lm", AGENT, "hall-a", 16, false, 0, Map.of("lm", 1), 1,
+				RunnerIncarnation.UNKNOWN), 0);
 	}
 
 	private List<Integer> versionsSent() {
@@ -94,7 +94,7 @@
 	void targetWeightsAreResentAfterFullLink() {
 		this.notifier.notifyAgents(this.table);
 		this.links.full.add(AGENT);
-		this.notifier.updateTargetVersion(new NamedWeights("lm", 2));
+		this.notifier.updateTargetVersion(new TargetWeights("lm", 2));
 		this.notifier.notifyAgents(this.table);
 		this.notifier.tick(this.table, SECOND);
 		assertThat(versionsSent(), Matchers.contains(1));
@@ -107,7 +107,7 @@
 	@Test
 	void leavingNoticeIsResentAfterFullLink() {
 		this.links.full.add("edge-2");
-		this.notifier.leaving();
+		this.notifier.announceLeaving();
 		this.notifier.tick(this.table, SECOND);
 		assertThat(this.links.sent.stream().filter(Frame::hasLeaving).count(), Matchers.equalTo(0L));
 		this.links.full.clear();
@@ -117,28 +117,28 @@
 	}
 
 	/** Links, some of which are full. */
-	private static final class FullLinkTransport implements PeerSender {
+	private static final class FullLinkTransport implements PeerTransport {
 
 		private final Set<String> full = new HashSet<>();
 
 		private final List<Frame> sent = new ArrayList<>();
 
 		@Override
-		public void desired(Map<String, InetSocketAddress> peers) {
+		public void setDesiredPeers(Map<String, InetSocketAddress> peers) {
 			// All peers are linked already.
 		}
 
 		@Override
-		public Sending send(String name, Frame frame) {
+		public SendResult send(String name, Frame frame) {
 			if (this.full.contains(name)) {
-				return Sending.LINK_FULL;
+				return SendResult.LINK_FULL;
 			}
 			this.sent.add(frame);
-			return Sending.SENT;
+			return SendResult.SENT;
 		}
 
 		@Override
-		public Set<String> entries() {
+		public Set<String> linkedEntries() {
 			return Set.of("edge-2");
 		}
 
--- a/entry/src/test/java/org/wisteriapost/entry/direct/RejectionStalenessTests.java
+++ b/entry/src/test/java/org/wisteriapost/entry/direct/RejectionStalenessTests.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
-import org.wisteriapost.protocol.site.Kind;
+import org.wisteriapost.protocol.site.ObjectKind;
 import org.wisteriapost.protocol.wire.Frame;
 import org.wisteriapost.protocol.wire.NewsRequest;
 
@@ -25,15 +25,15 @@
 
 	private static final String KNOWN = "/known/";
 
-	private static final Optional<String> TOKEN = Optional.of(StateBench.TOKEN);
+	private static final Optional<String> TOKEN = Optional.of(EntryStateFixture.TOKEN);
 
 	private static final Duration TEN_SECONDS = Duration.ofSeconds(10);
 
-	private final StateBench bench = new StateBench();
+	private final EntryStateFixture bench = new EntryStateFixture();
 
 	@BeforeEach
 	void read() {
-		this.bench.bothRead(List.of(this.bench.routes(5, StateBench.table(1, KNOWN))),
+		this.bench.listOnBoth(List.of(this.bench.routes(5, EntryStateFixture.table(1, KNOWN))),
 				List.of(this.bench.runner(5, "10.0.0.1:80")));
 	}
 
@@ -42,12 +42,12 @@
 		this.bench.close();
 	}
 
-	private void confirmed(Kind kind, long asOfNanos) {
+	private void confirmed(ObjectKind kind, long asOfNanos) {
 		this.bench.apply(new DirectEvent.StoreConfirmed(kind, asOfNanos));
 	}
 
 	private static long millis(long count) {
-		return count * StateBench.MILLI;
+		return count * EntryStateFixture.MILLI;
 	}
 
 	@ParameterizedTest
@@ -61,15 +61,15 @@
 			"TOKEN,2701,false", "NO_TOKEN,0,true", "NO_TOKEN,2700,true", "NO_TOKEN,2701,false", "SIZE,0,true",
 			"SIZE,2700,true", "SIZE,2701,false" })
 	void onlyRecentlyConfirmedTableRejects(Fault fault, long stalenessMillis, boolean rejects) {
-		confirmed(Kind.ROUTES, this.bench.now() - millis(stalenessMillis));
+		confirmed(ObjectKind.ROUTES, this.bench.now() - millis(stalenessMillis));
 		assertThat(fault.answer(this.bench), Matchers.equalTo(rejects ? fault.rejection : Fault.DOUBTFUL));
 	}
 
 	@ParameterizedTest
 	@EnumSource
 	void confirmationOfOtherKindsRejectsNothing(Fault fault) {
-		for (Kind kind : Kind.values()) {
-			if (kind != Kind.ROUTES) {
+		for (ObjectKind kind : ObjectKind.values()) {
+			if (kind != ObjectKind.ROUTES) {
 				confirmed(kind, this.bench.now());
 			}
 		}
@@ -81,14 +81,14 @@
 	@ParameterizedTest
 	@EnumSource
 	void confirmationBeforeSuspensionRejectsNothing(Fault fault) {
-		confirmed(Kind.ROUTES, this.bench.now());
+		confirmed(ObjectKind.ROUTES, this.bench.now());
 		long callNanos = this.bench.now();
 		this.bench.suspend(TEN_SECONDS);
 		this.bench.tick();
 		assertThat(fault.answer(this.bench), Matchers.equalTo(Fault.DOUBTFUL));
-		confirmed(Kind.ROUTES, callNanos);
+		confirmed(ObjectKind.ROUTES, callNanos);
 		assertThat(fault.answer(this.bench), Matchers.equalTo(Fault.DOUBTFUL));
-		confirmed(Kind.ROUTES, this.bench.now());
+		confirmed(ObjectKind.ROUTES, this.bench.now());
 		assertThat(fault.answer(this.bench), Matchers.equalTo(fault.rejection));
 	}
 
@@ -97,8 +97,8 @@
 	@ParameterizedTest
 	@CsvSource({ "2700,0,true", "2701,0,false", "0,10000,false" })
 	void sizeCheckUsesCurrentStaleness(long passedMillis, long suspendedMillis, boolean rejects) {
-		confirmed(Kind.ROUTES, this.bench.now());
-		this.bench.pass(passedMillis);
+		confirmed(ObjectKind.ROUTES, this.bench.now());
+		this.bench.advanceClocks(passedMillis);
 		this.bench.suspend(Duration.ofMillis(suspendedMillis));
 		assertThat(this.bench.view().mayReject(), Matchers.equalTo(rejects));
 	}
@@ -108,14 +108,14 @@
 	@ParameterizedTest
 	@EnumSource
 	void followerIsConfirmedByLeaderOnly(Fault fault) {
-		this.bench.untilAsked();
-		this.bench.hear();
-		confirmed(Kind.ROUTES, this.bench.now());
+		this.bench.runUntilSubscribed();
+		this.bench.deliverUpdates();
+		confirmed(ObjectKind.ROUTES, this.bench.now());
 		assertThat(fault.answer(this.bench), Matchers.equalTo(Fault.DOUBTFUL));
-		this.bench.reader().confirmed(this.bench.now() - millis(2700));
+		this.bench.leader().routesConfirmed(this.bench.now() - millis(2700));
 		this.bench.run(Duration.ofSeconds(1));
 		assertThat(fault.answer(this.bench), Matchers.equalTo(Fault.DOUBTFUL));
-		this.bench.reader().confirmed(this.bench.now());
+		this.bench.leader().routesConfirmed(this.bench.now());
 		this.bench.run(Duration.ofMillis(1100));
 		assertThat(fault.answer(this.bench), Matchers.equalTo(fault.rejection));
 	}
@@ -127,14 +127,14 @@
 	@CsvSource({ "-1,false", "0,true" })
 	void leaderSendsNoAgeFromBeforeSuspension(long callOffsetMillis, boolean sent) {
 		this.bench.link(true);
-		confirmed(Kind.ROUTES, this.bench.now());
+		confirmed(ObjectKind.ROUTES, this.bench.now());
 		this.bench.suspend(TEN_SECONDS);
 		this.bench.tick();
-		confirmed(Kind.ROUTES, this.bench.now() + millis(callOffsetMillis));
-		this.bench.sent().clear();
+		confirmed(ObjectKind.ROUTES, this.bench.now() + millis(callOffsetMillis));
+		this.bench.sentFrames().clear();
 		NewsRequest request = NewsRequest.newBuilder().setWanted(true).setStamp(7).build();
-		this.bench.apply(new DirectEvent.PeerWantsNews(StateBench.READER, request));
-		Frame answer = this.bench.sent().getLast();
+		this.bench.apply(new DirectEvent.PeerSubscriptionChanged(EntryStateFixture.LEADER, request));
+		Frame answer = this.bench.sentFrames().getLast();
 		assertThat(answer.getNews().getCurrent(), Matchers.equalTo(true));
 		assertThat(answer.getNews().hasAgeMillis(), Matchers.equalTo(sent));
 	}
@@ -144,7 +144,7 @@
 
 		ROUTE("rejected 404"), TOKEN("rejected 401"), NO_TOKEN("rejected 401"), SIZE("rejected");
 
-		static final String DOUBTFUL = "refused " + Intake.TABLE_DOUBTFUL.name();
+		static final String DOUBTFUL = "refused " + RequestAdmission.TABLE_DOUBTFUL.name();
 
 		final String rejection;
 
@@ -153,7 +153,7 @@
 		}
 
 		// The front checks the size before it passes a request on.
-		String answer(StateBench bench) {
+		String answer(EntryStateFixture bench) {
 			return switch (this) {
 				case ROUTE -> bench.request("/other/", RejectionStalenessTests.TOKEN);
 				case TOKEN -> bench.request(KNOWN, Optional.of("other"));
--- a/entry/src/test/java/org/wisteriapost/entry/direct/ReplicatedStalenessTests.java
+++ b/entry/src/test/java/org/wisteriapost/entry/direct/ReplicatedStalenessTests.java
@@ -12,9 +12,9 @@
 import org.junit.jupiter.api.Test;
 import org.wisteriapost.kernel.log.DecisionLog;
 import org.wisteriapost.policy.fleet.LinkedEntry;
-import org.wisteriapost.policy.fleet.StoreDuty;
-import org.wisteriapost.policy.fleet.UpstreamChoice;
-import org.wisteriapost.protocol.site.Kind;
+import org.wisteriapost.policy.fleet.StoreRole;
+import org.wisteriapost.policy.fleet.UpstreamSelector;
+import org.wisteriapost.protocol.site.ObjectKind;
 import org.wisteriapost.protocol.site.ObjectStore;
 import org.wisteriapost.protocol.wire.Frame;
 import org.wisteriapost.protocol.wire.News;
@@ -41,22 +41,22 @@
 
 	private final List<Frame> requests = new ArrayList<>();
 
-	private final SiteNews upstream = new SiteNews(new DecodeOnlyStore(), StoreDuty.of("upstream"),
-			UpstreamChoice.of("upstream"), (peer, frame) -> this.answers.add(frame),
+	private final StoreReplication upstream = new StoreReplication(new DecodeOnlyStore(), StoreRole.of("upstream"),
+			UpstreamSelector.of("upstream"), (peer, frame) -> this.answers.add(frame),
 			() -> this.now + CLOCK_OFFSET_NANOS, this.log);
 
-	private final SiteNews follower = new SiteNews(new DecodeOnlyStore(), StoreDuty.of("follower"),
-			UpstreamChoice.of("follower"), (peer, frame) -> this.requests.add(frame), () -> this.now, this.log);
+	private final StoreReplication follower = new StoreReplication(new DecodeOnlyStore(), StoreRole.of("follower"),
+			UpstreamSelector.of("follower"), (peer, frame) -> this.requests.add(frame), () -> this.now, this.log);
 
 	private long now = 1000 * MILLI;
 
 	@BeforeEach
 	void subscribe() {
-		this.upstream.reachable(true);
-		for (Kind kind : Kind.values()) {
-			this.upstream.read(kind, List.of(DecodeOnlyStore.item("x", 5)), 5);
+		this.upstream.storeReachable(true);
+		for (ObjectKind kind : ObjectKind.values()) {
+			this.upstream.applyFromStore(kind, List.of(DecodeOnlyStore.item("x", 5)), 5);
 		}
-		this.follower.reachable(false);
+		this.follower.storeReachable(false);
 		this.follower.tick(List.of(LinkedEntry.unknown("upstream")), this.now);
 	}
 
@@ -66,7 +66,7 @@
 	}
 
 	private void confirmAtUpstream(long nanos) {
-		this.upstream.confirmed(nanos + CLOCK_OFFSET_NANOS);
+		this.upstream.routesConfirmed(nanos + CLOCK_OFFSET_NANOS);
 	}
 
 	private void run(int ticks) {
@@ -80,7 +80,7 @@
 	private void deliverRequests() {
 		List<Frame> sent = List.copyOf(this.requests);
 		this.requests.clear();
-		sent.forEach((frame) -> this.upstream.asked("follower", frame.getNewsRequest()));
+		sent.forEach((frame) -> this.upstream.requestReceived("follower", frame.getNewsRequest()));
 	}
 
 	private void deliverAnswers() {
@@ -98,7 +98,7 @@
 	void confirmedTimeIsRequestTimeLessUpstreamStaleness() {
 		confirmAtUpstream(this.now - 250 * MILLI);
 		exchange();
-		assertThat(this.follower.asOfNanos(), Matchers.equalTo(OptionalLong.of(this.now - 250 * MILLI)));
+		assertThat(this.follower.routesConfirmedNanos(), Matchers.equalTo(OptionalLong.of(this.now - 250 * MILLI)));
 	}
 
 	// Staleness is sent in milliseconds. Rounded down, the routes would seem fresher
@@ -107,7 +107,7 @@
 	void stalenessIsRoundedUpToMilliseconds() {
 		confirmAtUpstream(this.now - 1);
 		exchange();
-		assertThat(this.follower.asOfNanos(), Matchers.equalTo(OptionalLong.of(this.now - MILLI)));
+		assertThat(this.follower.routesConfirmedNanos(), Matchers.equalTo(OptionalLong.of(this.now - MILLI)));
 	}
 
 	// The upstream's routes are confirmed while the request is in transit, at a time
@@ -120,7 +120,7 @@
 		deliverRequests();
 		this.now += 5 * TICK;
 		deliverAnswers();
-		assertThat(this.follower.asOfNanos(), Matchers.equalTo(OptionalLong.of(stamped)));
+		assertThat(this.follower.routesConfirmedNanos(), Matchers.equalTo(OptionalLong.of(stamped)));
 	}
 
 	@Test
@@ -130,7 +130,7 @@
 		run(4);
 		confirmAtUpstream(this.now);
 		exchange();
-		assertThat(this.follower.asOfNanos(), Matchers.equalTo(OptionalLong.of(this.now)));
+		assertThat(this.follower.routesConfirmedNanos(), Matchers.equalTo(OptionalLong.of(this.now)));
 		assertThat(this.answers, Matchers.empty());
 	}
 
@@ -138,17 +138,17 @@
 	void confirmedTimeNeverDecreases() {
 		confirmAtUpstream(this.now);
 		exchange();
-		OptionalLong before = this.follower.asOfNanos();
-		this.follower.confirmed(this.now - TICK);
-		assertThat(this.follower.asOfNanos(), Matchers.equalTo(before));
-		this.follower.confirmed(this.now + TICK);
-		assertThat(this.follower.asOfNanos(), Matchers.equalTo(OptionalLong.of(this.now + TICK)));
+		OptionalLong before = this.follower.routesConfirmedNanos();
+		this.follower.routesConfirmed(this.now - TICK);
+		assertThat(this.follower.routesConfirmedNanos(), Matchers.equalTo(before));
+		this.follower.routesConfirmed(this.now + TICK);
+		assertThat(this.follower.routesConfirmedNanos(), Matchers.equalTo(OptionalLong.of(this.now + TICK)));
 	}
 
 	@Test
 	void upstreamWithoutConfirmationSendsNoAge() {
 		exchange();
-		assertThat(this.follower.asOfNanos(), Matchers.equalTo(OptionalLong.empty()));
+		assertThat(this.follower.routesConfirmedNanos(), Matchers.equalTo(OptionalLong.empty()));
 	}
 
 	// A changed token is lost, and the next heartbeat confirms the upstream's routes.
@@ -157,39 +157,39 @@
 	void heartbeatAfterGapDoesNotConfirmRoutes() {
 		confirmAtUpstream(this.now);
 		exchange();
-		OptionalLong before = this.follower.asOfNanos();
-		this.upstream.read(Kind.ROUTES, new ObjectStore.Change(DecodeOnlyStore.item("x", 9), false));
+		OptionalLong before = this.follower.routesConfirmedNanos();
+		this.upstream.applyFromStore(ObjectKind.ROUTES, new ObjectStore.Change(DecodeOnlyStore.item("x", 9), false));
 		this.answers.clear();
 		run(4);
 		confirmAtUpstream(this.now);
 		exchange();
-		assertThat(this.follower.asOfNanos(), Matchers.equalTo(before));
+		assertThat(this.follower.routesConfirmedNanos(), Matchers.equalTo(before));
 		exchange();
-		assertThat(this.follower.asOfNanos(), Matchers.equalTo(OptionalLong.of(this.now)));
+		assertThat(this.follower.routesConfirmedNanos(), Matchers.equalTo(OptionalLong.of(this.now)));
 	}
 
 	@Test
 	void answerWithoutRoutesDoesNotConfirmRoutes() {
 		confirmAtUpstream(this.now);
 		deliverRequests();
-		this.answers.removeIf((frame) -> frame.getNews().getKind() == SiteNews.toWire(Kind.ROUTES));
+		this.answers.removeIf((frame) -> frame.getNews().getKind() == StoreReplication.toWire(ObjectKind.ROUTES));
 		deliverAnswers();
-		assertThat(this.follower.asOfNanos(), Matchers.equalTo(OptionalLong.empty()));
+		assertThat(this.follower.routesConfirmedNanos(), Matchers.equalTo(OptionalLong.empty()));
 	}
 
 	// The answer references routes that the follower dropped since its request.
 	@Test
 	void answerReferencingUnknownRoutesDoesNotConfirmRoutes() {
-		this.follower.reachable(true);
-		this.follower.read(Kind.ROUTES, List.of(DecodeOnlyStore.item("x", 5)), 5);
+		this.follower.storeReachable(true);
+		this.follower.applyFromStore(ObjectKind.ROUTES, List.of(DecodeOnlyStore.item("x", 5)), 5);
 		this.requests.clear();
-		this.follower.reachable(false);
+		this.follower.storeReachable(false);
 		this.follower.tick(List.of(LinkedEntry.unknown("upstream")), this.now);
 		confirmAtUpstream(this.now);
 		deliverRequests();
-		this.follower.read(Kind.ROUTES, List.of(), 4);
+		this.follower.applyFromStore(ObjectKind.ROUTES, List.of(), 4);
 		deliverAnswers();
-		assertThat(this.follower.asOfNanos(), Matchers.equalTo(OptionalLong.empty()));
+		assertThat(this.follower.routesConfirmedNanos(), Matchers.equalTo(OptionalLong.empty()));
 	}
 
 	// A stamp of an earlier process of this name, from another clock.
@@ -198,7 +198,7 @@
 		exchange();
 		News foreign = News.newBuilder().setCurrent(true).setStamp(this.now + 1).setAgeMillis(0).build();
 		this.follower.updateReceived("upstream", foreign);
-		assertThat(this.follower.asOfNanos(), Matchers.equalTo(OptionalLong.empty()));
+		assertThat(this.follower.routesConfirmedNanos(), Matchers.equalTo(OptionalLong.empty()));
 	}
 
 	// The notice that ended the subscription was lost. The upstream's updates would
@@ -207,7 +207,7 @@
 	void subscriberForgottenByUpstreamSubscribesAgain() {
 		confirmAtUpstream(this.now);
 		exchange();
-		this.upstream.dismiss();
+		this.upstream.dismissSubscribers();
 		this.answers.clear();
 		run(4);
 		exchange();
@@ -221,7 +221,7 @@
 	@Test
 	void subscriberRemovedByLateUnsubscribeSubscribesAgain() {
 		exchange();
-		this.upstream.asked("follower", SiteNews.unsubscribeFrame().getNewsRequest());
+		this.upstream.requestReceived("follower", StoreReplication.unsubscribeFrame().getNewsRequest());
 		run(4);
 		exchange();
 		exchange();
@@ -232,7 +232,7 @@
 	@Test
 	void keepAliveIsAnsweredByOneHeartbeat() {
 		exchange();
-		this.upstream.asked("follower",
+		this.upstream.requestReceived("follower",
 				NewsRequest.newBuilder().setWanted(true).setKeepAlive(true).setStamp(this.now).build());
 		assertThat(this.answers, Matchers.hasSize(1));
 		assertThat(this.answers.getFirst().getNews().getObjectsList(), Matchers.empty());
@@ -242,9 +242,9 @@
 	@Test
 	void upstreamWithoutStoreReportsNotCurrent() {
 		exchange();
-		this.upstream.reachable(false);
+		this.upstream.storeReachable(false);
 		this.answers.clear();
-		this.upstream.asked("follower", NewsRequest.newBuilder().setWanted(true).setKeepAlive(true).build());
+		this.upstream.requestReceived("follower", NewsRequest.newBuilder().setWanted(true).setKeepAlive(true).build());
 		assertThat(this.answers.getFirst().getNews().getCurrent(), Matchers.equalTo(false));
 	}
 
--- a/entry/src/test/java/org/wisteriapost/entry/direct/RequestFingerprintTests.java
+++ b/entry/src/test/java/org/wisteriapost/entry/direct/RequestFingerprintTests.java
@@ -14,7 +14,7 @@
 import org.wisteriapost.policy.routing.Route;
 import org.wisteriapost.policy.routing.Route.WeightedService;
 import org.wisteriapost.policy.routing.RouteKind;
-import org.wisteriapost.protocol.site.CallerFields;
+import org.wisteriapost.protocol.site.CallerRequestFields;
 
 import static org.hamcrest.MatcherAssert.assertThat;
 
@@ -26,12 +26,12 @@
 				Duration.ofMillis(300));
 	}
 
-	private static CallerFields fields(String attempt, long remainingMillis, String prompt, int promptTokens) {
-		return new CallerFields(Optional.of(attempt), OptionalLong.of(remainingMillis), promptTokens, 360,
+	private static CallerRequestFields fields(String attempt, long remainingMillis, String prompt, int promptTokens) {
+		return new CallerRequestFields(Optional.of(attempt), OptionalLong.of(remainingMillis), promptTokens, 360,
 				OptionalInt.of(35), Optional.of(prompt), Optional.empty());
 	}
 
-	private static OptionalLong fingerprint(String route, String organisation, CallerFields fields) {
+	private static OptionalLong fingerprint(String route, String organisation, CallerRequestFields fields) {
 		return RequestFingerprint.of(route(route), Optional.of(new Organisation(organisation, OptionalInt.empty())),
 				fields);
 	}
@@ -55,8 +55,8 @@
 
 	@Test
 	void noFingerprintWithoutAPrompt() {
-		CallerFields fields = new CallerFields(Optional.of("9c41"), OptionalLong.of(600), 0, 0, OptionalInt.empty(),
-				Optional.empty(), Optional.empty());
+		CallerRequestFields fields = new CallerRequestFields(Optional.of("9c41"), OptionalLong.of(600), 0, 0,
+				OptionalInt.empty(), Optional.empty(), Optional.empty());
 		assertThat(fingerprint("a", "bozi", fields), Matchers.equalTo(OptionalLong.empty()));
 	}
 
--- a/entry/src/test/java/org/wisteriapost/entry/direct/SlowLinkReplicationTests.java
+++ b/entry/src/test/java/org/wisteriapost/entry/direct/SlowLinkReplicationTests.java
@@ -21,9 +21,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.wisteriapost.kernel.log.DecisionLog;
 import org.wisteriapost.policy.fleet.LinkedEntry;
-import org.wisteriapost.policy.fleet.StoreDuty;
-import org.wisteriapost.policy.fleet.UpstreamChoice;
-import org.wisteriapost.protocol.site.Kind;
+import org.wisteriapost.policy.fleet.StoreRole;
+import org.wisteriapost.policy.fleet.UpstreamSelector;
+import org.wisteriapost.protocol.site.ObjectKind;
 import org.wisteriapost.protocol.site.ObjectStore;
 import org.wisteriapost.protocol.wire.Frame;
 import org.wisteriapost.protocol.wire.News;
@@ -52,13 +52,13 @@
 
 	private final Link toUpstream = new Link();
 
-	private final SiteNews upstream = new SiteNews(new DecodeOnlyStore(), StoreDuty.of("upstream"),
-			UpstreamChoice.of("upstream"), (peer, frame) -> this.toFollower.send(frame), () -> this.now, this.log);
+	private final StoreReplication upstream = new StoreReplication(new DecodeOnlyStore(), StoreRole.of("upstream"),
+			UpstreamSelector.of("upstream"), (peer, frame) -> this.toFollower.send(frame), () -> this.now, this.log);
 
-	private final SiteNews follower = new SiteNews(new DecodeOnlyStore(), StoreDuty.of("follower"),
-			UpstreamChoice.of("follower"), (peer, frame) -> this.toUpstream.send(frame), () -> this.now, this.log);
+	private final StoreReplication follower = new StoreReplication(new DecodeOnlyStore(), StoreRole.of("follower"),
+			UpstreamSelector.of("follower"), (peer, frame) -> this.toUpstream.send(frame), () -> this.now, this.log);
 
-	private final List<Kind> delivered = new ArrayList<>();
+	private final List<ObjectKind> delivered = new ArrayList<>();
 
 	// When the follower requested objects, in milliseconds.
 	private final List<Long> requestMillis = new ArrayList<>();
@@ -73,11 +73,12 @@
 
 	@BeforeEach
 	void begin() {
-		for (Kind kind : Kind.values()) {
-			this.upstream.read(kind, List.of((kind == Kind.ROUTES) ? table(5) : DecodeOnlyStore.item("x", 5)), 5);
+		for (ObjectKind kind : ObjectKind.values()) {
+			this.upstream.applyFromStore(kind,
+					List.of((kind == ObjectKind.ROUTES) ? table(5) : DecodeOnlyStore.item("x", 5)), 5);
 		}
-		this.upstream.reachable(true);
-		this.follower.reachable(false);
+		this.upstream.storeReachable(true);
+		this.follower.storeReachable(false);
 	}
 
 	@AfterEach
@@ -98,7 +99,7 @@
 		for (long until = this.now + TimeUnit.MILLISECONDS.toNanos(millis); this.now < until;) {
 			this.now += STEP;
 			this.steps++;
-			this.toUpstream.due().forEach((frame) -> this.upstream.asked("follower", asReceived(frame)));
+			this.toUpstream.due().forEach((frame) -> this.upstream.requestReceived("follower", asReceived(frame)));
 			this.toFollower.due().forEach(this::receive);
 			if (this.steps % STEPS_PER_TICK == 0) {
 				this.upstream.tick(List.of(LinkedEntry.unknown("follower")), this.now);
@@ -119,7 +120,7 @@
 			received.getNewsBuilder().clearSequence();
 		}
 		for (DirectEvent event : this.follower.updateReceived("upstream", received.getNews())) {
-			if (event instanceof DirectEvent.AllObjects all) {
+			if (event instanceof DirectEvent.ObjectsListed all) {
 				this.delivered.add(all.kind());
 			}
 		}
@@ -151,9 +152,10 @@
 	void smallKindsAreSentBeforeTable() {
 		this.toFollower.tableNanos = Duration.ofSeconds(4).toNanos();
 		run(1000);
-		assertThat(this.delivered, Matchers.contains(Kind.RUNNERS, Kind.ENTRIES, Kind.WEIGHTS));
+		assertThat(this.delivered, Matchers.contains(ObjectKind.RUNNERS, ObjectKind.ENTRIES, ObjectKind.WEIGHTS));
 		run(5000);
-		assertThat(this.delivered, Matchers.contains(Kind.RUNNERS, Kind.ENTRIES, Kind.WEIGHTS, Kind.ROUTES));
+		assertThat(this.delivered,
+				Matchers.contains(ObjectKind.RUNNERS, ObjectKind.ENTRIES, ObjectKind.WEIGHTS, ObjectKind.ROUTES));
 	}
 
 	// A full link drops the request, the table or the whole answer. Without a retry the
@@ -190,7 +192,7 @@
 		run(1000);
 		this.toFollower.inTransit.clear();
 		this.toFollower.freeNanos = this.now;
-		this.follower.linked("upstream");
+		this.follower.linkEstablished("upstream");
 		run(6000);
 		assertThat(isComplete(), Matchers.equalTo(true));
 		assertThat(this.tablesSent, Matchers.equalTo(2));
@@ -202,9 +204,9 @@
 	void upstreamIsAskedAgainAfterStoreOutage() {
 		this.toFollower.tableNanos = Duration.ofSeconds(1).toNanos();
 		run(500);
-		this.upstream.reachable(false);
+		this.upstream.storeReachable(false);
 		run(300);
-		this.upstream.reachable(true);
+		this.upstream.storeReachable(true);
 		run(6000);
 		assertThat(isComplete(), Matchers.equalTo(true));
 		assertThat(this.upstream.hasSubscribers(), Matchers.equalTo(true));
--- a/entry/src/test/java/org/wisteriapost/entry/direct/StoreReplicationTests.java
+++ b/entry/src/test/java/org/wisteriapost/entry/direct/StoreReplicationTests.java
@@ -12,9 +12,9 @@
 import org.junit.jupiter.api.Test;
 import org.wisteriapost.kernel.log.DecisionLog;
 import org.wisteriapost.policy.fleet.LinkedEntry;
-import org.wisteriapost.policy.fleet.StoreDuty;
-import org.wisteriapost.policy.fleet.UpstreamChoice;
-import org.wisteriapost.protocol.site.Kind;
+import org.wisteriapost.policy.fleet.StoreRole;
+import org.wisteriapost.policy.fleet.UpstreamSelector;
+import org.wisteriapost.protocol.site.ObjectKind;
 import org.wisteriapost.protocol.site.ObjectStore;
 import org.wisteriapost.protocol.wire.Frame;
 import org.wisteriapost.protocol.wire.News;
@@ -39,21 +39,23 @@
 	// Every request of the follower with its receiver, except keep-alives.
 	private final List<String> requests = new ArrayList<>();
 
-	private final SiteNews upstream = new SiteNews(new DecodeOnlyStore(), StoreDuty.of("upstream"),
-			UpstreamChoice.of("upstream"), (peer, frame) -> this.toFollower.add(frame), () -> SECOND, this.log);
+	private final StoreReplication upstream = new StoreReplication(new DecodeOnlyStore(), StoreRole.of("upstream"),
+			UpstreamSelector.of("upstream"), (peer, frame) -> this.toFollower.add(frame), () -> SECOND, this.log);
 
-	private final SiteNews follower = new SiteNews(new DecodeOnlyStore(), StoreDuty.of("follower"),
-			UpstreamChoice.of("follower"), this::sendFromFollower, () -> SECOND, this.log);
+	private final StoreReplication follower = new StoreReplication(new DecodeOnlyStore(), StoreRole.of("follower"),
+			UpstreamSelector.of("follower"), this::sendFromFollower, () -> SECOND, this.log);
 
 	@BeforeEach
 	void disconnectFollowerFromStore() {
-		this.upstream.reachable(true);
-		this.upstream.read(Kind.RUNNERS, List.of(DecodeOnlyStore.item("a", 5), DecodeOnlyStore.item("b", 6)), 6);
-		this.follower.reachable(true);
-		this.follower.read(Kind.RUNNERS, List.of(DecodeOnlyStore.item("a", 5), DecodeOnlyStore.item("old", 4)), 5);
-		this.follower.reachable(false);
+		this.upstream.storeReachable(true);
+		this.upstream.applyFromStore(ObjectKind.RUNNERS,
+				List.of(DecodeOnlyStore.item("a", 5), DecodeOnlyStore.item("b", 6)), 6);
+		this.follower.storeReachable(true);
+		this.follower.applyFromStore(ObjectKind.RUNNERS,
+				List.of(DecodeOnlyStore.item("a", 5), DecodeOnlyStore.item("old", 4)), 5);
+		this.follower.storeReachable(false);
 		this.follower.tick(linked("upstream"), SECOND);
-		this.toUpstream.forEach((frame) -> this.upstream.asked("follower", frame.getNewsRequest()));
+		this.toUpstream.forEach((frame) -> this.upstream.requestReceived("follower", frame.getNewsRequest()));
 	}
 
 	@AfterEach
@@ -85,7 +87,7 @@
 
 	private static String text(DirectEvent event) {
 		return switch (event) {
-			case DirectEvent.AllObjects all -> "all" + all.items().stream().map(ObjectStore.Item::name).toList();
+			case DirectEvent.ObjectsListed all -> "all" + all.items().stream().map(ObjectStore.Item::name).toList();
 			case DirectEvent.ObjectChanged changed ->
 				(changed.change().deleted() ? "-" : "+") + changed.change().item().name();
 			default -> throw new IllegalArgumentException(event.toString());
@@ -95,8 +97,8 @@
 	@Test
 	void disconnectedEntryReceivesAllObjectsAndThenChanges() {
 		assertThat(deliverToFollower(), Matchers.contains("all[a, b]"));
-		this.upstream.read(Kind.RUNNERS, new ObjectStore.Change(DecodeOnlyStore.item("c", 9), false));
-		this.upstream.read(Kind.RUNNERS, new ObjectStore.Change(DecodeOnlyStore.item("a", 5), true));
+		this.upstream.applyFromStore(ObjectKind.RUNNERS, new ObjectStore.Change(DecodeOnlyStore.item("c", 9), false));
+		this.upstream.applyFromStore(ObjectKind.RUNNERS, new ObjectStore.Change(DecodeOnlyStore.item("a", 5), true));
 		assertThat(deliverToFollower(), Matchers.contains("+c", "-a"));
 	}
 
@@ -106,12 +108,13 @@
 	@Test
 	void objectDroppedByLateListingIsRequestedAgain() {
 		deliverToFollower();
-		this.upstream.read(Kind.RUNNERS, new ObjectStore.Change(DecodeOnlyStore.item("c", 9), false));
+		this.upstream.applyFromStore(ObjectKind.RUNNERS, new ObjectStore.Change(DecodeOnlyStore.item("c", 9), false));
 		assertThat(deliverToFollower(), Matchers.contains("+c"));
 		this.toUpstream.clear();
-		this.follower.read(Kind.RUNNERS, List.of(DecodeOnlyStore.item("a", 5), DecodeOnlyStore.item("b", 6)), 6);
+		this.follower.applyFromStore(ObjectKind.RUNNERS,
+				List.of(DecodeOnlyStore.item("a", 5), DecodeOnlyStore.item("b", 6)), 6);
 		this.follower.tick(linked("upstream"), SECOND);
-		this.toUpstream.forEach((frame) -> this.upstream.asked("follower", frame.getNewsRequest()));
+		this.toUpstream.forEach((frame) -> this.upstream.requestReceived("follower", frame.getNewsRequest()));
 		assertThat(deliverToFollower(), Matchers.hasItem("all[a, b, c]"));
 	}
 
@@ -119,11 +122,12 @@
 	@Test
 	void newerListingCausesNoRequest() {
 		deliverToFollower();
-		this.upstream.read(Kind.RUNNERS, new ObjectStore.Change(DecodeOnlyStore.item("c", 9), false));
-		this.upstream.read(Kind.RUNNERS, new ObjectStore.Change(DecodeOnlyStore.item("d", 10), false));
+		this.upstream.applyFromStore(ObjectKind.RUNNERS, new ObjectStore.Change(DecodeOnlyStore.item("c", 9), false));
+		this.upstream.applyFromStore(ObjectKind.RUNNERS, new ObjectStore.Change(DecodeOnlyStore.item("d", 10), false));
 		deliverToFollower();
 		this.requests.clear();
-		this.follower.read(Kind.RUNNERS, List.of(DecodeOnlyStore.item("a", 5), DecodeOnlyStore.item("c", 9)), 12);
+		this.follower.applyFromStore(ObjectKind.RUNNERS,
+				List.of(DecodeOnlyStore.item("a", 5), DecodeOnlyStore.item("c", 9)), 12);
 		this.follower.tick(linked("upstream"), SECOND);
 		assertThat(this.requests, Matchers.empty());
 	}
@@ -133,11 +137,11 @@
 	@Test
 	void olderRevisionDoesNotRestoreRemovedObject() {
 		deliverToFollower();
-		this.upstream.read(Kind.RUNNERS, new ObjectStore.Change(DecodeOnlyStore.item("a", 7), true));
+		this.upstream.applyFromStore(ObjectKind.RUNNERS, new ObjectStore.Change(DecodeOnlyStore.item("a", 7), true));
 		deliverToFollower();
-		this.upstream.read(Kind.RUNNERS, new ObjectStore.Change(DecodeOnlyStore.item("a", 6), false));
+		this.upstream.applyFromStore(ObjectKind.RUNNERS, new ObjectStore.Change(DecodeOnlyStore.item("a", 6), false));
 		assertThat(deliverToFollower(), Matchers.empty());
-		this.upstream.read(Kind.RUNNERS, new ObjectStore.Change(DecodeOnlyStore.item("a", 11), false));
+		this.upstream.applyFromStore(ObjectKind.RUNNERS, new ObjectStore.Change(DecodeOnlyStore.item("a", 11), false));
 		assertThat(deliverToFollower(), Matchers.contains("+a"));
 	}
 
@@ -146,9 +150,9 @@
 	@Test
 	void olderRemovalIsIgnored() {
 		deliverToFollower();
-		this.upstream.read(Kind.RUNNERS, new ObjectStore.Change(DecodeOnlyStore.item("b", 9), false));
+		this.upstream.applyFromStore(ObjectKind.RUNNERS, new ObjectStore.Change(DecodeOnlyStore.item("b", 9), false));
 		assertThat(deliverToFollower(), Matchers.contains("+b"));
-		this.upstream.read(Kind.WEIGHTS, new ObjectStore.Change(DecodeOnlyStore.item("b", 7), true));
+		this.upstream.applyFromStore(ObjectKind.WEIGHTS, new ObjectStore.Change(DecodeOnlyStore.item("b", 7), true));
 		Frame removal = this.toFollower.getLast();
 		this.toFollower.clear();
 		this.toFollower
@@ -159,7 +163,7 @@
 	// The store answers the follower again while an update is in transit.
 	@Test
 	void updatesAreIgnoredOnceStoreAnswers() {
-		this.follower.reachable(true);
+		this.follower.storeReachable(true);
 		assertThat(deliverToFollower(), Matchers.empty());
 		assertThat(this.toUpstream.getLast().getNewsRequest().getWanted(), Matchers.equalTo(false));
 	}
@@ -185,7 +189,7 @@
 	void nextEntryIsAskedWhenUpstreamLosesStore() {
 		deliverToFollower();
 		this.requests.clear();
-		this.upstream.reachable(false);
+		this.upstream.storeReachable(false);
 		deliverToFollower();
 		this.follower.tick(linked("upstream", "third"), 2 * SECOND);
 		assertThat(this.requests, Matchers.contains("-upstream", "+third"));
@@ -197,8 +201,8 @@
 	// The one that does is found without waiting for a tick at each of them.
 	@Test
 	void entriesThatAreNotCurrentAreSkippedImmediately() {
-		this.follower.reachable(true);
-		this.follower.reachable(false);
+		this.follower.storeReachable(true);
+		this.follower.storeReachable(false);
 		this.requests.clear();
 		this.follower.tick(linked("x", "y", "z"), 2 * SECOND);
 		for (int i = 0; i < 3; i++) {
@@ -224,7 +228,7 @@
 		deliverToFollower();
 		this.follower.tick(linked("third"), 2 * SECOND);
 		this.requests.clear();
-		this.upstream.read(Kind.RUNNERS, new ObjectStore.Change(DecodeOnlyStore.item("c", 9), false));
+		this.upstream.applyFromStore(ObjectKind.RUNNERS, new ObjectStore.Change(DecodeOnlyStore.item("c", 9), false));
 		assertThat(deliverToFollower(), Matchers.empty());
 		this.follower.tick(linked("upstream", "third"), 2 * SECOND + SECOND / 10);
 		assertThat(this.requests, Matchers.contains("-upstream"));
@@ -235,18 +239,18 @@
 	// others.
 	@Test
 	void storeResultAfterBecomingFollowerIsIgnored() {
-		StoreDuty role = StoreDuty.of("follower");
-		SiteNews entry = new SiteNews(new DecodeOnlyStore(), role, UpstreamChoice.of("follower"),
+		StoreRole role = StoreRole.of("follower");
+		StoreReplication entry = new StoreReplication(new DecodeOnlyStore(), role, UpstreamSelector.of("follower"),
 				this::sendFromFollower, () -> SECOND, this.log);
-		entry.reachable(true);
+		entry.storeReachable(true);
 		List.of(0L, 2 * SECOND).forEach((nanos) -> role.tick(List.of("upstream"), true, nanos));
-		role.heard("upstream", true, true, 2 * SECOND);
+		role.statusReceived("upstream", true, true, 2 * SECOND);
 		entry.stopReading();
 		this.requests.clear();
-		entry.reachable(false);
+		entry.storeReachable(false);
 		entry.tick(linked("upstream", "third"), 3 * SECOND);
 		assertThat(this.requests, Matchers.empty());
-		entry.reachable(true);
+		entry.storeReachable(true);
 		assertThat(entry.mayStopReading(), Matchers.equalTo(false));
 	}
 
@@ -256,13 +260,13 @@
 	// follower.
 	@Test
 	void storeFailureBeforeBecomingFollowerIsDiscarded() {
-		StoreDuty role = StoreDuty.of("follower");
-		SiteNews entry = new SiteNews(new DecodeOnlyStore(), role, UpstreamChoice.of("follower"),
+		StoreRole role = StoreRole.of("follower");
+		StoreReplication entry = new StoreReplication(new DecodeOnlyStore(), role, UpstreamSelector.of("follower"),
 				this::sendFromFollower, () -> SECOND, this.log);
-		entry.reachable(true);
+		entry.storeReachable(true);
 		List.of(0L, 2 * SECOND).forEach((nanos) -> role.tick(List.of("upstream"), true, nanos));
-		entry.reachable(false);
-		role.heard("upstream", true, true, 2 * SECOND);
+		entry.storeReachable(false);
+		role.statusReceived("upstream", true, true, 2 * SECOND);
 		entry.stopReading();
 		this.requests.clear();
 		entry.tick(linked("upstream", "third"), 3 * SECOND);
@@ -271,10 +275,10 @@
 
 	@Test
 	void nothingIsSentWithoutSubscribers() {
-		this.follower.reachable(true);
-		this.upstream.asked("follower", NewsRequest.getDefaultInstance());
+		this.follower.storeReachable(true);
+		this.upstream.requestReceived("follower", NewsRequest.getDefaultInstance());
 		this.toFollower.clear();
-		this.upstream.read(Kind.RUNNERS, new ObjectStore.Change(DecodeOnlyStore.item("d", 12), false));
+		this.upstream.applyFromStore(ObjectKind.RUNNERS, new ObjectStore.Change(DecodeOnlyStore.item("d", 12), false));
 		assertThat(this.toFollower, Matchers.empty());
 	}
 
--- a/entry/src/test/java/org/wisteriapost/entry/direct/StoreRoleControllerTests.java
+++ b/entry/src/test/java/org/wisteriapost/entry/direct/StoreRoleControllerTests.java
@@ -11,10 +11,10 @@
 import org.junit.jupiter.api.Test;
 import org.wisteriapost.kernel.log.DecisionLog;
 import org.wisteriapost.policy.fleet.LinkedEntry;
-import org.wisteriapost.policy.fleet.Rendezvous;
-import org.wisteriapost.policy.fleet.StoreDuty;
-import org.wisteriapost.policy.fleet.UpstreamChoice;
-import org.wisteriapost.protocol.site.Kind;
+import org.wisteriapost.policy.fleet.RendezvousHashing;
+import org.wisteriapost.policy.fleet.StoreRole;
+import org.wisteriapost.policy.fleet.UpstreamSelector;
+import org.wisteriapost.protocol.site.ObjectKind;
 import org.wisteriapost.protocol.site.ObjectStore;
 import org.wisteriapost.protocol.wire.Frame;
 
@@ -30,7 +30,7 @@
 
 	private final DecisionLog log = DecisionLog.start("test", new PrintStream(OutputStream.nullOutputStream()));
 
-	private final String leaderName = Rendezvous.order(List.of("a", "b"), "store").getFirst();
+	private final String leaderName = RendezvousHashing.rank(List.of("a", "b"), "store").getFirst();
 
 	private final String followerName = this.leaderName.equals("a") ? "b" : "a";
 
@@ -62,10 +62,10 @@
 
 	private void bothRead(long at, ObjectStore.Item... runners) {
 		for (Entry entry : List.of(this.leader, this.follower)) {
-			for (Kind kind : Kind.values()) {
-				entry.replication.read(kind, (kind == Kind.RUNNERS) ? List.of(runners) : List.of(), at);
+			for (ObjectKind kind : ObjectKind.values()) {
+				entry.replication.applyFromStore(kind, (kind == ObjectKind.RUNNERS) ? List.of(runners) : List.of(), at);
 			}
-			entry.replication.reachable(true);
+			entry.replication.storeReachable(true);
 		}
 	}
 
@@ -73,10 +73,12 @@
 	void followerReceivesEveryChangeFromLeader() {
 		bothRead(5, DecodeOnlyStore.item("r1", 5));
 		run(15);
-		assertThat(this.follower.controller.rests(), Matchers.equalTo(true));
-		assertThat(this.leader.controller.rests(), Matchers.equalTo(false));
-		this.leader.replication.read(Kind.RUNNERS, new ObjectStore.Change(DecodeOnlyStore.item("r2", 9), false));
-		this.leader.replication.read(Kind.RUNNERS, new ObjectStore.Change(DecodeOnlyStore.item("r1", 5), true));
+		assertThat(this.follower.controller.isFollower(), Matchers.equalTo(true));
+		assertThat(this.leader.controller.isFollower(), Matchers.equalTo(false));
+		this.leader.replication.applyFromStore(ObjectKind.RUNNERS,
+				new ObjectStore.Change(DecodeOnlyStore.item("r2", 9), false));
+		this.leader.replication.applyFromStore(ObjectKind.RUNNERS,
+				new ObjectStore.Change(DecodeOnlyStore.item("r1", 5), true));
 		assertThat(this.follower.received, Matchers.hasItems("+r2", "-r1"));
 	}
 
@@ -86,7 +88,8 @@
 	@Test
 	void objectNotYetReadByLeaderIsKept() {
 		bothRead(5, DecodeOnlyStore.item("r1", 5));
-		this.follower.replication.read(Kind.RUNNERS, new ObjectStore.Change(DecodeOnlyStore.item("r2", 7), false));
+		this.follower.replication.applyFromStore(ObjectKind.RUNNERS,
+				new ObjectStore.Change(DecodeOnlyStore.item("r2", 7), false));
 		run(15);
 		assertThat(this.follower.received, Matchers.hasItem("all[r1, r2]"));
 	}
@@ -96,8 +99,8 @@
 	void followerReadsStoreWhenLeaderLosesStore() {
 		bothRead(5, DecodeOnlyStore.item("r1", 5));
 		run(15);
-		this.leader.replication.reachable(false);
-		assertThat(this.follower.controller.rests(), Matchers.equalTo(false));
+		this.leader.replication.storeReachable(false);
+		assertThat(this.follower.controller.isFollower(), Matchers.equalTo(false));
 	}
 
 	// The leader's watch is lost and no listing has arrived, so it may be stale. The
@@ -106,8 +109,8 @@
 	void followerReadsStoreWhenLeaderMayBeStale() {
 		bothRead(5, DecodeOnlyStore.item("r1", 5));
 		run(15);
-		this.leader.replication.dismiss();
-		assertThat(this.follower.controller.rests(), Matchers.equalTo(false));
+		this.leader.replication.dismissSubscribers();
+		assertThat(this.follower.controller.isFollower(), Matchers.equalTo(false));
 	}
 
 	// The link to the leader is open and drops all frames.
@@ -117,7 +120,7 @@
 		run(15);
 		this.linked = false;
 		run(13);
-		assertThat(this.follower.controller.rests(), Matchers.equalTo(false));
+		assertThat(this.follower.controller.isFollower(), Matchers.equalTo(false));
 	}
 
 	@Test
@@ -132,9 +135,9 @@
 
 		private final String name;
 
-		private final SiteNews replication;
+		private final StoreReplication replication;
 
-		private final StoreReading controller;
+		private final StoreRoleController controller;
 
 		private final List<String> received = new ArrayList<>();
 
@@ -142,10 +145,10 @@
 
 		private Entry(String name) {
 			this.name = name;
-			StoreDuty role = StoreDuty.of(name);
-			this.replication = new SiteNews(new DecodeOnlyStore(), role, UpstreamChoice.of(name), this::send,
+			StoreRole role = StoreRole.of(name);
+			this.replication = new StoreReplication(new DecodeOnlyStore(), role, UpstreamSelector.of(name), this::send,
 					() -> StoreRoleControllerTests.this.now, StoreRoleControllerTests.this.log);
-			this.controller = new StoreReading(role, this.replication, new Following(), this::send,
+			this.controller = new StoreRoleController(role, this.replication, new StoreWatches(), this::send,
 					StoreRoleControllerTests.this.log);
 		}
 
@@ -159,16 +162,16 @@
 				return;
 			}
 			if (frame.hasNewsRequest()) {
-				this.other.replication.asked(this.name, frame.getNewsRequest());
+				this.other.replication.requestReceived(this.name, frame.getNewsRequest());
 				return;
 			}
-			this.other.controller.heard(this.name, frame.getNews(), StoreRoleControllerTests.this.now)
+			this.other.controller.updateReceived(this.name, frame.getNews(), StoreRoleControllerTests.this.now)
 				.forEach((event) -> this.other.received.add(text(event)));
 		}
 
 		private static String text(DirectEvent event) {
 			return switch (event) {
-				case DirectEvent.AllObjects all ->
+				case DirectEvent.ObjectsListed all ->
 					"all" + all.items().stream().map(ObjectStore.Item::name).sorted().toList();
 				case DirectEvent.ObjectChanged changed ->
 					(changed.change().deleted() ? "-" : "+") + changed.change().item().name();
--- a/entry/src/test/java/org/wisteriapost/entry/platform/BundleReaderTests.java
+++ b/entry/src/test/java/org/wisteriapost/entry/platform/BundleReaderTests.java
@@ -59,7 +59,7 @@
 		}
 
 		@Override
-		public CompletableFuture<PutResult> put(String key, byte[] value, Expected expected) {
+		public CompletableFuture<PutResult> put(String key, byte[] value, Precondition expected) {
 			return this.fake.put(key, value, expected);
 		}
 
--- a/entry/src/test/java/org/wisteriapost/entry/platform/PrefixWatchTests.java
+++ b/entry/src/test/java/org/wisteriapost/entry/platform/PrefixWatchTests.java
@@ -84,7 +84,7 @@
 		}
 
 		@Override
-		public CompletableFuture<PutResult> put(String key, byte[] value, Expected expected) {
+		public CompletableFuture<PutResult> put(String key, byte[] value, Precondition expected) {
 			throw new UnsupportedOperationException();
 		}
 
--- a/entry/src/test/java/org/wisteriapost/entry/process/EntryStateTests.java
+++ b/entry/src/test/java/org/wisteriapost/entry/process/EntryStateTests.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.wisteriapost.entry.caller.ServiceView;
+import org.wisteriapost.entry.caller.EntryView;
 import org.wisteriapost.entry.claim.ClaimStore;
 import org.wisteriapost.entry.platform.BundleContent;
 import org.wisteriapost.kernel.Invariants;
@@ -22,8 +22,8 @@
 import org.wisteriapost.policy.bundle.Head;
 import org.wisteriapost.policy.claim.ClaimTable;
 import org.wisteriapost.policy.membership.Member;
-import org.wisteriapost.policy.request.RequestMachine;
 import org.wisteriapost.policy.request.RequestPolicySettings;
+import org.wisteriapost.policy.request.RequestStateMachine;
 import org.wisteriapost.protocol.outside.FakePlatform;
 
 import static org.hamcrest.MatcherAssert.assertThat;
@@ -57,12 +57,13 @@
 
 	private EntryState state() {
 		Invariants invariants = Invariants.create();
-		EntryWiring wiring = new EntryWiring(RequestMachine.create(RequestPolicySettings.defaults(), 7, invariants),
+		EntryWiring wiring = new EntryWiring(
+				RequestStateMachine.create(RequestPolicySettings.defaults(), 7, invariants),
 				ClaimTable.create(50, RandomSource.SPLIT_MIX_64.create(7), this.now),
 				ClaimStore.of(new FakePlatform(), (reply) -> {
 				}), EntryMetrics.of(new SimpleMeterRegistry()), invariants, () -> this.now, () -> this.wallMillis,
 				1 << 20);
-		return EntryState.create(new Identity("e", "p1", 1), this.output, wiring);
+		return EntryState.create(new EntryIdentity("e", "p1", 1), this.output, wiring);
 	}
 
 	private void confirm(long asOfNanos) {
@@ -113,7 +114,7 @@
 
 	// The newer bundle may contain what a request asks for, but is not fetched yet.
 	@Test
-	void aBundleRejectsNothingOnceANewerHeadIsKnown() {
+	void nothingIsRejectedOnceANewerHeadIsKnown() {
 		this.state.apply(new EntryEvent.HeadRead(new Head(2, "newer", "amy", 0, "n"), this.now));
 		tick();
 		assertThat(mayReject(), Matchers.equalTo(false));
@@ -151,18 +152,18 @@
 	/** Records the last published view. */
 	private static final class RecordingOutput implements EntryOutput {
 
-		private ServiceView view = ServiceView.EMPTY;
+		private EntryView view = EntryView.EMPTY;
 
 		@Override
 		public void readBundle(String digest) {
 		}
 
 		@Override
-		public void keepLinks(List<Member> members) {
+		public void reconcileLinks(List<Member> members) {
 		}
 
 		@Override
-		public void publish(ServiceView next) {
+		public void publish(EntryView next) {
 			this.view = next;
 		}
 
--- a/kernel/src/main/java/org/wisteriapost/kernel/SuspensionWatch.java
+++ b/kernel/src/main/java/org/wisteriapost/kernel/SuspensionDetector.java
@@ -11,7 +11,7 @@
  * state. A wall clock that is set forward is reported as a suspension too, which only
  * makes the process distrust its state for a short time.
  */
-public final class SuspensionWatch {
+public final class SuspensionDetector {
 
 	// Below all staleness limits, and above what clock slewing adds between two
 	// checks.
@@ -21,7 +21,7 @@
 
 	private long lastWallClockMillis;
 
-	private SuspensionWatch(long nanos, long wallClockMillis) {
+	private SuspensionDetector(long nanos, long wallClockMillis) {
 		this.lastNanos = nanos;
 		this.lastWallClockMillis = wallClockMillis;
 	}
@@ -31,8 +31,8 @@
 	 * @param nanos on the monotonic clock
 	 * @param wallClockMillis wall-clock time, in milliseconds since the epoch
 	 */
-	public static SuspensionWatch start(long nanos, long wallClockMillis) {
-		return new SuspensionWatch(nanos, wallClockMillis);
+	public static SuspensionDetector start(long nanos, long wallClockMillis) {
+		return new SuspensionDetector(nanos, wallClockMillis);
 	}
 
 	/**
@@ -40,7 +40,7 @@
 	 * @param nowNanos on the monotonic clock
 	 * @param nowWallClockMillis wall-clock time, in milliseconds since the epoch
 	 */
-	public boolean woke(long nowNanos, long nowWallClockMillis) {
+	public boolean detectSuspension(long nowNanos, long nowWallClockMillis) {
 		long monotonicMillis = TimeUnit.NANOSECONDS.toMillis(nowNanos - this.lastNanos);
 		long wallClockMillis = nowWallClockMillis - this.lastWallClockMillis;
 		this.lastNanos = nowNanos;
--- a/kernel/src/main/java/org/wisteriapost/kernel/settings/CommonSettings.java
+++ b/kernel/src/main/java/org/wisteriapost/kernel/settings/CommonSettings.java
@@ -10,7 +10,7 @@
 
 	public static final Setting<String> VM = Setting.text("process", "vm", "Name of this VM, as in the VM list.");
 
-	public static final Setting<String> PLACE = Setting.text("process", "place",
+	public static final Setting<String> FAILURE_DOMAIN = Setting.text("process", "place",
 			"Failure domain that this VM is in, for example dkr-hall-a.");
 
 	public static final Setting<String> REGION = Setting
@@ -45,8 +45,8 @@
 
 	@Override
 	public List<Setting<?>> keys() {
-		return List.of(VM, PLACE, REGION, ADMIN_HOST, ADMIN_PORT, PROVIDER, PLATFORM, VM_LIST, ORIGIN, APPROVALS,
-				OPERATOR_KEY);
+		return List.of(VM, FAILURE_DOMAIN, REGION, ADMIN_HOST, ADMIN_PORT, PROVIDER, PLATFORM, VM_LIST, ORIGIN,
+				APPROVALS, OPERATOR_KEY);
 	}
 
 }
--- a/kernel/src/main/java/org/wisteriapost/kernel/settings/Setting.java
+++ b/kernel/src/main/java/org/wisteriapost/kernel/settings/Setting.java
@@ -15,13 +15,13 @@
  * @param <T> the value's type
  * @param section the section, or {@code kind NAME} for sections that occur once per name
  * @param key the key
- * @param shape the expected format, for findings and the reference page
+ * @param format the expected format, for findings and the reference page
  * @param parser converts the text to a value; throws a runtime exception for invalid text
- * @param fallback the default in text form; empty when the key is required
+ * @param defaultText the default in text form; empty when the key is required
  * @param doc one sentence of documentation, with the unit
  */
-public record Setting<T>(String section, String key, String shape, Function<String, T> parser,
-		Optional<String> fallback, String doc) {
+public record Setting<T>(String section, String key, String format, Function<String, T> parser,
+		Optional<String> defaultText, String doc) {
 
 	/** A required key is absent. */
 	public static final Code SETTING_MISSING = Code.error("setting-missing", "A key without a default is absent.");
@@ -67,7 +67,7 @@
 	 */
 	public static Setting<Duration> millis(String section, String key, long min, long max, String doc) {
 		Setting<Long> number = number(section, key, min, max, doc);
-		return new Setting<>(section, key, number.shape() + " (milliseconds)",
+		return new Setting<>(section, key, number.format() + " (milliseconds)",
 				(value) -> Duration.ofMillis(number.parser().apply(value)), Optional.empty(), doc);
 	}
 
@@ -106,7 +106,7 @@
 	 * Returns a copy of this setting with a default.
 	 */
 	public Setting<T> orElse(String value) {
-		return new Setting<>(this.section, this.key, this.shape, this.parser, Optional.of(value), this.doc);
+		return new Setting<>(this.section, this.key, this.format, this.parser, Optional.of(value), this.doc);
 	}
 
 	/**
@@ -115,9 +115,9 @@
 	 * @param name the section to read, for settings of {@code kind NAME} sections
 	 */
 	public Optional<T> read(Settings settings, String name, Findings findings) {
-		Optional<String> written = settings.text(name, this.key).or(() -> this.fallback);
+		Optional<String> written = settings.text(name, this.key).or(() -> this.defaultText);
 		if (written.isEmpty()) {
-			findings.add(SETTING_MISSING, settings.locate(name, this.key), "no value", "write " + this.shape);
+			findings.add(SETTING_MISSING, settings.locate(name, this.key), "no value", "write " + this.format);
 			return Optional.empty();
 		}
 		try {
@@ -125,7 +125,7 @@
 		}
 		catch (RuntimeException ex) {
 			findings.add(SETTING_INVALID, settings.locate(name, this.key), "\"" + written.get() + "\" is not accepted",
-					"write " + this.shape);
+					"write " + this.format);
 			return Optional.empty();
 		}
 	}
--- a/kernel/src/main/java/org/wisteriapost/kernel/settings/Settings.java
+++ b/kernel/src/main/java/org/wisteriapost/kernel/settings/Settings.java
@@ -76,7 +76,7 @@
 	 * Returns the names of all sections of a kind: {@code [service lm-notice]} is section
 	 * {@code lm-notice} of kind {@code service}.
 	 */
-	public List<String> named(String kind) {
+	public List<String> sectionsOfKind(String kind) {
 		String prefix = kind + " ";
 		return sections().stream()
 			.filter((name) -> name.startsWith(prefix))
--- a/kernel/src/test/java/org/wisteriapost/kernel/settings/SettingsCheckTests.java
+++ b/kernel/src/test/java/org/wisteriapost/kernel/settings/SettingsCheckTests.java
@@ -53,7 +53,7 @@
 	@Test
 	void keysWithDotsAndNamedSectionsAreRead() {
 		Settings settings = Settings.parse("f", "[operator aminata]\npublic-key = a.b=\n[x]\na.b = 1\n");
-		assertThat(settings.named("operator"), is(List.of("aminata")));
+		assertThat(settings.sectionsOfKind("operator"), is(List.of("aminata")));
 		assertThat(settings.text("operator aminata", "public-key").orElseThrow(), is("a.b="));
 		assertThat(settings.text("x", "a.b").orElseThrow(), is("1"));
 		assertThat(settings.keys("x"), is(java.util.Set.of("a.b")));
--- a/operator/src/main/java/org/wisteriapost/operator/ExternalSystems.java
+++ b/operator/src/main/java/org/wisteriapost/operator/ExternalSystems.java
@@ -12,10 +12,10 @@
 import org.wisteriapost.kernel.settings.Setting;
 import org.wisteriapost.kernel.settings.Settings;
 import org.wisteriapost.kernel.settings.SettingsCheck;
-import org.wisteriapost.protocol.http.HttpCaller;
+import org.wisteriapost.protocol.http.PooledHttpClient;
+import org.wisteriapost.protocol.outside.ExternalSystemsProvider;
+import org.wisteriapost.protocol.outside.ExternalSystemsProviders;
 import org.wisteriapost.protocol.outside.Origin;
-import org.wisteriapost.protocol.outside.OutsideProvider;
-import org.wisteriapost.protocol.outside.OutsideProviders;
 import org.wisteriapost.protocol.outside.Platform;
 import org.wisteriapost.protocol.outside.VmList;
 
@@ -26,11 +26,11 @@
 
 	private final Settings settings;
 
-	private final HttpCaller httpCaller;
+	private final PooledHttpClient httpCaller;
 
-	private final OutsideProvider provider;
+	private final ExternalSystemsProvider provider;
 
-	private ExternalSystems(Settings settings, HttpCaller caller, OutsideProvider provider) {
+	private ExternalSystems(Settings settings, PooledHttpClient caller, ExternalSystemsProvider provider) {
 		this.settings = settings;
 		this.httpCaller = caller;
 		this.provider = provider;
@@ -42,7 +42,7 @@
 	public static ExternalSystems of(Path file) {
 		Settings settings = Settings.read(file);
 		SettingsCheck.run(settings).throwIfAny();
-		return new ExternalSystems(settings, HttpCaller.create(1), OutsideProviders.of(settings));
+		return new ExternalSystems(settings, PooledHttpClient.create(1), ExternalSystemsProviders.of(settings));
 	}
 
 	public Settings settings() {
@@ -66,7 +66,7 @@
 	 */
 	public Map<String, String> operatorKeys() {
 		Map<String, String> keys = new LinkedHashMap<>();
-		this.settings.named("operator")
+		this.settings.sectionsOfKind("operator")
 			.forEach((name) -> keys.put(name, CommonSettings.OPERATOR_KEY.get(this.settings, "operator " + name)));
 		return keys;
 	}
--- a/operator/src/main/java/org/wisteriapost/operator/bundle/ApproveCommand.java
+++ b/operator/src/main/java/org/wisteriapost/operator/bundle/ApproveCommand.java
@@ -53,7 +53,7 @@
 			throw CodedException.of(KEY_MISMATCH, operator);
 		}
 		store.approve(digest, operator, signature);
-		int counted = Approvals.counted(digest, store.approvals(digest), systems.operatorKeys()).size();
+		int counted = Approvals.countedOperators(digest, store.approvals(digest), systems.operatorKeys()).size();
 		out.printf("approved by %d of %d%n", counted, systems.requiredApprovals());
 		return ExitCodes.OK;
 	}
--- a/operator/src/main/java/org/wisteriapost/operator/bundle/BundleDraft.java
+++ b/operator/src/main/java/org/wisteriapost/operator/bundle/BundleDraft.java
@@ -31,13 +31,13 @@
 	public static BundleDraft read(Settings settings, Findings findings) {
 		settings.sections().forEach((section) -> checkKeys(settings, section, findings));
 		List<DraftWeight> weights = new ArrayList<>();
-		for (String name : settings.named("weight")) {
+		for (String name : settings.sectionsOfKind("weight")) {
 			String section = "weight " + name;
 			weights.add(new DraftWeight(name, text(BundleSettings.WEIGHT_VERSION, settings, section, findings),
 					text(BundleSettings.WEIGHT_PATH, settings, section, findings)));
 		}
 		List<ServiceSpec> services = new ArrayList<>();
-		settings.named("service").forEach((name) -> services.add(service(settings, name, findings)));
+		settings.sectionsOfKind("service").forEach((name) -> services.add(service(settings, name, findings)));
 		return new BundleDraft(settings, text(BundleSettings.NAME, settings, "bundle", findings),
 				text(BundleSettings.VERSION, settings, "bundle", findings), List.copyOf(weights),
 				List.copyOf(services));
--- a/operator/src/main/java/org/wisteriapost/operator/bundle/BundleSettings.java
+++ b/operator/src/main/java/org/wisteriapost/operator/bundle/BundleSettings.java
@@ -62,7 +62,7 @@
 		KIND.read(settings, section, findings)
 			.filter((kind) -> !KINDS.contains(kind))
 			.ifPresent((kind) -> findings.add(Setting.SETTING_INVALID, settings.locate(section, KIND.key()),
-					"\"" + kind + "\" is not accepted", "write " + KIND.shape()));
+					"\"" + kind + "\" is not accepted", "write " + KIND.format()));
 	}
 
 }
--- a/operator/src/main/java/org/wisteriapost/operator/bundle/BundleStore.java
+++ b/operator/src/main/java/org/wisteriapost/operator/bundle/BundleStore.java
@@ -19,7 +19,7 @@
 import org.wisteriapost.policy.bundle.HeadMove;
 import org.wisteriapost.policy.bundle.VmStatus;
 import org.wisteriapost.protocol.outside.Platform;
-import org.wisteriapost.protocol.outside.Platform.Expected;
+import org.wisteriapost.protocol.outside.Platform.Precondition;
 import org.wisteriapost.protocol.outside.Platform.PutResult;
 import org.wisteriapost.protocol.outside.Platform.Stored;
 
@@ -150,8 +150,8 @@
 		// of this write is lost and another roll follows, the record of each
 		// generation still identifies the author of its write.
 		record(current);
-		Expected expected = before.<Expected>map((stored) -> new Expected.Version(stored.version()))
-			.orElseGet(Expected.Absent::new);
+		Precondition expected = before.<Precondition>map((stored) -> new Precondition.Version(stored.version()))
+			.orElseGet(Precondition.Absent::new);
 		try {
 			PutResult result = ExternalSystems.await(this.platform.put(HEAD_KEY, BundleCodec.encode(next), expected));
 			if (result instanceof PutResult.Written) {
@@ -168,14 +168,14 @@
 		}
 	}
 
-	private Head resolveUnconfirmed(Head written, Expected expected) {
+	private Head resolveUnconfirmed(Head written, Precondition expected) {
 		for (int i = 0; i < MAX_READ_BACK_ATTEMPTS; i++) {
 			pause();
 			try {
 				Head read = head();
 				Optional<Head> recorded = read(recordKey(written.generation()))
 					.map((stored) -> BundleCodec.head(stored.value()));
-				switch (HeadMove.fate(written, read, recorded)) {
+				switch (HeadMove.outcome(written, read, recorded)) {
 					case WON -> {
 						return written;
 					}
@@ -211,7 +211,7 @@
 	private boolean putIfAbsent(String key, byte[] value) {
 		for (int i = 0; i < MAX_READ_BACK_ATTEMPTS; i++) {
 			try {
-				ExternalSystems.await(this.platform.put(key, value, new Expected.Absent()));
+				ExternalSystems.await(this.platform.put(key, value, new Precondition.Absent()));
 			}
 			catch (CodedException ex) {
 				if (!ex.code().equals(Platform.UNCONFIRMED)) {
--- a/operator/src/main/java/org/wisteriapost/operator/bundle/RollCommand.java
+++ b/operator/src/main/java/org/wisteriapost/operator/bundle/RollCommand.java
@@ -52,7 +52,7 @@
 		long onto = arguments.requiredNumber("onto");
 		BundleStore store = new BundleStore(systems.platform());
 		store.bundle(digest);
-		Set<String> counted = Approvals.counted(digest, store.approvals(digest), systems.operatorKeys());
+		Set<String> counted = Approvals.countedOperators(digest, store.approvals(digest), systems.operatorKeys());
 		if (counted.size() < systems.requiredApprovals()) {
 			err.printf("%s: approved by %s, %d operators are needed%n", NOT_APPROVED.name(), counted,
 					systems.requiredApprovals());
--- a/operator/src/main/java/org/wisteriapost/operator/report/BurnPage.java
+++ b/operator/src/main/java/org/wisteriapost/operator/report/BurnPage.java
@@ -16,8 +16,8 @@
 import org.knowm.xchart.VectorGraphicsEncoder.VectorGraphicsFormat;
 import org.knowm.xchart.style.Styler;
 import org.wisteriapost.policy.burn.BurnReport;
-import org.wisteriapost.policy.burn.Counts;
-import org.wisteriapost.policy.burn.Result;
+import org.wisteriapost.policy.burn.RequestResult;
+import org.wisteriapost.policy.burn.ResultCounts;
 
 /**
  * Renders a burn report as a self-contained HTML page.
@@ -57,7 +57,7 @@
 		return page.append("</body></html>\n").toString();
 	}
 
-	private static void section(BurnReport.Line line, StringBuilder page) {
+	private static void section(BurnReport.ObjectiveBurn line, StringBuilder page) {
 		page.append(
 				"<h2>%s</h2>\n<p>%s of %s: %s %% good within %d ms. <span class=\"%s\">%s %% of the three-day budget is spent.</span></p>\n"
 					.formatted(escape(line.objective().name()), escape(line.objective().service()),
@@ -71,11 +71,11 @@
 		}
 	}
 
-	private static void table(BurnReport.Line line, StringBuilder page) {
+	private static void table(BurnReport.ObjectiveBurn line, StringBuilder page) {
 		page.append("<table><tr><th>window</th><th>requests</th><th>burn</th>");
 		badResults().forEach((result) -> page.append("<th>").append(label(result)).append("</th>"));
 		page.append("</tr>\n");
-		for (BurnReport.Span span : line.spans()) {
+		for (BurnReport.WindowBurn span : line.spans()) {
 			page.append(
 					"<tr><td>%s</td><td>%d</td><td class=\"%s\">%s</td>".formatted(span.window(), span.counts().total(),
 							(span.burn() > 1) ? "over" : "", String.format(Locale.ROOT, "%.2f", span.burn())));
@@ -85,20 +85,20 @@
 		page.append("</table>\n");
 	}
 
-	private static CategoryChart burnChart(BurnReport.Line line) {
+	private static CategoryChart burnChart(BurnReport.ObjectiveBurn line) {
 		CategoryChart chart = chart("Burn by window", "window", "times the allowed rate");
 		chart.getStyler().setLegendVisible(false);
-		chart.addSeries("burn", line.spans().stream().map(BurnReport.Span::window).toList(),
-				line.spans().stream().map(BurnReport.Span::burn).toList());
+		chart.addSeries("burn", line.spans().stream().map(BurnReport.WindowBurn::window).toList(),
+				line.spans().stream().map(BurnReport.WindowBurn::burn).toList());
 		return chart;
 	}
 
-	private static CategoryChart organisationChart(BurnReport.Line line) {
+	private static CategoryChart organisationChart(BurnReport.ObjectiveBurn line) {
 		CategoryChart chart = chart("Who spends it, on what (3 d)", "organisation", "requests");
 		chart.getStyler().setStacked(true);
 		chart.getStyler().setLegendPosition(Styler.LegendPosition.InsideNE);
 		List<String> names = new ArrayList<>();
-		List<Counts> counts = new ArrayList<>();
+		List<ResultCounts> counts = new ArrayList<>();
 		line.spans()
 			.getLast()
 			.spenders()
@@ -140,11 +140,11 @@
 		return text.substring(text.indexOf("<svg"));
 	}
 
-	private static List<Result> badResults() {
-		return Arrays.stream(Result.values()).filter((result) -> result != Result.GOOD).toList();
+	private static List<RequestResult> badResults() {
+		return Arrays.stream(RequestResult.values()).filter((result) -> result != RequestResult.GOOD).toList();
 	}
 
-	private static String label(Result result) {
+	private static String label(RequestResult result) {
 		return result.name().toLowerCase(Locale.ROOT);
 	}
 
--- a/operator/src/main/java/org/wisteriapost/operator/report/BurnText.java
+++ b/operator/src/main/java/org/wisteriapost/operator/report/BurnText.java
@@ -5,8 +5,8 @@
 import java.util.stream.Collectors;
 
 import org.wisteriapost.policy.burn.BurnReport;
-import org.wisteriapost.policy.burn.Counts;
-import org.wisteriapost.policy.burn.Result;
+import org.wisteriapost.policy.burn.RequestResult;
+import org.wisteriapost.policy.burn.ResultCounts;
 
 /**
  * Renders a burn report as plain text.
@@ -26,13 +26,13 @@
 		return text.toString();
 	}
 
-	private static void append(BurnReport.Line line, StringBuilder text) {
+	private static void append(BurnReport.ObjectiveBurn line, StringBuilder text) {
 		text.append("%n%s: %s of %s, %s %% good within %d ms; %s %% of the 3 d budget spent%n".formatted(
 				line.objective().name(), line.objective().service(), line.objective().organisation(),
 				percent(line.objective().availability()), line.objective().latencyMillis(),
 				percent(line.budgetSpent())));
 		text.append("  window  requests     burn  spent on%n".formatted());
-		for (BurnReport.Span span : line.spans()) {
+		for (BurnReport.WindowBurn span : line.spans()) {
 			text.append(String.format(Locale.ROOT, "  %-6s %9d %8.2f  %s%n", span.window(), span.counts().total(),
 					span.burn(), causes(span.counts())));
 		}
@@ -42,14 +42,14 @@
 		}
 	}
 
-	static String causes(Counts counts) {
-		return Arrays.stream(Result.values())
-			.filter((result) -> result != Result.GOOD && counts.of(result) > 0)
+	static String causes(ResultCounts counts) {
+		return Arrays.stream(RequestResult.values())
+			.filter((result) -> result != RequestResult.GOOD && counts.of(result) > 0)
 			.map((result) -> result.name().toLowerCase(Locale.ROOT) + " " + counts.of(result))
 			.collect(Collectors.joining(", "));
 	}
 
-	private static String topOrganisations(BurnReport.Span span) {
+	private static String topOrganisations(BurnReport.WindowBurn span) {
 		return span.spenders()
 			.entrySet()
 			.stream()
--- a/operator/src/test/java/org/wisteriapost/operator/bundle/BundleStoreTests.java
+++ b/operator/src/test/java/org/wisteriapost/operator/bundle/BundleStoreTests.java
@@ -61,7 +61,7 @@
 	@ParameterizedTest(name = "{0}")
 	@MethodSource("lostConfirmations")
 	void lostConfirmationIsResolvedByReadingBack(String name, Fault fault) {
-		this.platform.next(Fault.NONE, fault, Fault.DOWN);
+		this.platform.failNextCalls(Fault.NONE, fault, Fault.DOWN);
 		assertThat(this.store.roll(MINE), is(MINE));
 		assertThat(this.store.head(), is(MINE));
 	}
@@ -71,7 +71,7 @@
 	// still identify us as the winner.
 	@Test
 	void rollWithLostConfirmationSucceedsAfterALaterRoll() {
-		this.platform.next(Fault.NONE, Fault.LOST_AFTER);
+		this.platform.failNextCalls(Fault.NONE, Fault.LOST_AFTER);
 		BundleStore other = new BundleStore(this.platform);
 		this.platform.beforeCall(3, () -> other.roll(head(2, "other")));
 		assertThat(this.store.roll(MINE), is(MINE));
@@ -81,7 +81,7 @@
 	@ParameterizedTest
 	@EnumSource(names = { "LOST_AFTER", "LOST_BEFORE" })
 	void approvalWithLostConfirmationIsStoredOnce(Fault fault) {
-		this.platform.next(fault);
+		this.platform.failNextCalls(fault);
 		this.store.approve("d", "aminata", new byte[] { 1 });
 		this.store.approve("d", "aminata", new byte[] { 1 });
 		assertThat(this.store.approvals("d").size(), is(1));
@@ -104,7 +104,7 @@
 	@ParameterizedTest
 	@MethodSource("steps")
 	void rollWithPlatformUnavailableChangesNothing(int step) {
-		this.platform.next(Stream.concat(Stream.generate(() -> Fault.NONE).limit(step), Stream.of(Fault.DOWN))
+		this.platform.failNextCalls(Stream.concat(Stream.generate(() -> Fault.NONE).limit(step), Stream.of(Fault.DOWN))
 			.toArray(Fault[]::new));
 		CodedException ex = assertThrows(CodedException.class, () -> this.store.roll(MINE));
 		assertThat(ex.code(), is(Platform.UNAVAILABLE));
--- a/operator/src/test/java/org/wisteriapost/operator/report/BurnPageTests.java
+++ b/operator/src/test/java/org/wisteriapost/operator/report/BurnPageTests.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 import org.junit.jupiter.api.Test;
-import org.wisteriapost.policy.burn.BurnLedger;
 import org.wisteriapost.policy.burn.BurnReport;
 import org.wisteriapost.policy.burn.Objective;
-import org.wisteriapost.policy.burn.Result;
-import org.wisteriapost.policy.burn.Series;
+import org.wisteriapost.policy.burn.RequestCounter;
+import org.wisteriapost.policy.burn.RequestResult;
+import org.wisteriapost.policy.burn.RequestSeries;
 
 import static org.hamcrest.MatcherAssert.assertThat;
 import static org.hamcrest.Matchers.containsString;
@@ -21,7 +21,7 @@
 
 	@Test
 	void pageEmbedsChartsAndEscapesNames() {
-		String page = BurnPage.of(report(Result.REFUSED, 5));
+		String page = BurnPage.of(report(RequestResult.REFUSED, 5));
 		assertThat(page, containsString("urgent &lt;checks&gt;"));
 		assertThat(page, containsString("<svg"));
 		assertThat(page, not(containsString("<?xml")));
@@ -29,21 +29,21 @@
 
 	@Test
 	void objectiveWithoutBadRequestsHasNoCharts() {
-		assertThat(BurnPage.of(report(Result.GOOD, 0)), not(containsString("<svg")));
-		assertThat(BurnPage.of(report(Result.GOOD, 5)), not(containsString("<svg")));
+		assertThat(BurnPage.of(report(RequestResult.GOOD, 0)), not(containsString("<svg")));
+		assertThat(BurnPage.of(report(RequestResult.GOOD, 5)), not(containsString("<svg")));
 	}
 
 	@Test
 	void textListsBudgetOrganisationsAndCauses() {
-		String text = BurnText.of(report(Result.REFUSED, 5));
+		String text = BurnText.of(report(RequestResult.REFUSED, 5));
 		assertThat(text, containsString("1000 % of the 3 d budget spent"));
 		assertThat(text, containsString("by whom (3d): press (refused 5)"));
 	}
 
-	private static BurnReport report(Result result, int times) {
-		BurnLedger ledger = BurnLedger.create();
+	private static BurnReport report(RequestResult result, int times) {
+		RequestCounter ledger = RequestCounter.create();
 		for (int i = 0; i < times; i++) {
-			ledger.count(new Series("lm", "press"), result, NOW);
+			ledger.count(new RequestSeries("lm", "press"), result, NOW);
 		}
 		return BurnReport.of(List.of(OBJECTIVE), List.of(ledger.snapshot("e", NOW)), NOW);
 	}
--- a/policy/src/main/java/org/wisteriapost/policy/agent/AcceptedBundle.java
+++ b/policy/src/main/java/org/wisteriapost/policy/agent/AcceptedBundle.java
@@ -28,8 +28,8 @@
 	static AcceptedBundle of(AgentIdentity identity, long generation, String digest, byte[] content,
 			Map<String, byte[]> signatures, Bundle bundle) {
 		Optional<ServiceSpec> spec = bundle.service(identity.service())
-			.filter((found) -> found.runsOn(identity.vm(), identity.place()))
-			.filter((found) -> identity.plain() == (found.kind() == ServiceSpec.Kind.PLAIN));
+			.filter((found) -> found.runsOn(identity.vm(), identity.failureDomain()))
+			.filter((found) -> identity.plainService() == (found.kind() == ServiceSpec.Kind.PLAIN));
 		return new AcceptedBundle(generation, digest, content, signatures, spec,
 				spec.map(bundle::filesOf).orElse(List.of()), spec.map(bundle::weightsDigest).orElse(""));
 	}
--- a/policy/src/main/java/org/wisteriapost/policy/agent/AgentEffect.java
+++ b/policy/src/main/java/org/wisteriapost/policy/agent/AgentEffect.java
@@ -5,7 +5,7 @@
 import org.wisteriapost.policy.bundle.WeightFile;
 
 /**
- * An action that {@link AgentMachine} requests from the I/O layer.
+ * An action that {@link AgentStateMachine} requests from the I/O layer.
  */
 public sealed interface AgentEffect {
 
@@ -14,7 +14,7 @@
 	 *
 	 * @param delayNanos delay until the tick
 	 */
-	record Wake(long delayNanos) implements AgentEffect {
+	record ScheduleTick(long delayNanos) implements AgentEffect {
 	}
 
 	/**
@@ -30,15 +30,16 @@
 	 *
 	 * @param key key of the object
 	 * @param value new value
-	 * @param version expected current version, {@link #ABSENT} or {@link #ANYTHING}
+	 * @param expectedVersion expected current version, {@link #ABSENT} or
+	 * {@link #ANY_VERSION}
 	 */
-	record WriteObject(String key, byte[] value, long version) implements AgentEffect {
+	record WriteObject(String key, byte[] value, long expectedVersion) implements AgentEffect {
 
 		/** Expected version of an object that does not exist. */
 		public static final long ABSENT = 0;
 
 		/** Writes unconditionally. */
-		public static final long ANYTHING = -1;
+		public static final long ANY_VERSION = -1;
 
 	}
 
@@ -64,7 +65,7 @@
 	 *
 	 * @param files digests of the files
 	 */
-	record DropWeights(List<String> files) implements AgentEffect {
+	record DeleteWeights(List<String> files) implements AgentEffect {
 	}
 
 	/** Reads the engine's status. */
@@ -112,19 +113,19 @@
 	}
 
 	/** Sends a status report to every entry immediately. */
-	record ReportNow() implements AgentEffect {
+	record SendReport() implements AgentEffect {
 	}
 
 	/** Announces to every entry that this VM accepts no new calls. */
-	record SayLeaving() implements AgentEffect {
+	record AnnounceLeaving() implements AgentEffect {
 	}
 
 	/**
 	 * Throttles the transfer of weights according to the latency of live traffic.
 	 *
-	 * @param share share of late responses, from 0 to 1
+	 * @param lateShare share of late responses, from 0 to 1
 	 */
-	record SlowTransfer(double share) implements AgentEffect {
+	record ThrottleTransfer(double lateShare) implements AgentEffect {
 	}
 
 	/**
--- a/policy/src/main/java/org/wisteriapost/policy/agent/AgentEvent.java
+++ b/policy/src/main/java/org/wisteriapost/policy/agent/AgentEvent.java
@@ -7,11 +7,11 @@
 import org.wisteriapost.policy.request.Priority;
 
 /**
- * An input of {@link AgentMachine}.
+ * An input of {@link AgentStateMachine}.
  */
 public sealed interface AgentEvent {
 
-	/** Sent once a second and when a {@link AgentEffect.Wake} is due. */
+	/** Sent once a second and when a {@link AgentEffect.ScheduleTick} is due. */
 	record Tick() implements AgentEvent {
 	}
 
@@ -21,9 +21,9 @@
 	 * @param generation generation of the head
 	 * @param digest digest of its bundle
 	 * @param confirmed whether the sender read it from the platform itself
-	 * @param ageMillis time since the sender read it
+	 * @param stalenessMillis time since the sender read it
 	 */
-	record HeadHeard(long generation, String digest, boolean confirmed, long ageMillis) implements AgentEvent {
+	record HeadReceived(long generation, String digest, boolean confirmed, long stalenessMillis) implements AgentEvent {
 	}
 
 	/**
@@ -41,7 +41,7 @@
 	 * @param content unverified content
 	 * @param signatures unverified signatures by operator
 	 */
-	record BundleArrived(String digest, byte[] content, Map<String, byte[]> signatures) implements AgentEvent {
+	record BundleReceived(String digest, byte[] content, Map<String, byte[]> signatures) implements AgentEvent {
 	}
 
 	/**
@@ -49,7 +49,7 @@
 	 *
 	 * @param digest requested digest
 	 */
-	record BundleMissing(String digest) implements AgentEvent {
+	record BundleUnavailable(String digest) implements AgentEvent {
 	}
 
 	/**
@@ -66,16 +66,16 @@
 	 * @param weightsDigest combined digest of the files
 	 * @param code reason
 	 */
-	record WeightsFailed(String weightsDigest, String code) implements AgentEvent {
+	record WeightsFetchFailed(String weightsDigest, String code) implements AgentEvent {
 	}
 
 	/**
 	 * Progress of the current fetch.
 	 *
-	 * @param verified number of chunks fetched and verified
-	 * @param total number of chunks needed
+	 * @param verifiedChunks number of chunks fetched and verified
+	 * @param totalChunks number of chunks needed
 	 */
-	record FetchProgress(long verified, long total) implements AgentEvent {
+	record FetchProgress(long verifiedChunks, long totalChunks) implements AgentEvent {
 	}
 
 	/**
@@ -94,7 +94,7 @@
 	 *
 	 * @param key key of the object
 	 */
-	record ObjectUnread(String key) implements AgentEvent {
+	record ObjectReadFailed(String key) implements AgentEvent {
 	}
 
 	/**
@@ -111,7 +111,7 @@
 	 *
 	 * @param key key of the object
 	 */
-	record ObjectConflict(String key) implements AgentEvent {
+	record ObjectWriteConflict(String key) implements AgentEvent {
 	}
 
 	/**
@@ -119,23 +119,23 @@
 	 *
 	 * @param key key of the object
 	 */
-	record ObjectUnconfirmed(String key) implements AgentEvent {
+	record ObjectWriteUnconfirmed(String key) implements AgentEvent {
 	}
 
 	/**
 	 * The engine's status was read.
 	 *
-	 * @param view the status
+	 * @param status the status
 	 */
-	record EngineRead(EngineView view) implements AgentEvent {
+	record EngineStatusRead(LocalEngineStatus status) implements AgentEvent {
 	}
 
 	/** Reading the engine's status failed. */
-	record EngineUnread() implements AgentEvent {
+	record EngineStatusReadFailed() implements AgentEvent {
 	}
 
 	/** The engine accepted the order. */
-	record OrderTaken() implements AgentEvent {
+	record OrderAccepted() implements AgentEvent {
 	}
 
 	/** The engine refused the order: it has seen a higher fencing number. */
@@ -147,7 +147,7 @@
 	}
 
 	/** The order was not sent because the lease had expired. */
-	record OrderLapsed() implements AgentEvent {
+	record OrderLeaseExpired() implements AgentEvent {
 	}
 
 	/**
@@ -178,7 +178,7 @@
 	 *
 	 * @param call identifier of the call
 	 */
-	record CallAnswered(long call) implements AgentEvent {
+	record ResponseStarted(long call) implements AgentEvent {
 	}
 
 	/**
@@ -198,7 +198,7 @@
 	}
 
 	/** A response came from other weights than requested and was withheld. */
-	record WrongWeightsAnswered() implements AgentEvent {
+	record WrongWeightsDetected() implements AgentEvent {
 	}
 
 	/** A connection to the runner could not be established. */
@@ -206,7 +206,7 @@
 	}
 
 	/** A signal, or a mark in the platform, requests that this VM drain and stop. */
-	record LeaveAsked() implements AgentEvent {
+	record LeaveRequested() implements AgentEvent {
 	}
 
 }
--- a/policy/src/main/java/org/wisteriapost/policy/agent/AgentIdentity.java
+++ b/policy/src/main/java/org/wisteriapost/policy/agent/AgentIdentity.java
@@ -4,12 +4,12 @@
  * Identity of an agent.
  *
  * @param vm its VM
- * @param place its failure domain
+ * @param failureDomain its failure domain
  * @param service service that its runner provides
- * @param plain whether the runner is a plain service, without weights
+ * @param plainService whether the runner is a plain service, without weights
  * @param nonce unique to this process; identifies its own writes
  */
-public record AgentIdentity(String vm, String place, String service, boolean plain, String nonce) {
+public record AgentIdentity(String vm, String failureDomain, String service, boolean plainService, String nonce) {
 
 	String leaseKey() {
 		return "vms/" + this.vm;
@@ -20,7 +20,7 @@
 	}
 
 	String slotsKey() {
-		return "switching/" + this.service + "/" + this.place;
+		return "switching/" + this.service + "/" + this.failureDomain;
 	}
 
 }
--- a/policy/src/main/java/org/wisteriapost/policy/agent/AgentMachine.java
+++ b/policy/src/main/java/org/wisteriapost/policy/agent/AgentStateMachine.java
@@ -14,7 +14,7 @@
  * calls and drains. It does no I/O itself; each event yields the effects that the I/O
  * layer must carry out. Not thread-safe.
  */
-public final class AgentMachine {
+public final class AgentStateMachine {
 
 	private static final Code DRAIN_TIMEOUT = Code.error("drain-timeout",
 			"Calls still ran when the time to drain was over; they were cut.");
@@ -50,7 +50,7 @@
 
 	private final StatusWriter statusWriter;
 
-	private AgentView view = AgentView.STARTING;
+	private AgentStatus status = AgentStatus.INITIAL;
 
 	private boolean started;
 
@@ -76,8 +76,8 @@
 
 	private long scheduledWakeNanos = Long.MAX_VALUE;
 
-	private AgentMachine(AgentIdentity identity, AgentLimits limits, OperatorKeys approvalPolicy, Invariants invariants,
-			UniformRandomProvider random) {
+	private AgentStateMachine(AgentIdentity identity, AgentLimits limits, ApprovalPolicy approvalPolicy,
+			Invariants invariants, UniformRandomProvider random) {
 		this.identity = identity;
 		this.limits = limits;
 		this.head = new HeadTracker(limits, invariants);
@@ -93,16 +93,16 @@
 	 * Returns a machine in its initial state.
 	 * @param random source of retry jitter
 	 */
-	public static AgentMachine create(AgentIdentity identity, AgentLimits limits, OperatorKeys approvalPolicy,
+	public static AgentStateMachine create(AgentIdentity identity, AgentLimits limits, ApprovalPolicy approvalPolicy,
 			Invariants invariants, UniformRandomProvider random) {
-		return new AgentMachine(identity, limits, approvalPolicy, invariants, random);
+		return new AgentStateMachine(identity, limits, approvalPolicy, invariants, random);
 	}
 
 	/**
 	 * Returns the status after the last event.
 	 */
-	public AgentView view() {
-		return this.view;
+	public AgentStatus status() {
+		return this.status;
 	}
 
 	/**
@@ -128,34 +128,34 @@
 	private void handle(AgentEvent event, EventContext context) {
 		switch (event) {
 			case AgentEvent.Tick tick -> tick(context);
-			case AgentEvent.HeadHeard received -> this.head.receive(received);
+			case AgentEvent.HeadReceived received -> this.head.receive(received);
 			case AgentEvent.EntriesConnected connected -> this.connectedEntries = connected.count();
-			case AgentEvent.BundleArrived bundle -> this.bundles.received(bundle, this.head, context);
-			case AgentEvent.BundleMissing unavailable -> this.bundles.unavailable(unavailable.digest(), context);
+			case AgentEvent.BundleReceived bundle -> this.bundles.received(bundle, this.head, context);
+			case AgentEvent.BundleUnavailable unavailable -> this.bundles.unavailable(unavailable.digest(), context);
 			case AgentEvent.WeightsFetched fetched -> this.weightSwitch.fetched(fetched.weightsDigest());
-			case AgentEvent.WeightsFailed failed ->
+			case AgentEvent.WeightsFetchFailed failed ->
 				this.weightSwitch.fetchFailed(failed.weightsDigest(), failed.code(), context);
 			case AgentEvent.FetchProgress progress -> updateProgress(progress);
 			case AgentEvent.ObjectRead read -> objectRead(read, context);
-			case AgentEvent.ObjectUnread failed -> objectReadFailed(failed.key(), context);
+			case AgentEvent.ObjectReadFailed failed -> objectReadFailed(failed.key(), context);
 			case AgentEvent.ObjectWritten written -> objectWritten(written.key(), context);
-			case AgentEvent.ObjectConflict conflict -> objectWriteFailed(conflict.key(), true, context);
-			case AgentEvent.ObjectUnconfirmed unconfirmed -> objectWriteFailed(unconfirmed.key(), false, context);
-			case AgentEvent.EngineRead engine -> this.weightSwitch.engineRead(engine.view(), context);
-			case AgentEvent.EngineUnread failed -> this.weightSwitch.engineReadFailed(context);
-			case AgentEvent.OrderTaken accepted -> this.weightSwitch.orderCompleted(accepted, context);
+			case AgentEvent.ObjectWriteConflict conflict -> objectWriteFailed(conflict.key(), true, context);
+			case AgentEvent.ObjectWriteUnconfirmed unconfirmed -> objectWriteFailed(unconfirmed.key(), false, context);
+			case AgentEvent.EngineStatusRead engine -> this.weightSwitch.engineRead(engine.status(), context);
+			case AgentEvent.EngineStatusReadFailed failed -> this.weightSwitch.engineReadFailed(context);
+			case AgentEvent.OrderAccepted accepted -> this.weightSwitch.orderCompleted(accepted, context);
 			case AgentEvent.OrderFenced fenced -> this.weightSwitch.orderCompleted(fenced, context);
 			case AgentEvent.OrderUnconfirmed unconfirmed -> this.weightSwitch.orderCompleted(unconfirmed, context);
-			case AgentEvent.OrderLapsed expired -> this.weightSwitch.orderCompleted(expired, context);
+			case AgentEvent.OrderLeaseExpired expired -> this.weightSwitch.orderCompleted(expired, context);
 			case AgentEvent.PeersRead peers -> updatePeers(peers, context);
 			case AgentEvent.CallArrived call -> this.gate.arrived(call, context);
-			case AgentEvent.CallAnswered response -> this.gate.responseStarted(response.call(), context);
+			case AgentEvent.ResponseStarted response -> this.gate.responseStarted(response.call(), context);
 			case AgentEvent.CallEnded ended -> this.gate.ended(ended.call(), context);
 			case AgentEvent.CallCancelled cancelled -> this.gate.cancelled(cancelled.call(), context);
-			case AgentEvent.WrongWeightsAnswered wrong -> this.weightSwitch.wrongWeightsDetected(context);
+			case AgentEvent.WrongWeightsDetected wrong -> this.weightSwitch.wrongWeightsDetected(context);
 			case AgentEvent.RunnerUnreachable unreachable ->
 				this.runnerBackoffUntilNanos = context.now() + RUNNER_BACKOFF_NANOS;
-			case AgentEvent.LeaveAsked leave -> startLeaving(context);
+			case AgentEvent.LeaveRequested leave -> startLeaving(context);
 		}
 	}
 
@@ -169,8 +169,8 @@
 	}
 
 	private void updateProgress(AgentEvent.FetchProgress progress) {
-		this.verifiedChunks = progress.verified();
-		this.totalChunks = progress.total();
+		this.verifiedChunks = progress.verifiedChunks();
+		this.totalChunks = progress.totalChunks();
 	}
 
 	private void updatePeers(AgentEvent.PeersRead peers, EventContext context) {
@@ -185,7 +185,7 @@
 			this.headReadInFlight = false;
 			Head stored = read.value().map((object) -> BundleCodec.head(object.value())).orElse(Head.NONE);
 			long stalenessMillis = (context.now() - read.sentNanos()) / 1_000_000;
-			this.head.receive(new AgentEvent.HeadHeard(stored.generation(), stored.digest(), true, stalenessMillis));
+			this.head.receive(new AgentEvent.HeadReceived(stored.generation(), stored.digest(), true, stalenessMillis));
 		}
 		else if (read.key().equals(this.identity.leaseKey())) {
 			this.lease.read(read, context);
@@ -235,7 +235,7 @@
 		if (!this.leaving) {
 			this.leaving = true;
 			this.leavingSinceNanos = context.now();
-			context.add(new AgentEffect.SayLeaving());
+			context.add(new AgentEffect.AnnounceLeaving());
 		}
 	}
 
@@ -275,7 +275,7 @@
 		if (!backoffElapsed) {
 			context.wakeAt(this.runnerBackoffUntilNanos);
 		}
-		boolean ready = this.identity.plain() ? plainAdmitting() : this.weightSwitch.admitting();
+		boolean ready = this.identity.plainService() ? plainAdmitting() : this.weightSwitch.admitting();
 		return new AdmissionRules(ready && backoffElapsed && !this.leaving, this.leaving,
 				this.weightSwitch.servedWeights(), capacity());
 	}
@@ -291,30 +291,30 @@
 
 	private int capacity() {
 		return this.weightSwitch.engineStatus()
-			.map(EngineView::capacity)
+			.map(LocalEngineStatus::capacity)
 			.filter((reported) -> reported > 0)
-			.orElse(this.limits.capacity());
+			.orElse(this.limits.defaultCapacity());
 	}
 
 	private void updateStatus(EventContext context) {
-		AgentView previous = this.view;
+		AgentStatus previous = this.status;
 		AdmissionRules admission = admissionRules(context);
 		Optional<AcceptedBundle> bundle = this.bundles.accepted();
-		int engineRunning = this.weightSwitch.engineStatus().map(EngineView::running).orElse(0);
-		int engineQueued = this.weightSwitch.engineStatus().map(EngineView::queued).orElse(0);
-		this.view = new AgentView(admission.admitting(), this.leaving, admission.weightsDigest(),
+		int engineRunning = this.weightSwitch.engineStatus().map(LocalEngineStatus::running).orElse(0);
+		int engineQueued = this.weightSwitch.engineStatus().map(LocalEngineStatus::queued).orElse(0);
+		this.status = new AgentStatus(admission.admitting(), this.leaving, admission.weightsDigest(),
 				bundle.map(AcceptedBundle::generation).orElse(0L), bundle.map(AcceptedBundle::digest).orElse(""),
 				Math.max(this.gate.running(), engineRunning), admission.capacity(), this.gate.queued() + engineQueued,
 				this.verifiedChunks, this.totalChunks, failureCode(), this.lease.epoch().orElse(0),
 				this.head.generation(), this.head.digest(),
-				bundle.map((one) -> new AgentView.BundleCopy(one.content(), one.signatures())));
-		if (this.view.requiresImmediateReport(previous)) {
-			context.add(new AgentEffect.ReportNow());
+				bundle.map((one) -> new AgentStatus.SignedBundle(one.content(), one.signatures())));
+		if (this.status.requiresImmediateReport(previous)) {
+			context.add(new AgentEffect.SendReport());
 		}
-		this.statusWriter.advance(this.view, context);
+		this.statusWriter.advance(this.status, context);
 		if (Math.abs(this.gate.lateShare() - this.signalledLateShare) >= 0.05) {
 			this.signalledLateShare = this.gate.lateShare();
-			context.add(new AgentEffect.SlowTransfer(this.signalledLateShare));
+			context.add(new AgentEffect.ThrottleTransfer(this.signalledLateShare));
 		}
 	}
 
@@ -328,7 +328,7 @@
 		}
 		this.slots.release(context);
 		long elapsedNanos = context.now() - this.leavingSinceNanos;
-		if (elapsedNanos >= this.limits.drain().toNanos()) {
+		if (elapsedNanos >= this.limits.drainTimeout().toNanos()) {
 			this.gate.cancelAll(context);
 			stop(DRAIN_TIMEOUT.name(), context);
 			return;
@@ -356,7 +356,7 @@
 	private void scheduleWake(EventContext context) {
 		if (context.wakeAt() < this.scheduledWakeNanos) {
 			this.scheduledWakeNanos = context.wakeAt();
-			context.add(new AgentEffect.Wake(Math.max(0, this.scheduledWakeNanos - context.now())));
+			context.add(new AgentEffect.ScheduleTick(Math.max(0, this.scheduledWakeNanos - context.now())));
 		}
 	}
 
--- a/policy/src/main/java/org/wisteriapost/policy/agent/OperatorKeys.java
+++ b/policy/src/main/java/org/wisteriapost/policy/agent/ApprovalPolicy.java
@@ -8,16 +8,16 @@
  * The operators whose approvals are valid, and the number of approvals required.
  *
  * @param publicKeys public keys by operator, base64 of the X.509 encoding
- * @param needed number of distinct operators that must approve
+ * @param requiredApprovals number of distinct operators that must approve
  */
-public record OperatorKeys(Map<String, String> publicKeys, int needed) {
+public record ApprovalPolicy(Map<String, String> publicKeys, int requiredApprovals) {
 
-	public OperatorKeys {
+	public ApprovalPolicy {
 		publicKeys = Map.copyOf(publicKeys);
 	}
 
 	boolean isApproved(String digest, Map<String, byte[]> signatures) {
-		return Approvals.counted(digest, signatures, this.publicKeys).size() >= this.needed;
+		return Approvals.countedOperators(digest, signatures, this.publicKeys).size() >= this.requiredApprovals;
 	}
 
 }
--- a/policy/src/main/java/org/wisteriapost/policy/agent/BundleAcceptor.java
+++ b/policy/src/main/java/org/wisteriapost/policy/agent/BundleAcceptor.java
@@ -32,7 +32,7 @@
 
 	private final AgentIdentity identity;
 
-	private final OperatorKeys approvalPolicy;
+	private final ApprovalPolicy approvalPolicy;
 
 	private final Invariants invariants;
 
@@ -48,7 +48,7 @@
 
 	private long retryDelayNanos = MIN_RETRY_DELAY_NANOS;
 
-	BundleAcceptor(AgentIdentity identity, OperatorKeys approvalPolicy, Invariants invariants) {
+	BundleAcceptor(AgentIdentity identity, ApprovalPolicy approvalPolicy, Invariants invariants) {
 		this.identity = identity;
 		this.approvalPolicy = approvalPolicy;
 		this.invariants = invariants;
@@ -88,7 +88,7 @@
 		context.add(new AgentEffect.FetchBundle(this.targetDigest));
 	}
 
-	void received(AgentEvent.BundleArrived event, HeadTracker head, EventContext context) {
+	void received(AgentEvent.BundleReceived event, HeadTracker head, EventContext context) {
 		if (!event.digest().equals(this.targetDigest)) {
 			return;
 		}
--- a/policy/src/main/java/org/wisteriapost/policy/agent/CallGate.java
+++ b/policy/src/main/java/org/wisteriapost/policy/agent/CallGate.java
@@ -47,7 +47,7 @@
 	private double meanDurationNanos = INITIAL_DURATION_NANOS;
 
 	CallGate(AgentLimits limits) {
-		this.maxQueuedCalls = limits.queue();
+		this.maxQueuedCalls = limits.maxQueuedCalls();
 		for (Priority priority : Priority.values()) {
 			this.queues.put(priority, new ArrayDeque<>());
 		}
--- a/policy/src/main/java/org/wisteriapost/policy/agent/EpochLease.java
+++ b/policy/src/main/java/org/wisteriapost/policy/agent/EpochLease.java
@@ -45,7 +45,7 @@
 
 	EpochLease(AgentIdentity identity, AgentLimits limits) {
 		this.identity = identity;
-		this.leaseDurationNanos = limits.lease().toNanos();
+		this.leaseDurationNanos = limits.leaseDuration().toNanos();
 	}
 
 	void start(EventContext context) {
--- a/policy/src/main/java/org/wisteriapost/policy/agent/HeadTracker.java
+++ b/policy/src/main/java/org/wisteriapost/policy/agent/HeadTracker.java
@@ -24,7 +24,7 @@
 	private boolean established;
 
 	HeadTracker(AgentLimits limits, Invariants invariants) {
-		this.maxStalenessMillis = limits.fresh().toMillis();
+		this.maxStalenessMillis = limits.maxHeadStaleness().toMillis();
 		this.invariants = invariants;
 	}
 
@@ -40,8 +40,8 @@
 		return this.established;
 	}
 
-	void receive(AgentEvent.HeadHeard head) {
-		if (head.confirmed() && head.ageMillis() <= this.maxStalenessMillis) {
+	void receive(AgentEvent.HeadReceived head) {
+		if (head.confirmed() && head.stalenessMillis() <= this.maxStalenessMillis) {
 			this.established = true;
 		}
 		if (head.generation() < this.generation || head.generation() == 0) {
--- a/policy/src/main/java/org/wisteriapost/policy/agent/EngineView.java
+++ b/policy/src/main/java/org/wisteriapost/policy/agent/LocalEngineStatus.java
@@ -11,6 +11,6 @@
  * @param generation generation of the last accepted order
  * @param epoch epoch of the last accepted order
  */
-public record EngineView(String weightsDigest, boolean loading, int running, int queued, int capacity, long generation,
-		long epoch) {
+public record LocalEngineStatus(String weightsDigest, boolean loading, int running, int queued, int capacity,
+		long generation, long epoch) {
 }
--- a/policy/src/main/java/org/wisteriapost/policy/agent/StatusWriter.java
+++ b/policy/src/main/java/org/wisteriapost/policy/agent/StatusWriter.java
@@ -32,10 +32,11 @@
 		this.identity = identity;
 	}
 
-	void advance(AgentView agentStatus, EventContext context) {
-		VmStatus vmStatus = new VmStatus(this.identity.vm(), this.identity.place(), this.identity.service(),
-				agentStatus.generation(), agentStatus.digest(), agentStatus.weightsDigest(), agentStatus.admitting(),
-				(int) agentStatus.verified(), (int) agentStatus.total(), agentStatus.failing());
+	void advance(AgentStatus agentStatus, EventContext context) {
+		VmStatus vmStatus = new VmStatus(this.identity.vm(), this.identity.failureDomain(), this.identity.service(),
+				agentStatus.bundleGeneration(), agentStatus.bundleDigest(), agentStatus.weightsDigest(),
+				agentStatus.admitting(), (int) agentStatus.verifiedChunks(), (int) agentStatus.totalChunks(),
+				agentStatus.failureCode());
 		if (this.writeInFlight || vmStatus.equals(this.lastWritten)) {
 			return;
 		}
@@ -50,7 +51,7 @@
 		this.sentBefore = true;
 		this.lastSentNanos = context.now();
 		context.add(new AgentEffect.WriteObject(this.identity.statusKey(), BundleCodec.encode(vmStatus),
-				AgentEffect.WriteObject.ANYTHING));
+				AgentEffect.WriteObject.ANY_VERSION));
 	}
 
 	void writeCompleted(boolean succeeded) {
--- a/policy/src/main/java/org/wisteriapost/policy/agent/SwitchSlotClient.java
+++ b/policy/src/main/java/org/wisteriapost/policy/agent/SwitchSlotClient.java
@@ -171,7 +171,7 @@
 		// switches in a small failure domain.
 		SwitchSlots others = withoutRemovedVms(slots.without(this.identity.vm()), context.now());
 		int unresponsive = (int) others.holders().stream().filter((one) -> unresponsive(one, context.now())).count();
-		int limit = SwitchLimit.of(this.liveVms.size(), unresponsive, this.minReady, this.limits.share());
+		int limit = SwitchLimit.of(this.liveVms.size(), unresponsive, this.minReady, this.limits.maxSwitchingShare());
 		if (!this.alreadyUnready && others.holders().size() - unresponsive >= limit) {
 			long interval = Math.max(MIN_POLL_INTERVAL_NANOS, POLL_INTERVAL_PER_VM_NANOS * this.liveVms.size());
 			this.nextReadNanos = context.now() + interval / 2 + this.random.nextLong(interval);
--- a/policy/src/main/java/org/wisteriapost/policy/agent/WeightSwitch.java
+++ b/policy/src/main/java/org/wisteriapost/policy/agent/WeightSwitch.java
@@ -58,7 +58,7 @@
 
 	private Phase phase = Phase.STEADY;
 
-	private Optional<EngineView> engineStatus = Optional.empty();
+	private Optional<LocalEngineStatus> engineStatus = Optional.empty();
 
 	private int failedReads;
 
@@ -112,11 +112,11 @@
 	 */
 	String servedWeights() {
 		return this.engineStatus.filter((status) -> !status.loading() && !this.statusSuspect)
-			.map(EngineView::weightsDigest)
+			.map(LocalEngineStatus::weightsDigest)
 			.orElse("");
 	}
 
-	Optional<EngineView> engineStatus() {
+	Optional<LocalEngineStatus> engineStatus() {
 		return this.engineStatus;
 	}
 
@@ -142,7 +142,7 @@
 				&& (this.head.established() || this.servedKnownHead);
 	}
 
-	void engineRead(EngineView status, EventContext context) {
+	void engineRead(LocalEngineStatus status, EventContext context) {
 		this.readInFlight = false;
 		this.failedReads = 0;
 		this.statusSuspect = false;
@@ -198,7 +198,7 @@
 		this.pollIntervalNanos = MIN_POLL_INTERVAL_NANOS;
 		this.nextReadNanos = context.now();
 		switch (event) {
-			case AgentEvent.OrderLapsed expired -> {
+			case AgentEvent.OrderLeaseExpired expired -> {
 				this.lease.invalidate();
 				this.phase = Phase.DRAINING;
 			}
@@ -213,13 +213,13 @@
 	 * this agent did not order.
 	 */
 	void tick(EventContext context) {
-		if (!this.identity.plain() && context.now() >= this.lastReadNanos + STATUS_INTERVAL_NANOS) {
+		if (!this.identity.plainService() && context.now() >= this.lastReadNanos + STATUS_INTERVAL_NANOS) {
 			readEngine(context);
 		}
 	}
 
 	void advance(int running, EventContext context) {
-		if (this.identity.plain() || this.replaced) {
+		if (this.identity.plainService() || this.replaced) {
 			return;
 		}
 		Optional<AcceptedBundle> accepted = this.bundles.accepted();
@@ -237,7 +237,7 @@
 		accepted.ifPresent((bundle) -> advanceTowards(bundle, this.engineStatus.get(), running, context));
 	}
 
-	private void advanceTowards(AcceptedBundle target, EngineView status, int running, EventContext context) {
+	private void advanceTowards(AcceptedBundle target, LocalEngineStatus status, int running, EventContext context) {
 		if (target.serviceSpec().isEmpty()) {
 			settle(context);
 			return;
@@ -301,7 +301,7 @@
 		List<String> unneeded = this.storedFiles.stream().filter((file) -> !needed.contains(file)).toList();
 		this.storedFiles = needed;
 		if (!unneeded.isEmpty()) {
-			context.add(new AgentEffect.DropWeights(unneeded));
+			context.add(new AgentEffect.DeleteWeights(unneeded));
 		}
 	}
 
@@ -341,7 +341,7 @@
 	 * order, and a lost response may hide an order that was accepted.
 	 */
 	private void awaitOrderedWeights(EventContext context) {
-		EngineView status = this.engineStatus.get();
+		LocalEngineStatus status = this.engineStatus.get();
 		if (this.nextReadNanos == Long.MAX_VALUE) {
 			return;
 		}
@@ -369,7 +369,7 @@
 	 * this VM, so the head known here is stale. In all other cases a newer agent has
 	 * replaced this one.
 	 */
-	private void handleFencedOrder(EngineView status) {
+	private void handleFencedOrder(LocalEngineStatus status) {
 		this.orderFenced = false;
 		boolean epochNotHigher = this.lease.epoch().isPresent() && status.epoch() <= this.lease.epoch().getAsLong();
 		if (epochNotHigher && status.generation() > this.orderedGeneration) {
@@ -385,7 +385,7 @@
 	 * head received. Then it may go on serving before the head is confirmed, since that
 	 * reverts nothing even if the head is stale.
 	 */
-	private boolean servesKnownHead(EngineView status) {
+	private boolean servesKnownHead(LocalEngineStatus status) {
 		if (status.loading() || status.weightsDigest().isEmpty() || this.head.generation() == 0) {
 			return false;
 		}
--- a/policy/src/main/java/org/wisteriapost/policy/bundle/Approvals.java
+++ b/policy/src/main/java/org/wisteriapost/policy/bundle/Approvals.java
@@ -72,7 +72,8 @@
 	 * @param signatures the signatures by operator
 	 * @param publicKeys the base64 public keys of the configured operators, by name
 	 */
-	public static Set<String> counted(String digest, Map<String, byte[]> signatures, Map<String, String> publicKeys) {
+	public static Set<String> countedOperators(String digest, Map<String, byte[]> signatures,
+			Map<String, String> publicKeys) {
 		Set<String> keys = new HashSet<>();
 		Set<String> operators = new HashSet<>();
 		signatures.forEach((operator, signature) -> {
--- a/policy/src/main/java/org/wisteriapost/policy/bundle/HeadMove.java
+++ b/policy/src/main/java/org/wisteriapost/policy/bundle/HeadMove.java
@@ -33,24 +33,24 @@
 	 * @param read the head as read back
 	 * @param recorded the record of the written generation, when the head is past it
 	 */
-	public static Fate fate(Head written, Head read, Optional<Head> recorded) {
+	public static Outcome outcome(Head written, Head read, Optional<Head> recorded) {
 		if (read.nonce().equals(written.nonce())) {
-			return Fate.WON;
+			return Outcome.WON;
 		}
 		if (read.generation() < written.generation()) {
-			return Fate.NOT_WRITTEN;
+			return Outcome.NOT_WRITTEN;
 		}
 		if (read.generation() == written.generation()) {
-			return Fate.LOST;
+			return Outcome.LOST;
 		}
-		return recorded.map((head) -> head.nonce().equals(written.nonce()) ? Fate.WON : Fate.LOST)
-			.orElse(Fate.UNDECIDED);
+		return recorded.map((head) -> head.nonce().equals(written.nonce()) ? Outcome.WON : Outcome.LOST)
+			.orElse(Outcome.UNDECIDED);
 	}
 
 	/**
 	 * The outcome of a write.
 	 */
-	public enum Fate {
+	public enum Outcome {
 
 		/** The write succeeded. */
 		WON,
--- a/policy/src/main/java/org/wisteriapost/policy/burn/BurnReport.java
+++ b/policy/src/main/java/org/wisteriapost/policy/burn/BurnReport.java
@@ -14,7 +14,7 @@
  * @param oldestMillis age of the oldest snapshot included
  * @param lines one line for each objective
  */
-public record BurnReport(long atMillis, int entries, long oldestMillis, List<Line> lines) {
+public record BurnReport(long atMillis, int entries, long oldestMillis, List<ObjectiveBurn> lines) {
 
 	/**
 	 * Returns the report over the entries' snapshots. A snapshot that is older than a
@@ -23,37 +23,39 @@
 	 * @param nowMillis current time in milliseconds since the Unix epoch
 	 */
 	public static BurnReport of(List<Objective> objectives, List<BurnSnapshot> snapshots, long nowMillis) {
-		List<Line> lines = objectives.stream().map((objective) -> line(objective, snapshots, nowMillis)).toList();
+		List<ObjectiveBurn> lines = objectives.stream()
+			.map((objective) -> line(objective, snapshots, nowMillis))
+			.toList();
 		long oldest = snapshots.stream().mapToLong((snapshot) -> nowMillis - snapshot.atMillis()).max().orElse(0);
 		return new BurnReport(nowMillis, snapshots.size(), oldest, lines);
 	}
 
-	private static Line line(Objective objective, List<BurnSnapshot> snapshots, long nowMillis) {
-		List<Span> spans = new ArrayList<>();
+	private static ObjectiveBurn line(Objective objective, List<BurnSnapshot> snapshots, long nowMillis) {
+		List<WindowBurn> spans = new ArrayList<>();
 		for (BurnWindow window : BurnWindow.values()) {
-			Map<String, Counts> spenders = new TreeMap<>();
+			Map<String, ResultCounts> spenders = new TreeMap<>();
 			for (BurnSnapshot snapshot : snapshots) {
 				if (nowMillis - snapshot.atMillis() < window.lengthMillis()) {
 					addCounts(objective, window, snapshot, spenders);
 				}
 			}
-			Counts total = spenders.values().stream().reduce(Counts.NONE, Counts::plus);
-			spans.add(new Span(window.label(), total, burnRate(objective, total), spenders));
+			ResultCounts total = spenders.values().stream().reduce(ResultCounts.NONE, ResultCounts::plus);
+			spans.add(new WindowBurn(window.label(), total, burnRate(objective, total), spenders));
 		}
-		return new Line(objective, spans);
+		return new ObjectiveBurn(objective, spans);
 	}
 
 	private static void addCounts(Objective objective, BurnWindow window, BurnSnapshot snapshot,
-			Map<String, Counts> spenders) {
+			Map<String, ResultCounts> spenders) {
 		for (BurnSnapshot.Row row : snapshot.rows()) {
 			if (objective.covers(row.service(), row.organisation())) {
-				Counts counts = row.windows().getOrDefault(window.label(), Counts.NONE);
-				spenders.merge(row.organisation(), counts, Counts::plus);
+				ResultCounts counts = row.windows().getOrDefault(window.label(), ResultCounts.NONE);
+				spenders.merge(row.organisation(), counts, ResultCounts::plus);
 			}
 		}
 	}
 
-	private static double burnRate(Objective objective, Counts counts) {
+	private static double burnRate(Objective objective, ResultCounts counts) {
 		if (counts.total() == 0) {
 			return 0;
 		}
@@ -67,7 +69,7 @@
 	 * @param objective the objective
 	 * @param spans one span for each window, shortest first
 	 */
-	public record Line(Objective objective, List<Span> spans) {
+	public record ObjectiveBurn(Objective objective, List<WindowBurn> spans) {
 
 		/**
 		 * Returns the share of the longest window's error budget that is spent.
@@ -87,7 +89,7 @@
 	 * objective allows; at 1 the budget is spent exactly over the window
 	 * @param spenders counts by organisation
 	 */
-	public record Span(String window, Counts counts, double burn, Map<String, Counts> spenders) {
+	public record WindowBurn(String window, ResultCounts counts, double burn, Map<String, ResultCounts> spenders) {
 	}
 
 }
--- a/policy/src/main/java/org/wisteriapost/policy/burn/BurnSnapshot.java
+++ b/policy/src/main/java/org/wisteriapost/policy/burn/BurnSnapshot.java
@@ -24,7 +24,7 @@
 	 * @param organisation the organisation that called it
 	 * @param windows counts by {@link BurnWindow#label}
 	 */
-	public record Row(String service, String organisation, Map<String, Counts> windows) {
+	public record Row(String service, String organisation, Map<String, ResultCounts> windows) {
 
 		public Row {
 			windows = Map.copyOf(windows);
--- a/policy/src/main/java/org/wisteriapost/policy/burn/Objective.java
+++ b/policy/src/main/java/org/wisteriapost/policy/burn/Objective.java
@@ -6,9 +6,9 @@
  * @param name name of the settings section
  * @param service the service covered
  * @param organisation the organisation covered, {@code *} for all
- * @param availability share of requests that must be {@link Result#GOOD}
+ * @param availability share of requests that must be {@link RequestResult#GOOD}
  * @param latencyMillis maximum time to the first byte of a response; a later response is
- * {@link Result#LATE}
+ * {@link RequestResult#LATE}
  */
 public record Objective(String name, String service, String organisation, double availability, long latencyMillis) {
 
--- a/policy/src/main/java/org/wisteriapost/policy/burn/ObjectiveSettings.java
+++ b/policy/src/main/java/org/wisteriapost/policy/burn/ObjectiveSettings.java
@@ -36,7 +36,7 @@
 	 * Returns the objectives of a validated settings file.
 	 */
 	public static List<Objective> read(Settings settings) {
-		return settings.named("objective").stream().map((name) -> {
+		return settings.sectionsOfKind("objective").stream().map((name) -> {
 			String section = "objective " + name;
 			return new Objective(name, SERVICE.get(settings, section), ORGANISATION.get(settings, section),
 					AVAILABILITY.get(settings, section), LATENCY.get(settings, section));
--- a/policy/src/main/java/org/wisteriapost/policy/burn/BurnLedger.java
+++ b/policy/src/main/java/org/wisteriapost/policy/burn/RequestCounter.java
@@ -15,28 +15,28 @@
  * define organisations and services, cannot exhaust the entry's heap. Further series are
  * counted together under {@link #OVERFLOW}.
  */
-public final class BurnLedger {
+public final class RequestCounter {
 
 	/** Counts the requests of all series over the limit. */
-	public static final Series OVERFLOW = new Series("others", "others");
+	public static final RequestSeries OVERFLOW = new RequestSeries("others", "others");
 
 	private static final int MAX_SERIES = 512;
 
-	private final Map<Series, Map<BurnWindow, Ring>> series = new LinkedHashMap<>();
+	private final Map<RequestSeries, Map<BurnWindow, Ring>> series = new LinkedHashMap<>();
 
-	private BurnLedger() {
+	private RequestCounter() {
 	}
 
-	public static BurnLedger create() {
-		return new BurnLedger();
+	public static RequestCounter create() {
+		return new RequestCounter();
 	}
 
 	/**
 	 * Counts a request.
 	 * @param nowMillis current time in milliseconds since the Unix epoch
 	 */
-	public void count(Series key, Result result, long nowMillis) {
-		Series counted = (this.series.containsKey(key) || this.series.size() < MAX_SERIES) ? key : OVERFLOW;
+	public void count(RequestSeries key, RequestResult result, long nowMillis) {
+		RequestSeries counted = (this.series.containsKey(key) || this.series.size() < MAX_SERIES) ? key : OVERFLOW;
 		Map<BurnWindow, Ring> rings = this.series.computeIfAbsent(counted, (absent) -> rings());
 		rings.forEach((window, ring) -> ring.count(result, nowMillis / window.bucketMillis()));
 	}
@@ -48,7 +48,7 @@
 	public BurnSnapshot snapshot(String entry, long nowMillis) {
 		List<BurnSnapshot.Row> rows = new ArrayList<>();
 		this.series.forEach((key, rings) -> {
-			Map<String, Counts> windows = new LinkedHashMap<>();
+			Map<String, ResultCounts> windows = new LinkedHashMap<>();
 			rings.forEach((window, ring) -> windows.put(window.label(), ring.sum(nowMillis / window.bucketMillis())));
 			rows.add(new BurnSnapshot.Row(key.service(), key.organisation(), windows));
 		});
@@ -75,10 +75,10 @@
 
 		private Ring(int buckets) {
 			this.bucketNumbers = new long[buckets];
-			this.counts = new long[buckets][Result.values().length];
+			this.counts = new long[buckets][RequestResult.values().length];
 		}
 
-		private void count(Result result, long bucket) {
+		private void count(RequestResult result, long bucket) {
 			int slot = (int) (bucket % this.bucketNumbers.length);
 			if (this.bucketNumbers[slot] != bucket) {
 				this.bucketNumbers[slot] = bucket;
@@ -87,12 +87,12 @@
 			this.counts[slot][result.ordinal()]++;
 		}
 
-		private Counts sum(long lastBucket) {
-			Counts sum = Counts.NONE;
+		private ResultCounts sum(long lastBucket) {
+			ResultCounts sum = ResultCounts.NONE;
 			for (int i = 0; i < this.bucketNumbers.length; i++) {
 				if (this.bucketNumbers[i] > lastBucket - this.bucketNumbers.length
 						&& this.bucketNumbers[i] <= lastBucket) {
-					sum = sum.plus(new Counts(Arrays.stream(this.counts[i]).boxed().toList()));
+					sum = sum.plus(new ResultCounts(Arrays.stream(this.counts[i]).boxed().toList()));
 				}
 			}
 			return sum;
--- a/policy/src/main/java/org/wisteriapost/policy/burn/Result.java
+++ b/policy/src/main/java/org/wisteriapost/policy/burn/RequestResult.java
@@ -3,7 +3,7 @@
 /**
  * Result of a request from the caller's point of view.
  */
-public enum Result {
+public enum RequestResult {
 
 	/** Answered completely within the latency of the objective. */
 	GOOD,
--- a/policy/src/main/java/org/wisteriapost/policy/burn/Series.java
+++ b/policy/src/main/java/org/wisteriapost/policy/burn/RequestSeries.java
@@ -6,5 +6,5 @@
  * @param service the service called
  * @param organisation the organisation that called it
  */
-public record Series(String service, String organisation) {
+public record RequestSeries(String service, String organisation) {
 }
--- a/policy/src/main/java/org/wisteriapost/policy/burn/Counts.java
+++ b/policy/src/main/java/org/wisteriapost/policy/burn/ResultCounts.java
@@ -6,21 +6,22 @@
 /**
  * Numbers of requests by result.
  *
- * @param byResult counts in the declaration order of {@link Result}
+ * @param byResult counts in the declaration order of {@link RequestResult}
  */
-public record Counts(List<Long> byResult) {
+public record ResultCounts(List<Long> byResult) {
 
 	/** No requests. */
-	public static final Counts NONE = new Counts(Arrays.stream(Result.values()).map((result) -> 0L).toList());
+	public static final ResultCounts NONE = new ResultCounts(
+			Arrays.stream(RequestResult.values()).map((result) -> 0L).toList());
 
-	public Counts {
+	public ResultCounts {
 		byResult = List.copyOf(byResult);
 	}
 
 	/**
 	 * Returns the number of requests with a result.
 	 */
-	public long of(Result result) {
+	public long of(RequestResult result) {
 		return this.byResult.get(result.ordinal());
 	}
 
@@ -33,14 +34,15 @@
 
 	/**
 	 * Returns the number of requests that spend the error budget: all that are not
-	 * {@link Result#GOOD}.
+	 * {@link RequestResult#GOOD}.
 	 */
 	public long bad() {
-		return total() - of(Result.GOOD);
+		return total() - of(RequestResult.GOOD);
 	}
 
-	public Counts plus(Counts other) {
-		return new Counts(Arrays.stream(Result.values()).map((result) -> of(result) + other.of(result)).toList());
+	public ResultCounts plus(ResultCounts other) {
+		return new ResultCounts(
+				Arrays.stream(RequestResult.values()).map((result) -> of(result) + other.of(result)).toList());
 	}
 
 }
--- a/policy/src/main/java/org/wisteriapost/policy/claim/ClaimEffect.java
+++ b/policy/src/main/java/org/wisteriapost/policy/claim/ClaimEffect.java
@@ -6,7 +6,8 @@
 public sealed interface ClaimEffect {
 
 	/**
-	 * Reads an object; answered by {@link ClaimTable#read} or {@link ClaimTable#failed}.
+	 * Reads an object; answered by {@link ClaimTable#onRead} or
+	 * {@link ClaimTable#onFailure}.
 	 *
 	 * @param object the object's key in the platform
 	 */
@@ -15,8 +16,8 @@
 
 	/**
 	 * Writes an object if its version is unchanged; answered by
-	 * {@link ClaimTable#written}, by {@link ClaimTable#read} with the current value on a
-	 * conflict, or by {@link ClaimTable#failed}.
+	 * {@link ClaimTable#onWritten}, by {@link ClaimTable#onRead} with the current value
+	 * on a conflict, or by {@link ClaimTable#onFailure}.
 	 *
 	 * @param object the object's key in the platform
 	 * @param value the new value
@@ -28,9 +29,9 @@
 	/**
 	 * Completes the claim of a call.
 	 *
-	 * @param verdict the outcome
+	 * @param result the outcome
 	 */
-	record Tell(ClaimVerdict verdict) implements ClaimEffect {
+	record Complete(ClaimResult result) implements ClaimEffect {
 	}
 
 }
--- a/policy/src/main/java/org/wisteriapost/policy/claim/ClaimKey.java
+++ b/policy/src/main/java/org/wisteriapost/policy/claim/ClaimKey.java
@@ -53,22 +53,23 @@
 	/**
 	 * Returns why a key issued at the given time cannot be used now, or empty if it can.
 	 */
-	public static Optional<Fault> check(long issuedMillis, long nowMillis) {
+	public static Optional<Rejection> validate(long issuedMillis, long nowMillis) {
 		if (issuedMillis < nowMillis - RETENTION.toMillis()) {
-			return Optional.of(Fault.TOO_OLD);
+			return Optional.of(Rejection.EXPIRED);
 		}
-		return (issuedMillis > nowMillis + MAX_CLOCK_SKEW.toMillis()) ? Optional.of(Fault.AHEAD) : Optional.empty();
+		return (issuedMillis > nowMillis + MAX_CLOCK_SKEW.toMillis()) ? Optional.of(Rejection.ISSUED_IN_FUTURE)
+				: Optional.empty();
 	}
 
 	/**
 	 * Reasons why a key cannot be used.
 	 */
-	public enum Fault {
+	public enum Rejection {
 
 		/** Its record may have expired, so that the first call may have run. */
-		TOO_OLD,
+		EXPIRED,
 		/** It was issued too far in the future by the clock of this entry. */
-		AHEAD
+		ISSUED_IN_FUTURE
 
 	}
 
--- a/policy/src/main/java/org/wisteriapost/policy/claim/ClaimOperation.java
+++ b/policy/src/main/java/org/wisteriapost/policy/claim/ClaimOperation.java
@@ -1,7 +1,7 @@
 package org.wisteriapost.policy.claim;
 
-import org.wisteriapost.policy.claim.ClaimRecord.KeptAnswer;
 import org.wisteriapost.policy.claim.ClaimRecord.State;
+import org.wisteriapost.policy.claim.ClaimRecord.StoredAnswer;
 
 /**
  * An operation on a claim page.
@@ -39,7 +39,7 @@
 	 * @param state the outcome
 	 * @param answer the complete answer, if it is to be stored
 	 */
-	record Settle(ClaimKey key, String nonce, State state, KeptAnswer answer) implements ClaimOperation {
+	record Settle(ClaimKey key, String nonce, State state, StoredAnswer answer) implements ClaimOperation {
 	}
 
 	/**
--- a/policy/src/main/java/org/wisteriapost/policy/claim/ClaimRecord.java
+++ b/policy/src/main/java/org/wisteriapost/policy/claim/ClaimRecord.java
@@ -12,19 +12,19 @@
  * @param state what is known about the execution of the call
  * @param answer the complete first answer if the state is {@link State#ANSWERED}
  */
-public record ClaimRecord(String key, String call, String nonce, State state, KeptAnswer answer) {
+public record ClaimRecord(String key, String call, String nonce, State state, StoredAnswer answer) {
 
 	/**
 	 * Returns the record of a call that has not been sent.
 	 */
 	static ClaimRecord claimed(String key, String call, String nonce) {
-		return new ClaimRecord(key, call, nonce, State.CLAIMED, KeptAnswer.NONE);
+		return new ClaimRecord(key, call, nonce, State.CLAIMED, StoredAnswer.NONE);
 	}
 
 	/**
 	 * Returns this record with the outcome of the call.
 	 */
-	ClaimRecord withOutcome(State outcome, KeptAnswer storedAnswer) {
+	ClaimRecord withOutcome(State outcome, StoredAnswer storedAnswer) {
 		return new ClaimRecord(this.key, this.call, this.nonce, outcome, storedAnswer);
 	}
 
@@ -58,12 +58,12 @@
 	 * @param headers names and values, alternating
 	 * @param body the body
 	 */
-	public record KeptAnswer(int status, List<String> headers, byte[] body) {
+	public record StoredAnswer(int status, List<String> headers, byte[] body) {
 
 		/** The absence of a stored answer. */
-		public static final KeptAnswer NONE = new KeptAnswer(0, List.of(), new byte[0]);
+		public static final StoredAnswer NONE = new StoredAnswer(0, List.of(), new byte[0]);
 
-		public KeptAnswer {
+		public StoredAnswer {
 			headers = List.copyOf(headers);
 		}
 
--- a/policy/src/main/java/org/wisteriapost/policy/claim/ClaimVerdict.java
+++ b/policy/src/main/java/org/wisteriapost/policy/claim/ClaimResult.java
@@ -3,7 +3,7 @@
 /**
  * Outcome of an attempt to claim a key.
  */
-public sealed interface ClaimVerdict {
+public sealed interface ClaimResult {
 
 	/** Returns the id of the call. */
 	long id();
@@ -13,7 +13,7 @@
 	 *
 	 * @param id the call
 	 */
-	record Claimed(long id) implements ClaimVerdict {
+	record Claimed(long id) implements ClaimResult {
 	}
 
 	/**
@@ -21,9 +21,9 @@
 	 *
 	 * @param id the call
 	 * @param first the record of the first call
-	 * @param same whether the first call was the same as this one
+	 * @param sameCall whether the first call was the same as this one
 	 */
-	record Repeated(long id, ClaimRecord first, boolean same) implements ClaimVerdict {
+	record AlreadyClaimed(long id, ClaimRecord first, boolean sameCall) implements ClaimResult {
 	}
 
 	/**
@@ -31,16 +31,16 @@
 	 *
 	 * @param id the call
 	 */
-	record Expired(long id) implements ClaimVerdict {
+	record Expired(long id) implements ClaimResult {
 	}
 
 	/**
 	 * The key is not claimed, and this call did not run.
 	 *
 	 * @param id the call
-	 * @param full whether the page is full; otherwise the platform is unavailable
+	 * @param pageFull whether the page is full; otherwise the platform is unavailable
 	 */
-	record Failed(long id, boolean full) implements ClaimVerdict {
+	record Failed(long id, boolean pageFull) implements ClaimResult {
 	}
 
 }
--- a/policy/src/main/java/org/wisteriapost/policy/claim/ClaimShard.java
+++ b/policy/src/main/java/org/wisteriapost/policy/claim/ClaimShard.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import java.util.Optional;
 
-import org.wisteriapost.policy.claim.ClaimRecord.KeptAnswer;
 import org.wisteriapost.policy.claim.ClaimRecord.State;
+import org.wisteriapost.policy.claim.ClaimRecord.StoredAnswer;
 
 /**
  * Local state of one claim object and the operations that wait for it. At most one read
@@ -145,7 +145,7 @@
 		this.cachedNanos = nowNanos;
 		for (ClaimOperation operation : completed.batch) {
 			if (operation instanceof ClaimOperation.Claim claim) {
-				complete(new ClaimVerdict.Claimed(claim.id()), effects);
+				complete(new ClaimResult.Claimed(claim.id()), effects);
 			}
 		}
 	}
@@ -170,7 +170,7 @@
 		List<ClaimOperation> remaining = new ArrayList<>();
 		for (ClaimOperation operation : this.waiting) {
 			if (operation instanceof ClaimOperation.Claim claim) {
-				complete(new ClaimVerdict.Failed(claim.id(), false), effects);
+				complete(new ClaimResult.Failed(claim.id(), false), effects);
 				// Only for unconfirmed writes: a long outage must not accumulate a
 				// release for every refused call.
 				if (claim.unconfirmed()) {
@@ -224,21 +224,21 @@
 	private Optional<ClaimPage> claim(ClaimOperation.Claim claim, ClaimPage page, int bytes,
 			List<ClaimEffect> effects) {
 		if (claim.key().slot() < page.slot()) {
-			complete(new ClaimVerdict.Expired(claim.id()), effects);
+			complete(new ClaimResult.Expired(claim.id()), effects);
 			return Optional.empty();
 		}
 		ClaimPage current = (claim.key().slot() > page.slot()) ? new ClaimPage(claim.key().slot(), List.of()) : page;
 		Optional<ClaimRecord> first = current.find(claim.key().hash());
 		if (first.isEmpty()) {
 			if (current == page && bytes + RECORD_OVERHEAD_BYTES > MAX_PAGE_BYTES) {
-				complete(new ClaimVerdict.Failed(claim.id(), true), effects);
+				complete(new ClaimResult.Failed(claim.id(), true), effects);
 				return Optional.empty();
 			}
 			return Optional.of(current.with(ClaimRecord.claimed(claim.key().hash(), claim.call(), claim.nonce())));
 		}
 		ClaimRecord record = first.get();
 		if (record.nonce().equals(claim.nonce())) {
-			complete(new ClaimVerdict.Claimed(claim.id()), effects);
+			complete(new ClaimResult.Claimed(claim.id()), effects);
 			return Optional.empty();
 		}
 		if (record.state() == State.CLAIMED && !claim.reread()) {
@@ -247,7 +247,7 @@
 			this.cached = Optional.empty();
 			return Optional.empty();
 		}
-		complete(new ClaimVerdict.Repeated(claim.id(), record, record.call().equals(claim.call())), effects);
+		complete(new ClaimResult.AlreadyClaimed(claim.id(), record, record.call().equals(claim.call())), effects);
 		return Optional.empty();
 	}
 
@@ -256,7 +256,7 @@
 		boolean stored = settle.state() == State.ANSWERED && fits;
 		State state = (settle.state() == State.ANSWERED && !fits) ? State.RAN : settle.state();
 		return findOwned(page, settle.key(), settle.nonce())
-			.map((record) -> record.withOutcome(state, stored ? settle.answer() : KeptAnswer.NONE))
+			.map((record) -> record.withOutcome(state, stored ? settle.answer() : StoredAnswer.NONE))
 			.map(page::with);
 	}
 
@@ -274,8 +274,8 @@
 			.sum();
 	}
 
-	private static void complete(ClaimVerdict verdict, List<ClaimEffect> effects) {
-		effects.add(new ClaimEffect.Tell(verdict));
+	private static void complete(ClaimResult verdict, List<ClaimEffect> effects) {
+		effects.add(new ClaimEffect.Complete(verdict));
 	}
 
 	private record CachedPage(ClaimPage page, long version) {
--- a/policy/src/main/java/org/wisteriapost/policy/claim/ClaimTable.java
+++ b/policy/src/main/java/org/wisteriapost/policy/claim/ClaimTable.java
@@ -10,8 +10,8 @@
 
 import org.apache.commons.rng.UniformRandomProvider;
 import org.wisteriapost.kernel.CodedException;
-import org.wisteriapost.policy.claim.ClaimRecord.KeptAnswer;
 import org.wisteriapost.policy.claim.ClaimRecord.State;
+import org.wisteriapost.policy.claim.ClaimRecord.StoredAnswer;
 
 /**
  * Claims idempotency keys for calls that may run at most once, and records the outcomes
@@ -81,7 +81,7 @@
 	/**
 	 * Records the outcome of a claimed call.
 	 */
-	public List<ClaimEffect> settle(ClaimKey key, String nonce, State state, KeptAnswer answer, long nowNanos) {
+	public List<ClaimEffect> settle(ClaimKey key, String nonce, State state, StoredAnswer answer, long nowNanos) {
 		return enqueue(key, new ClaimOperation.Settle(key, nonce, state, answer), nowNanos);
 	}
 
@@ -96,7 +96,7 @@
 	 * Handles the current value of an object.
 	 * @param conflict whether the value was returned by a write with an outdated version
 	 */
-	public List<ClaimEffect> read(String object, Optional<byte[]> value, long version, boolean conflict,
+	public List<ClaimEffect> onRead(String object, Optional<byte[]> value, long version, boolean conflict,
 			long nowNanos) {
 		ClaimShard shard = this.shards.get(object);
 		if (shard == null) {
@@ -108,7 +108,7 @@
 		catch (CodedException ex) {
 			// An unreadable page may hold keys, so that claiming over it could run a
 			// call twice.
-			return failed(object, false, nowNanos);
+			return onFailure(object, false, nowNanos);
 		}
 		if (conflict) {
 			this.notBeforeNanos.put(object, nowNanos + this.random.nextLong(MAX_CONFLICT_BACKOFF_NANOS));
@@ -119,7 +119,7 @@
 	/**
 	 * Handles the confirmation of a write.
 	 */
-	public List<ClaimEffect> written(String object, long version, long nowNanos) {
+	public List<ClaimEffect> onWritten(String object, long version, long nowNanos) {
 		List<ClaimEffect> effects = new ArrayList<>();
 		Optional.ofNullable(this.shards.get(object)).ifPresent((shard) -> shard.onWritten(version, nowNanos, effects));
 		effects.addAll(advance(nowNanos));
@@ -130,7 +130,7 @@
 	 * Handles the failure of a read or write.
 	 * @param unconfirmed whether a write may have taken effect
 	 */
-	public List<ClaimEffect> failed(String object, boolean unconfirmed, long nowNanos) {
+	public List<ClaimEffect> onFailure(String object, boolean unconfirmed, long nowNanos) {
 		List<ClaimEffect> effects = new ArrayList<>();
 		Optional.ofNullable(this.shards.get(object)).ifPresent((shard) -> shard.onFailure(unconfirmed, effects));
 		if (!unconfirmed) {
@@ -151,7 +151,7 @@
 	/**
 	 * Returns the number of waiting operations plus the reads and writes in progress.
 	 */
-	public int unwritten() {
+	public int pendingOperations() {
 		return this.shards.values().stream().mapToInt((shard) -> shard.waiting() + (shard.isIdle() ? 0 : 1)).sum();
 	}
 
--- a/policy/src/main/java/org/wisteriapost/policy/dispatch/AdmissionPolicy.java
+++ b/policy/src/main/java/org/wisteriapost/policy/dispatch/AdmissionPolicy.java
@@ -77,7 +77,8 @@
 	 * Recognizes a request as the retry of a refused request.
 	 */
 	void arrived(Job job) {
-		this.refusedRequests.earlierAttempt(job).ifPresent((refusal) -> job.firstAttemptNanos = refusal.askedNanos());
+		this.refusedRequests.earlierAttempt(job)
+			.ifPresent((refusal) -> job.firstAttemptNanos = refusal.firstAttemptNanos());
 	}
 
 	/**
@@ -129,7 +130,7 @@
 	}
 
 	private static double waitedShare(Job job, long nowNanos) {
-		return (double) (nowNanos - job.arrivedNanos()) / job.route().target().toNanos();
+		return (double) (nowNanos - job.arrivedNanos()) / job.route().targetLatency().toNanos();
 	}
 
 	// The request waits in the entry and not at an engine, so that it can use the first
@@ -137,7 +138,7 @@
 	// ahead of it leave a slot within that time.
 	private static boolean canWait(Job job, Placement.Choice choice, int queued, double remaining, long nowNanos) {
 		double waited = (double) (nowNanos - job.arrivedNanos()) / Placement.NANOS_PER_MILLI;
-		double maxWait = MAX_WAIT_SHARE * job.route().target().toMillis();
+		double maxWait = MAX_WAIT_SHARE * job.route().targetLatency().toMillis();
 		if (choice.hasFreeCapacity() || waited >= maxWait) {
 			return false;
 		}
@@ -171,13 +172,13 @@
 		if (choice.hasFreeCapacity()) {
 			return Decision.SEND;
 		}
-		boolean timedOut = nowNanos - job.arrivedNanos() > job.route().target().toNanos() / 2;
+		boolean timedOut = nowNanos - job.arrivedNanos() > job.route().targetLatency().toNanos() / 2;
 		return timedOut ? Decision.REFUSE : Decision.WAIT;
 	}
 
 	private static double remainingMillis(Job job, long nowNanos) {
 		double elapsed = (double) (nowNanos - job.firstAttemptNanos) / Placement.NANOS_PER_MILLI;
-		return job.route().target().toMillis() - elapsed - ENTRY_OVERHEAD_MILLIS;
+		return job.route().targetLatency().toMillis() - elapsed - ENTRY_OVERHEAD_MILLIS;
 	}
 
 	/**
--- a/policy/src/main/java/org/wisteriapost/policy/dispatch/DispatchEffect.java
+++ b/policy/src/main/java/org/wisteriapost/policy/dispatch/DispatchEffect.java
@@ -20,11 +20,11 @@
 	 * @param rank admission rank at the runner, from 0 (first) to 9 (last)
 	 * @param weightsVersion the only weights version on which the request may run, if it
 	 * matters
-	 * @param tries whether the request may only be sent over a newly established
-	 * connection, because the network path to the runner may be blocked
+	 * @param requiresNewConnection whether the request may only be sent over a newly
+	 * established connection, because the network path to the runner may be blocked
 	 */
 	record Send(Job job, RunnerInfo runner, int rank, OptionalInt weightsVersion,
-			boolean tries) implements DispatchEffect {
+			boolean requiresNewConnection) implements DispatchEffect {
 	}
 
 	/**
@@ -33,7 +33,7 @@
 	 *
 	 * @param job the request
 	 */
-	record Stop(Job job) implements DispatchEffect {
+	record Cancel(Job job) implements DispatchEffect {
 	}
 
 	/**
@@ -62,7 +62,7 @@
 	 *
 	 * @param job the request
 	 */
-	record PassOn(Job job) implements DispatchEffect {
+	record ForwardError(Job job) implements DispatchEffect {
 	}
 
 }
--- a/policy/src/main/java/org/wisteriapost/policy/dispatch/Outcome.java
+++ b/policy/src/main/java/org/wisteriapost/policy/dispatch/DispatchOutcome.java
@@ -3,7 +3,7 @@
 /**
  * Outcome of one dispatch of a request. The constant names are values of a metric label.
  */
-public enum Outcome {
+public enum DispatchOutcome {
 
 	/** The complete response was sent to the caller. */
 	DONE,
--- a/policy/src/main/java/org/wisteriapost/policy/dispatch/Dispatcher.java
+++ b/policy/src/main/java/org/wisteriapost/policy/dispatch/Dispatcher.java
@@ -11,8 +11,8 @@
 
 import org.apache.commons.rng.UniformRandomProvider;
 import org.wisteriapost.kernel.Code;
-import org.wisteriapost.policy.fleet.NamedWeights;
 import org.wisteriapost.policy.fleet.RunnerInfo;
+import org.wisteriapost.policy.fleet.TargetWeights;
 import org.wisteriapost.policy.routing.EngineSpec;
 import org.wisteriapost.policy.routing.RouteTable;
 
@@ -42,7 +42,7 @@
 
 	private final RunnerRegistry registry;
 
-	private final RunnerWays paths;
+	private final RunnerPaths paths;
 
 	private final FleetView fleetView;
 
@@ -68,14 +68,15 @@
 
 	private Optional<RouteTable> routeTable = Optional.empty();
 
-	private EntryCount entryCount = EntryCount.flat(1);
+	private EntryCount entryCount = EntryCount.unpartitioned(1);
 
 	private Dispatcher(DispatchLimits limits, UniformRandomProvider random) {
-		this.registry = new RunnerRegistry(new RunnerSubset(limits.place(), random.nextLong()));
-		this.fleetView = new FleetView(this.registry, limits.place());
-		this.weightsFence = new WeightsFence(limits.weightsInForce());
-		this.placement = new Placement(this.registry, this.latencyFactors, this.weightsFence, limits.place(), random);
-		this.paths = new RunnerWays(this.registry, this.placement, this::spec);
+		this.registry = new RunnerRegistry(new RunnerSubset(limits.failureDomain(), random.nextLong()));
+		this.fleetView = new FleetView(this.registry, limits.failureDomain());
+		this.weightsFence = new WeightsFence(limits.weightsActivationDelay());
+		this.placement = new Placement(this.registry, this.latencyFactors, this.weightsFence, limits.failureDomain(),
+				random);
+		this.paths = new RunnerPaths(this.registry, this.placement, this::spec);
 		this.retryBudgets = new RetryBudgets(limits);
 		this.admission = new AdmissionPolicy(random);
 		this.retryPolicy = new RetryPolicy();
@@ -92,7 +93,7 @@
 	/**
 	 * Returns the effects since the previous call, in order.
 	 */
-	public List<DispatchEffect> drain() {
+	public List<DispatchEffect> drainEffects() {
 		List<DispatchEffect> drained = this.pendingEffects;
 		this.pendingEffects = new ArrayList<>();
 		return drained;
@@ -110,22 +111,22 @@
 	/**
 	 * Replaces the route table.
 	 */
-	public void table(RouteTable newer) {
-		this.routeTable = Optional.of(newer);
+	public void updateRouteTable(RouteTable table) {
+		this.routeTable = Optional.of(table);
 	}
 
 	/**
 	 * Records a target weights version.
-	 * @param found whether it was present when this entry first read the store
+	 * @param foundAtStartup whether it was present when this entry first read the store
 	 */
-	public void named(NamedWeights weights, boolean found, long nowNanos) {
-		this.weightsFence.addTarget(weights, found, nowNanos);
+	public void targetWeightsPublished(TargetWeights weights, boolean foundAtStartup, long nowNanos) {
+		this.weightsFence.addTarget(weights, foundAtStartup, nowNanos);
 	}
 
 	/**
 	 * Replaces the set of registered runners.
 	 */
-	public void runners(Collection<RunnerInfo> all, long nowNanos) {
+	public void replaceRunners(Collection<RunnerInfo> all, long nowNanos) {
 		this.registry.replaceAll(all, nowNanos);
 		placeWaiting(nowNanos);
 	}
@@ -134,7 +135,7 @@
 	 * Adds or updates a runner and returns whether the registration contains anything
 	 * new.
 	 */
-	public boolean runner(RunnerInfo info, long nowNanos) {
+	public boolean updateRunner(RunnerInfo info, long nowNanos) {
 		boolean changed = this.registry.update(info);
 		if (changed) {
 			placeWaiting(nowNanos);
@@ -145,21 +146,21 @@
 	/**
 	 * Records that the registration of a runner was removed.
 	 */
-	public void runnerRemoved(String id, long nowNanos) {
+	public void registrationRemoved(String id, long nowNanos) {
 		this.registry.registrationRemoved(id, nowNanos);
 	}
 
 	/**
 	 * Removes a runner whose registration no longer describes a usable runner.
 	 */
-	public void runnerUnusable(String id) {
+	public void removeUnusableRunner(String id) {
 		this.registry.removeUnusable(id);
 	}
 
 	/**
 	 * Records whether the site's store is reachable.
 	 */
-	public void store(boolean reachable, long nowNanos) {
+	public void updateStoreReachable(boolean reachable, long nowNanos) {
 		this.registry.updateStoreReachable(reachable, nowNanos);
 	}
 
@@ -167,7 +168,7 @@
 	 * Updates the status of an engine, as reported by the agent on its VM.
 	 * @param address the runner's address
 	 */
-	public void agentSays(String address, EngineWord status, long nowNanos) {
+	public void updateEngineStatus(String address, EngineStatus status, long nowNanos) {
 		this.registry.updateEngineStatus(address, status);
 		placeWaiting(nowNanos);
 	}
@@ -175,23 +176,23 @@
 	/**
 	 * Updates the requests that a peer has in flight at a runner.
 	 */
-	public void peerLoad(String peer, RunnerLoad report, long nowNanos) {
-		this.registry.find(report.runner())
-			.filter((state) -> state.info.start().equals(report.start()))
+	public void updatePeerLoad(String peer, RunnerLoad report, long nowNanos) {
+		this.registry.find(report.runnerId())
+			.filter((state) -> state.info.incarnation().equals(report.incarnation()))
 			.ifPresent((state) -> state.updatePeerLoad(peer, report.load(), nowNanos));
 	}
 
 	/**
 	 * Records a request that a peer has refused.
 	 */
-	public void peerRefused(RefusedRequest request) {
+	public void recordPeerRefusal(RefusedRequest request) {
 		this.admission.recordRefusal(request);
 	}
 
 	/**
 	 * Returns the network paths to the runners.
 	 */
-	public RunnerWays ways() {
+	public RunnerPaths runnerPaths() {
 		return this.paths;
 	}
 
@@ -199,7 +200,7 @@
 	 * Removes the load of a peer that is no longer reachable: it has failed or is
 	 * partitioned from this entry.
 	 */
-	public void peerGone(String peer) {
+	public void removePeer(String peer) {
 		this.registry.states().forEach((state) -> state.removePeer(peer));
 	}
 
@@ -207,16 +208,16 @@
 	 * Updates the requests that all entries of another failure domain have in flight at a
 	 * runner.
 	 */
-	public void placeLoad(String failureDomain, RunnerLoad report, long nowNanos) {
-		this.registry.find(report.runner())
-			.filter((state) -> state.info.start().equals(report.start()))
+	public void updateFailureDomainLoad(String failureDomain, RunnerLoad report, long nowNanos) {
+		this.registry.find(report.runnerId())
+			.filter((state) -> state.info.incarnation().equals(report.incarnation()))
 			.ifPresent((state) -> state.updateFailureDomainLoad(failureDomain, report.load(), nowNanos));
 	}
 
 	/**
 	 * Updates the number of entries.
 	 */
-	public void entries(EntryCount count) {
+	public void updateEntryCount(EntryCount count) {
 		this.entryCount = count;
 		this.placement.updateEntryCount(count);
 	}
@@ -224,7 +225,7 @@
 	/**
 	 * Returns the local view of the runners.
 	 */
-	public FleetView fleet() {
+	public FleetView fleetView() {
 		return this.fleetView;
 	}
 
@@ -233,7 +234,7 @@
 	/**
 	 * Adds a request that has arrived.
 	 */
-	public void arrived(Job job, long nowNanos) {
+	public void requestArrived(Job job, long nowNanos) {
 		this.jobs.put(job.id(), job);
 		this.admission.arrived(job);
 		place(job, nowNanos);
@@ -243,7 +244,7 @@
 	 * Records that the connection for a request was established; the request is now sent
 	 * over it.
 	 */
-	public void connected(Job job, long nowNanos) {
+	public void connectionEstablished(Job job, long nowNanos) {
 		job.runner.ifPresent((runner) -> {
 			runner.path.connected(job.sentNanos);
 			placeWaiting(nowNanos);
@@ -253,7 +254,7 @@
 	/**
 	 * Records that the first event of a response was sent to the caller.
 	 */
-	public void firstEvent(Job job, long nowNanos) {
+	public void firstEventSent(Job job, long nowNanos) {
 		if (job.finished || job.firstEventSent || job.runner.isEmpty()) {
 			return;
 		}
@@ -273,7 +274,7 @@
 	/**
 	 * Records the outcome of the latest dispatch of a request.
 	 */
-	public void ended(Job job, Outcome outcome, long nowNanos) {
+	public void dispatchEnded(Job job, DispatchOutcome outcome, long nowNanos) {
 		release(job, outcome, nowNanos);
 		if (job.finished) {
 			return;
@@ -282,7 +283,7 @@
 			case FINISH -> finish(job);
 			case FORWARD_ERROR -> {
 				finish(job);
-				this.pendingEffects.add(new DispatchEffect.PassOn(job));
+				this.pendingEffects.add(new DispatchEffect.ForwardError(job));
 			}
 			case FAIL -> endWithoutRetry(job, outcome, nowNanos);
 			case RETRY -> retry(job, outcome, nowNanos);
@@ -293,7 +294,7 @@
 	/**
 	 * Records that the caller has disconnected.
 	 */
-	public void gone(Job job, long nowNanos) {
+	public void callerDisconnected(Job job, long nowNanos) {
 		if (!job.finished) {
 			cancel(job);
 			finish(job);
@@ -342,23 +343,23 @@
 	private void cancelUnstarted(Job job, long nowNanos) {
 		cancel(job);
 		if (this.retryPolicy.canRetry(job)) {
-			retry(job, Outcome.BROKEN, nowNanos);
+			retry(job, DispatchOutcome.BROKEN, nowNanos);
 		}
 		else {
-			endWithoutRetry(job, Outcome.BROKEN, nowNanos);
+			endWithoutRetry(job, DispatchOutcome.BROKEN, nowNanos);
 		}
 	}
 
-	private void retry(Job job, Outcome outcome, long nowNanos) {
-		boolean chargesBudget = outcome != Outcome.NOT_SENT;
-		if (chargesBudget && !this.retryBudgets.of(job.service()).tryAcquire(this.entryCount.all(), nowNanos)) {
+	private void retry(Job job, DispatchOutcome outcome, long nowNanos) {
+		boolean chargesBudget = outcome != DispatchOutcome.NOT_SENT;
+		if (chargesBudget && !this.retryBudgets.of(job.service()).tryAcquire(this.entryCount.total(), nowNanos)) {
 			endWithoutRetry(job, outcome, nowNanos);
 			return;
 		}
 		place(job, nowNanos);
 	}
 
-	private void endWithoutRetry(Job job, Outcome outcome, long nowNanos) {
+	private void endWithoutRetry(Job job, DispatchOutcome outcome, long nowNanos) {
 		finish(job);
 		this.responses.endWithoutRetry(job, outcome, nowNanos);
 	}
@@ -409,7 +410,7 @@
 		this.waiting.retry((job) -> placeOrKeepWaiting(job, 0, nowNanos));
 	}
 
-	private void release(Job job, Outcome outcome, long nowNanos) {
+	private void release(Job job, DispatchOutcome outcome, long nowNanos) {
 		job.runner.ifPresent((runner) -> runner.ended(job, outcome, nowNanos));
 		if (job.runner.isPresent() && outcome.certainlyNotRun()) {
 			job.possibleRuns--;
@@ -420,15 +421,15 @@
 	private void cancel(Job job) {
 		job.runner.ifPresent((runner) -> {
 			runner.cancelled(job);
-			this.pendingEffects.add(new DispatchEffect.Stop(job));
+			this.pendingEffects.add(new DispatchEffect.Cancel(job));
 		});
 		job.runner = Optional.empty();
 	}
 
 	private void cancelStalled(Job job, long nowNanos) {
-		release(job, Outcome.BROKEN, nowNanos);
-		this.pendingEffects.add(new DispatchEffect.Stop(job));
-		retry(job, Outcome.BROKEN, nowNanos);
+		release(job, DispatchOutcome.BROKEN, nowNanos);
+		this.pendingEffects.add(new DispatchEffect.Cancel(job));
+		retry(job, DispatchOutcome.BROKEN, nowNanos);
 	}
 
 	private void finish(Job job) {
--- a/policy/src/main/java/org/wisteriapost/policy/dispatch/EngineLatencyModel.java
+++ b/policy/src/main/java/org/wisteriapost/policy/dispatch/EngineLatencyModel.java
@@ -29,16 +29,17 @@
 	 * @param load the requests in flight at the engine
 	 * @param promptTokens the number of prompt tokens of the new request
 	 */
-	static double firstEventMillis(EngineSpec engine, PeerLoad load, int promptTokens) {
-		int sequences = Math.clamp(load.active() - load.waiting(), 0, engine.slots());
+	static double firstEventMillis(EngineSpec engine, InFlightLoad load, int promptTokens) {
+		int sequences = Math.clamp(load.requests() - load.awaitingFirstEvent(), 0, engine.slots());
 		double step = stepMillis(engine, sequences);
-		double decode = (sequences > 0) ? engine.stride() * step : 0;
-		long tokens = load.waitingPrompt() + promptTokens;
-		double passes = Math.ceil((double) tokens / engine.chunkTokens());
-		double prefill = tokens / engine.readTokensPerMilli() + attentionMillis(engine, load, promptTokens);
+		double decode = (sequences > 0) ? engine.stepsPerPass() * step : 0;
+		long tokens = load.awaitingPromptTokens() + promptTokens;
+		double passes = Math.ceil((double) tokens / engine.maxPrefillTokensPerPass());
+		double prefill = tokens / engine.prefillTokensPerMilli() + attentionMillis(engine, load, promptTokens);
 		double currentPass = HALF * decode;
 		double slotWait = slotWaitMillis(engine, load);
-		return slotWait + currentPass + prefill + passes * decode + engine.stride() * stepMillis(engine, sequences + 1);
+		return slotWait + currentPass + prefill + passes * decode
+				+ engine.stepsPerPass() * stepMillis(engine, sequences + 1);
 	}
 
 	/**
@@ -49,20 +50,20 @@
 	 * of them, so only half of the prefill of a busy engine is counted.
 	 * @param tokens the number of output tokens
 	 */
-	static double responseMillis(EngineSpec engine, PeerLoad load, int tokens) {
-		int sequences = Math.clamp(load.active() + 1, 1, engine.slots());
-		double prefill = HALF * sequences * engine.usualPrompt() / engine.readTokensPerMilli();
-		double passes = (double) tokens / engine.stride();
-		double typicalPasses = Math.max(1, (double) engine.usualAnswer() / engine.stride());
-		return passes * (engine.stride() * stepMillis(engine, sequences) + prefill / typicalPasses);
+	static double responseMillis(EngineSpec engine, InFlightLoad load, int tokens) {
+		int sequences = Math.clamp(load.requests() + 1, 1, engine.slots());
+		double prefill = HALF * sequences * engine.meanPromptTokens() / engine.prefillTokensPerMilli();
+		double passes = (double) tokens / engine.stepsPerPass();
+		double typicalPasses = Math.max(1, (double) engine.meanAnswerTokens() / engine.stepsPerPass());
+		return passes * (engine.stepsPerPass() * stepMillis(engine, sequences) + prefill / typicalPasses);
 	}
 
 	/**
 	 * Returns the duration of one decode step.
 	 */
 	static double stepMillis(EngineSpec engine, int sequences) {
-		double contextThousands = sequences * (engine.usualPrompt() + HALF * engine.usualAnswer()) / THOUSAND;
-		return engine.stepMillis() + engine.stepMillisPerWriter() * sequences
+		double contextThousands = sequences * (engine.meanPromptTokens() + HALF * engine.meanAnswerTokens()) / THOUSAND;
+		return engine.stepMillis() + engine.stepMillisPerDecodingRequest() * sequences
 				+ engine.stepMillisPerThousandTokens() * contextThousands;
 	}
 
@@ -73,8 +74,8 @@
 	 */
 	static double slotHoldMillis(EngineSpec engine) {
 		double step = stepMillis(engine, engine.slots());
-		double decode = engine.usualAnswer() * step;
-		double prefill = engine.usualPrompt() / engine.readTokensPerMilli();
+		double decode = engine.meanAnswerTokens() * step;
+		double prefill = engine.meanPromptTokens() / engine.prefillTokensPerMilli();
 		return decode + engine.slots() * prefill;
 	}
 
@@ -82,18 +83,20 @@
 	 * Returns how long a new request waits for a slot. {@link #firstEventMillis} includes
 	 * this time.
 	 */
-	static double slotWaitMillis(EngineSpec engine, PeerLoad load) {
-		int excess = load.active() + 1 - engine.slots();
+	static double slotWaitMillis(EngineSpec engine, InFlightLoad load) {
+		int excess = load.requests() + 1 - engine.slots();
 		if (excess <= 0) {
 			return 0;
 		}
 		return excess * slotHoldMillis(engine) / engine.slots();
 	}
 
-	private static double attentionMillis(EngineSpec engine, PeerLoad load, int promptTokens) {
-		double meanPrompt = (load.waiting() > 0) ? (double) load.waitingPrompt() / load.waiting() : 0;
-		double tokenPairs = HALF * ((double) promptTokens * promptTokens + load.waiting() * meanPrompt * meanPrompt);
-		return engine.readMillisPerMillionPairs() * tokenPairs / MILLION;
+	private static double attentionMillis(EngineSpec engine, InFlightLoad load, int promptTokens) {
+		double meanPrompt = (load.awaitingFirstEvent() > 0)
+				? (double) load.awaitingPromptTokens() / load.awaitingFirstEvent() : 0;
+		double tokenPairs = HALF
+				* ((double) promptTokens * promptTokens + load.awaitingFirstEvent() * meanPrompt * meanPrompt);
+		return engine.prefillMillisPerMillionPairs() * tokenPairs / MILLION;
 	}
 
 }
--- a/policy/src/main/java/org/wisteriapost/policy/dispatch/EntryCount.java
+++ b/policy/src/main/java/org/wisteriapost/policy/dispatch/EntryCount.java
@@ -3,21 +3,22 @@
 /**
  * Number of entries that send requests to the same runners.
  *
- * @param all all entries, including this one
- * @param near entries in the failure domain of this entry, including this one
- * @param byPlace whether callers are directed only to entries in their own failure domain
+ * @param total all entries, including this one
+ * @param inFailureDomain entries in the failure domain of this entry, including this one
+ * @param partitioned whether callers are directed only to entries in their own failure
+ * domain
  */
-public record EntryCount(int all, int near, boolean byPlace) {
+public record EntryCount(int total, int inFailureDomain, boolean partitioned) {
 
 	public EntryCount {
-		all = Math.max(1, all);
-		near = Math.clamp(near, 1, all);
+		total = Math.max(1, total);
+		inFailureDomain = Math.clamp(inFailureDomain, 1, total);
 	}
 
 	/**
 	 * Returns a count for entries that serve callers from every failure domain.
 	 */
-	public static EntryCount flat(int all) {
+	public static EntryCount unpartitioned(int all) {
 		return new EntryCount(all, all, false);
 	}
 
@@ -30,10 +31,11 @@
 	 * @param ownFailureDomain the failure domain of this entry
 	 */
 	int sendersTo(String failureDomain, String ownFailureDomain) {
-		if (!this.byPlace) {
-			return this.all;
+		if (!this.partitioned) {
+			return this.total;
 		}
-		return failureDomain.equals(ownFailureDomain) ? this.near : Math.min(this.all, 2 * this.near);
+		return failureDomain.equals(ownFailureDomain) ? this.inFailureDomain
+				: Math.min(this.total, 2 * this.inFailureDomain);
 	}
 
 }
--- a/policy/src/main/java/org/wisteriapost/policy/dispatch/FinalResponses.java
+++ b/policy/src/main/java/org/wisteriapost/policy/dispatch/FinalResponses.java
@@ -25,10 +25,10 @@
 	/**
 	 * Ends a request whose latest dispatch has failed and that is not retried.
 	 */
-	void endWithoutRetry(Job job, Outcome outcome, long nowNanos) {
-		job.refused().ifPresent(this.admission::recordRefusal);
+	void endWithoutRetry(Job job, DispatchOutcome outcome, long nowNanos) {
+		job.refusedRequest().ifPresent(this.admission::recordRefusal);
 		switch (outcome) {
-			case ERROR -> this.effects.accept(new DispatchEffect.PassOn(job));
+			case ERROR -> this.effects.accept(new DispatchEffect.ForwardError(job));
 			case FULL, MISDIRECTED, NOT_SENT -> endWithoutRunner(job, Dispatcher.NO_ROOM, nowNanos);
 			case DONE, BROKEN -> this.effects.accept(new DispatchEffect.Fail(job, Dispatcher.RUN_BROKEN, false));
 		}
@@ -57,7 +57,7 @@
 	}
 
 	private void refuse(Job job, Code code, long nowNanos) {
-		job.refused().ifPresent(this.admission::recordRefusal);
+		job.refusedRequest().ifPresent(this.admission::recordRefusal);
 		long retryAfter = this.admission.retryAfterMillis(job, nowNanos);
 		this.effects.accept(new DispatchEffect.Refuse(job, code, retryAfter));
 	}
--- a/policy/src/main/java/org/wisteriapost/policy/dispatch/FleetView.java
+++ b/policy/src/main/java/org/wisteriapost/policy/dispatch/FleetView.java
@@ -25,7 +25,7 @@
 	public List<RunnerLoad> ownLoad() {
 		return this.registry.states()
 			.stream()
-			.map((state) -> new RunnerLoad(state.info.id(), state.info.start(), state.ownLoad))
+			.map((state) -> new RunnerLoad(state.info.id(), state.info.incarnation(), state.ownLoad))
 			.toList();
 	}
 
@@ -33,10 +33,11 @@
 	 * Returns the requests in flight at each runner from this entry and from the peers
 	 * that report to it individually, which are those in its failure domain.
 	 */
-	public List<RunnerLoad> nearLoad(long nowNanos) {
+	public List<RunnerLoad> failureDomainLoad(long nowNanos) {
 		return this.registry.states()
 			.stream()
-			.map((state) -> new RunnerLoad(state.info.id(), state.info.start(), state.failureDomainTotal(nowNanos)))
+			.map((state) -> new RunnerLoad(state.info.id(), state.info.incarnation(),
+					state.failureDomainTotal(nowNanos)))
 			.toList();
 	}
 
@@ -44,14 +45,14 @@
 	 * Returns the latest status of each engine in this entry's failure domain, by runner
 	 * address.
 	 */
-	public Map<String, EngineWord> nearWords() {
+	public Map<String, EngineStatus> engineStatuses() {
 		return this.registry.engineStatuses(this.failureDomain);
 	}
 
 	/**
 	 * Returns the registered runners.
 	 */
-	public List<RunnerInfo> known() {
+	public List<RunnerInfo> runners() {
 		return this.registry.states().stream().map((state) -> state.info).toList();
 	}
 
--- a/policy/src/main/java/org/wisteriapost/policy/dispatch/Job.java
+++ b/policy/src/main/java/org/wisteriapost/policy/dispatch/Job.java
@@ -12,8 +12,8 @@
 
 /**
  * A request that is being dispatched. It is owned by the dispatcher's thread, except for
- * the state set by {@link #progressed} and {@link #begunOn}, which is written by the
- * thread that reads the runner's response.
+ * the state set by {@link #recordEvents} and {@link #recordWeightsVersion}, which is
+ * written by the thread that reads the runner's response.
  */
 public final class Job {
 
@@ -91,8 +91,8 @@
 	 * @param service the service selected by the route
 	 * @param deadlineNanos the time by which the request must have a final response
 	 */
-	public static Job arrived(long id, Attempt attempt, Route route, String service,
-			Optional<Organisation> organisation, Size size, long arrivedNanos, long deadlineNanos) {
+	public static Job create(long id, Attempt attempt, Route route, String service, Optional<Organisation> organisation,
+			Size size, long arrivedNanos, long deadlineNanos) {
 		return new Job(id, attempt, route, service, organisation, size, arrivedNanos, deadlineNanos);
 	}
 
@@ -100,14 +100,14 @@
 		return this.id;
 	}
 
-	public String attempt() {
+	public String attemptId() {
 		return this.identity.id();
 	}
 
 	/**
 	 * Returns a key that is equal for all attempts of the request, if known.
 	 */
-	public OptionalLong request() {
+	public OptionalLong requestKey() {
 		return this.identity.requestKey();
 	}
 
@@ -153,7 +153,7 @@
 	 * Returns the number of the latest dispatch, starting at 1. Events of earlier
 	 * dispatches are ignored.
 	 */
-	public int dispatch() {
+	public int dispatchNumber() {
 		return this.dispatchCount;
 	}
 
@@ -168,9 +168,9 @@
 	 * Returns the record that identifies a retry of this request after it has been
 	 * refused, if the request has a key.
 	 */
-	public Optional<RefusedRequest> refused() {
-		return request().isPresent()
-				? Optional.of(new RefusedRequest(request().getAsLong(), this.firstAttemptNanos, this.deadlineNanos))
+	public Optional<RefusedRequest> refusedRequest() {
+		return requestKey().isPresent()
+				? Optional.of(new RefusedRequest(requestKey().getAsLong(), this.firstAttemptNanos, this.deadlineNanos))
 				: Optional.empty();
 	}
 
@@ -194,7 +194,7 @@
 	 * reads the response.
 	 * @param last the id of the last event, if it has one
 	 */
-	public void progressed(int count, Optional<String> last, long nowNanos) {
+	public void recordEvents(int count, Optional<String> last, long nowNanos) {
 		this.events += count;
 		this.lastEventNanos = nowNanos;
 		if (last.isPresent()) {
@@ -206,7 +206,7 @@
 	 * Records the weights version of the response. Must be called only by the thread that
 	 * reads the response.
 	 */
-	public void begunOn(OptionalInt version) {
+	public void recordWeightsVersion(OptionalInt version) {
 		this.weightsVersion = version;
 	}
 
@@ -252,10 +252,10 @@
 	 * Amount of work of a request.
 	 *
 	 * @param promptTokens the number of prompt tokens; 0 if unknown
-	 * @param answerTokens the maximum number of output tokens; 0 if unknown
+	 * @param maxAnswerTokens the maximum number of output tokens; 0 if unknown
 	 * @param expectedAnswerTokens the caller's estimate of the number of output tokens
 	 */
-	public record Size(int promptTokens, int answerTokens, OptionalInt expectedAnswerTokens) {
+	public record Size(int promptTokens, int maxAnswerTokens, OptionalInt expectedAnswerTokens) {
 	}
 
 }
--- a/policy/src/main/java/org/wisteriapost/policy/dispatch/Placement.java
+++ b/policy/src/main/java/org/wisteriapost/policy/dispatch/Placement.java
@@ -57,7 +57,7 @@
 
 	private final UniformRandomProvider random;
 
-	private EntryCount entryCount = EntryCount.flat(1);
+	private EntryCount entryCount = EntryCount.unpartitioned(1);
 
 	Placement(RunnerRegistry registry, ServiceLatencyFactors latencyFactors, WeightsFence fence, String failureDomain,
 			UniformRandomProvider random) {
@@ -128,7 +128,7 @@
 				continue;
 			}
 			usable++;
-			PeerLoad load = runner.total(nowNanos);
+			InFlightLoad load = runner.total(nowNanos);
 			double nominal = nominalMillis(runner, engine, load, job);
 			double predicted = nominal * this.latencyFactors.of(job.service()) * runner.latencyFactor;
 			if (requirement == Requirement.HEALTHY_AND_ENDS_BEFORE_SWITCH
@@ -145,30 +145,30 @@
 			}
 		}
 		double candidateRatio = (double) this.registry.forService(job.service()).size() / Math.max(1, runners.size());
-		return best.withSlotInterval(usable * candidateRatio, engine, this.entryCount.all());
+		return best.withSlotInterval(usable * candidateRatio, engine, this.entryCount.total());
 	}
 
-	private Choice choice(RunnerState runner, Optional<EngineSpec> engine, PeerLoad load, double nominal,
+	private Choice choice(RunnerState runner, Optional<EngineSpec> engine, InFlightLoad load, double nominal,
 			double predicted, OptionalInt version, long nowNanos) {
 		if (engine.isEmpty()) {
 			int capacity = runner.info.slots() + PLAIN_QUEUE;
-			return new Choice(Optional.of(runner), nominal, predicted, 0, load.active() < capacity,
-					(double) load.active() / capacity, false, 0, version);
+			return new Choice(Optional.of(runner), nominal, predicted, 0, load.requests() < capacity,
+					(double) load.requests() / capacity, false, 0, version);
 		}
 		EngineSpec spec = engine.get();
-		int free = spec.slots() + ENGINE_QUEUE - load.active();
+		int free = spec.slots() + ENGINE_QUEUE - load.requests();
 		boolean hasFreeCapacity = free > 0 && runner.capacityShare.available(free,
-				this.entryCount.sendersTo(runner.info.place(), this.failureDomain), this.random, nowNanos);
+				this.entryCount.sendersTo(runner.info.failureDomain(), this.failureDomain), this.random, nowNanos);
 		double wait = EngineLatencyModel.slotWaitMillis(spec, load) * predicted / nominal;
 		OptionalInt requiredVersion = version.isPresent() ? runner.weightsVersion(spec.model()) : version;
 		return new Choice(Optional.of(runner), nominal, predicted, wait, hasFreeCapacity,
-				(double) load.active() / spec.slots(), true, 0, requiredVersion);
+				(double) load.requests() / spec.slots(), true, 0, requiredVersion);
 	}
 
 	// Engines switch weights one after the other under full load. A long response
 	// started shortly before the switch would keep an engine from switching, with its
 	// other slots empty.
-	private static boolean endsAfterSwitch(Job job, RunnerState runner, Optional<EngineSpec> engine, PeerLoad load,
+	private static boolean endsAfterSwitch(Job job, RunnerState runner, Optional<EngineSpec> engine, InFlightLoad load,
 			double predicted, long nowNanos) {
 		if (engine.isEmpty() || runner.switchStartNanos().isEmpty()) {
 			return false;
@@ -176,18 +176,18 @@
 		double remaining = (double) (runner.switchStartNanos().getAsLong() - nowNanos) / NANOS_PER_MILLI;
 		// Callers declare the same maximum for long and short responses, so their
 		// estimate is used instead; it is correct in the median.
-		int tokens = job.size().expectedAnswerTokens().orElse(engine.get().usualAnswer());
+		int tokens = job.size().expectedAnswerTokens().orElse(engine.get().meanAnswerTokens());
 		return predicted + EngineLatencyModel.responseMillis(engine.get(), load, tokens) > remaining;
 	}
 
 	private double remoteCostMillis(Job job, RunnerState runner, Optional<EngineSpec> engine, double predicted) {
-		if (runner.info.place().equals(this.failureDomain)) {
+		if (runner.info.failureDomain().equals(this.failureDomain)) {
 			return 0;
 		}
 		if (engine.isEmpty()) {
 			return REMOTE_MIN_COST_MILLIS;
 		}
-		double cost = (job.route().target().toMillis() - predicted) * REMOTE_COST_SHARE;
+		double cost = (job.route().targetLatency().toMillis() - predicted) * REMOTE_COST_SHARE;
 		return Math.clamp(cost, REMOTE_MIN_COST_MILLIS, REMOTE_MAX_COST_MILLIS);
 	}
 
@@ -255,15 +255,15 @@
 		return version.isPresent() && held.isPresent() && held.getAsInt() < version.getAsInt();
 	}
 
-	private static double nominalMillis(RunnerState runner, Optional<EngineSpec> engine, PeerLoad load, Job job) {
+	private static double nominalMillis(RunnerState runner, Optional<EngineSpec> engine, InFlightLoad load, Job job) {
 		if (engine.isEmpty()) {
-			return (double) load.active() / Math.max(1, runner.info.slots()) * TIE_BREAK_MILLIS * 2;
+			return (double) load.requests() / Math.max(1, runner.info.slots()) * TIE_BREAK_MILLIS * 2;
 		}
 		return EngineLatencyModel.firstEventMillis(engine.get(), load, promptTokens(job, engine.get()));
 	}
 
 	private static int promptTokens(Job job, EngineSpec engine) {
-		return (job.size().promptTokens() > 0) ? job.size().promptTokens() : engine.usualPrompt();
+		return (job.size().promptTokens() > 0) ? job.size().promptTokens() : engine.meanPromptTokens();
 	}
 
 	/**
--- a/policy/src/main/java/org/wisteriapost/policy/dispatch/RefusedRequests.java
+++ b/policy/src/main/java/org/wisteriapost/policy/dispatch/RefusedRequests.java
@@ -32,19 +32,19 @@
 	};
 
 	void add(RefusedRequest request) {
-		this.refused.put(request.request(), request);
+		this.refused.put(request.requestKey(), request);
 	}
 
 	/**
 	 * Returns the refusal of an earlier attempt of the request, if one is known.
 	 */
 	Optional<RefusedRequest> earlierAttempt(Job job) {
-		if (job.request().isEmpty()) {
+		if (job.requestKey().isEmpty()) {
 			return Optional.empty();
 		}
 		double toleranceNanos = DEADLINE_TOLERANCE * job.route().timeout().toNanos();
-		return Optional.ofNullable(this.refused.get(job.request().getAsLong()))
-			.filter((refusal) -> refusal.askedNanos() < job.arrivedNanos())
+		return Optional.ofNullable(this.refused.get(job.requestKey().getAsLong()))
+			.filter((refusal) -> refusal.firstAttemptNanos() < job.arrivedNanos())
 			.filter((refusal) -> Math.abs(refusal.deadlineNanos() - job.deadlineNanos()) < toleranceNanos);
 	}
 
--- a/policy/src/main/java/org/wisteriapost/policy/dispatch/RetryBudgets.java
+++ b/policy/src/main/java/org/wisteriapost/policy/dispatch/RetryBudgets.java
@@ -17,8 +17,8 @@
 	}
 
 	ServiceRetryBudget of(String service) {
-		return this.budgets.computeIfAbsent(service, (name) -> new ServiceRetryBudget(this.limits.retryShare(),
-				this.limits.retryExtra(), this.limits.retryWindow()));
+		return this.budgets.computeIfAbsent(service, (name) -> new ServiceRetryBudget(this.limits.retryRatio(),
+				this.limits.fixedRetriesPerWindow(), this.limits.retryWindow()));
 	}
 
 }
--- a/policy/src/main/java/org/wisteriapost/policy/dispatch/RetryPolicy.java
+++ b/policy/src/main/java/org/wisteriapost/policy/dispatch/RetryPolicy.java
@@ -25,7 +25,7 @@
 	/**
 	 * Returns how the request continues after a dispatch has ended.
 	 */
-	Decision decide(Job job, Outcome outcome) {
+	Decision decide(Job job, DispatchOutcome outcome) {
 		return switch (outcome) {
 			case DONE -> Decision.FINISH;
 			case NOT_SENT, FULL, MISDIRECTED -> (job.dispatchCount < MAX_DISPATCHES) ? Decision.RETRY : Decision.FAIL;
@@ -44,10 +44,11 @@
 		}
 		long idleNanos = nowNanos - job.lastProgressNanos();
 		if (!job.isStream()) {
-			return idleNanos > PLAIN_TIMEOUT_FACTOR * job.route().target().toNanos();
+			return idleNanos > PLAIN_TIMEOUT_FACTOR * job.route().targetLatency().toNanos();
 		}
 		if (job.events() == 0) {
-			double expectedNanos = job.predictedMillis * Placement.NANOS_PER_MILLI + job.route().target().toNanos();
+			double expectedNanos = job.predictedMillis * Placement.NANOS_PER_MILLI
+					+ job.route().targetLatency().toNanos();
 			return idleNanos > Math.max(STREAM_IDLE_TIMEOUT_NANOS, FIRST_EVENT_TIMEOUT_FACTOR * expectedNanos);
 		}
 		return idleNanos > STREAM_IDLE_TIMEOUT_NANOS;
@@ -57,7 +58,7 @@
 	 * Returns whether the request may be executed by another runner.
 	 */
 	boolean canRetry(Job job) {
-		return job.route().repeatable() && job.possibleRuns < job.route().maxAttempts()
+		return job.route().retryable() && job.possibleRuns < job.route().maxAttempts()
 				&& job.dispatchCount < MAX_DISPATCHES;
 	}
 
--- a/policy/src/main/java/org/wisteriapost/policy/dispatch/RunnerHealth.java
+++ b/policy/src/main/java/org/wisteriapost/policy/dispatch/RunnerHealth.java
@@ -102,7 +102,7 @@
 	 * Records the outcome of a request.
 	 * @param sentNanos the send time of the request
 	 */
-	void ended(Outcome outcome, long sentNanos, long nowNanos) {
+	void ended(DispatchOutcome outcome, long sentNanos, long nowNanos) {
 		cancelled(sentNanos);
 		switch (outcome) {
 			case DONE -> done(sentNanos);
--- a/policy/src/main/java/org/wisteriapost/policy/dispatch/RunnerWays.java
+++ b/policy/src/main/java/org/wisteriapost/policy/dispatch/RunnerPaths.java
@@ -11,7 +11,7 @@
  * Network paths to all runners: selects the agents to ask for echoes and processes the
  * echoes.
  */
-public final class RunnerWays {
+public final class RunnerPaths {
 
 	private final RunnerRegistry registry;
 
@@ -19,7 +19,7 @@
 
 	private final Function<String, Optional<EngineSpec>> engines;
 
-	RunnerWays(RunnerRegistry registry, Placement placement, Function<String, Optional<EngineSpec>> engines) {
+	RunnerPaths(RunnerRegistry registry, Placement placement, Function<String, Optional<EngineSpec>> engines) {
 		this.registry = registry;
 		this.placement = placement;
 		this.engines = engines;
@@ -29,7 +29,7 @@
 	 * Returns the addresses of the runners whose agents should be asked for an echo now.
 	 * Should be called every 100 to 200 ms.
 	 */
-	public List<String> toAsk(long nowNanos) {
+	public List<String> runnersToProbe(long nowNanos) {
 		List<String> addresses = new ArrayList<>();
 		for (RunnerState runner : this.registry.states()) {
 			Optional<EngineSpec> engine = this.engines.apply(runner.info.service());
@@ -46,7 +46,7 @@
 	 * @param address the runner's address
 	 * @param askedNanos the time at which the echo was requested
 	 */
-	public void echoed(String address, long askedNanos, long nowNanos) {
+	public void echoReceived(String address, long askedNanos, long nowNanos) {
 		atAddress(address).forEach((runner) -> runner.path.echoReceived(askedNanos, nowNanos));
 	}
 
@@ -54,14 +54,14 @@
 	 * Records that the connection to the agent on a runner's VM was closed.
 	 * @param address the runner's address
 	 */
-	public void agentGone(String address) {
+	public void agentDisconnected(String address) {
 		atAddress(address).forEach((runner) -> runner.path.agentDisconnected());
 	}
 
 	/**
 	 * Returns the paths that became blocked or unblocked since the previous call.
 	 */
-	public List<Change> changes(long nowNanos) {
+	public List<Change> pollChanges(long nowNanos) {
 		return this.registry.states()
 			.stream()
 			.filter((runner) -> runner.path.pollBlockedChanged(nowNanos))
@@ -77,9 +77,9 @@
 	 * Change in the state of the network path to a runner.
 	 *
 	 * @param address the runner's address
-	 * @param closed whether the path is blocked, so that nothing is sent there
+	 * @param blocked whether the path is blocked, so that nothing is sent there
 	 */
-	public record Change(String address, boolean closed) {
+	public record Change(String address, boolean blocked) {
 	}
 
 }
--- a/policy/src/main/java/org/wisteriapost/policy/dispatch/RunnerRegistry.java
+++ b/policy/src/main/java/org/wisteriapost/policy/dispatch/RunnerRegistry.java
@@ -41,7 +41,7 @@
 
 	private final RunnerSubset subset;
 
-	private final Map<String, EngineWord> engineStatuses = new HashMap<>();
+	private final Map<String, EngineStatus> engineStatuses = new HashMap<>();
 
 	// Runners with a removed registration, in order of removal.
 	private final Map<String, RunnerState> removedRunners = new LinkedHashMap<>();
@@ -89,15 +89,15 @@
 		if (known == null) {
 			return addOrRestore(info);
 		}
-		if (known.info.start().before(info.start())) {
+		if (known.info.incarnation().precedes(info.incarnation())) {
 			addIncarnation(info);
 			return true;
 		}
-		boolean outdated = info.start().before(known.info.start());
+		boolean outdated = info.incarnation().precedes(known.info.incarnation());
 		if (outdated) {
 			return false;
 		}
-		if (info.sameAs(known.info) && !known.removed) {
+		if (info.equalsIgnoringRevision(known.info) && !known.removed) {
 			known.info = info;
 			return false;
 		}
@@ -120,7 +120,7 @@
 	// been ejected.
 	private boolean addOrRestore(RunnerInfo info) {
 		RunnerState previous = this.removedRunners.remove(info.id());
-		if (previous == null || !previous.info.start().equals(info.start())) {
+		if (previous == null || !previous.info.incarnation().equals(info.incarnation())) {
 			addIncarnation(info);
 			return true;
 		}
@@ -143,8 +143,8 @@
 	}
 
 	private void applyEngineStatus(RunnerState state) {
-		EngineWord status = this.engineStatuses.get(state.info.address());
-		if (status != null && !status.start().before(state.info.start())) {
+		EngineStatus status = this.engineStatuses.get(state.info.address());
+		if (status != null && !status.incarnation().precedes(state.info.incarnation())) {
 			state.updateEngineStatus(status);
 		}
 	}
@@ -172,9 +172,9 @@
 	 * Updates the status of an engine, as reported by the agent on its VM.
 	 * @param address the runner's address
 	 */
-	void updateEngineStatus(String address, EngineWord status) {
-		EngineWord previous = this.engineStatuses.get(address);
-		if (previous != null && status.start().before(previous.start())) {
+	void updateEngineStatus(String address, EngineStatus status) {
+		EngineStatus previous = this.engineStatuses.get(address);
+		if (previous != null && status.incarnation().precedes(previous.incarnation())) {
 			return;
 		}
 		this.engineStatuses.put(address, status);
@@ -183,8 +183,8 @@
 			.filter((state) -> state.info.address().equals(address))
 			.toList();
 		for (RunnerState state : atAddress) {
-			if (state.info.start().before(status.start())) {
-				addIncarnation(state.info.startedAgain(status.start()));
+			if (state.info.incarnation().precedes(status.incarnation())) {
+				addIncarnation(state.info.withIncarnation(status.incarnation()));
 			}
 			else {
 				applyEngineStatus(state);
@@ -210,14 +210,17 @@
 	/**
 	 * Returns the latest status of each engine in a failure domain, by runner address.
 	 */
-	Map<String, EngineWord> engineStatuses(String failureDomain) {
-		Map<String, EngineWord> statuses = new HashMap<>();
-		this.runners.values().stream().filter((state) -> state.info.place().equals(failureDomain)).forEach((state) -> {
-			EngineWord status = this.engineStatuses.get(state.info.address());
-			if (status != null) {
-				statuses.put(state.info.address(), status);
-			}
-		});
+	Map<String, EngineStatus> engineStatuses(String failureDomain) {
+		Map<String, EngineStatus> statuses = new HashMap<>();
+		this.runners.values()
+			.stream()
+			.filter((state) -> state.info.failureDomain().equals(failureDomain))
+			.forEach((state) -> {
+				EngineStatus status = this.engineStatuses.get(state.info.address());
+				if (status != null) {
+					statuses.put(state.info.address(), status);
+				}
+			});
 		return statuses;
 	}
 
--- a/policy/src/main/java/org/wisteriapost/policy/dispatch/RunnerState.java
+++ b/policy/src/main/java/org/wisteriapost/policy/dispatch/RunnerState.java
@@ -42,7 +42,7 @@
 
 	private final Map<String, ReportedLoad> failureDomainLoads = new HashMap<>();
 
-	private PeerLoad cachedPeerLoad = PeerLoad.NONE;
+	private InFlightLoad cachedPeerLoad = InFlightLoad.NONE;
 
 	// Time after which the cached sum expires. Reset whenever a report arrives.
 	private long cacheValidUntilNanos = Long.MIN_VALUE;
@@ -57,7 +57,7 @@
 
 	RunnerInfo info;
 
-	PeerLoad ownLoad = PeerLoad.NONE;
+	InFlightLoad ownLoad = InFlightLoad.NONE;
 
 	double latencyFactor = 1;
 
@@ -67,7 +67,7 @@
 
 	private int consecutiveMisdirected;
 
-	private Optional<EngineWord> engineStatus = Optional.empty();
+	private Optional<EngineStatus> engineStatus = Optional.empty();
 
 	RunnerState(RunnerInfo info) {
 		this.info = info;
@@ -81,9 +81,9 @@
 	 */
 	OptionalInt weightsVersion(String model) {
 		if (this.engineStatus.isPresent()) {
-			return this.engineStatus.get().version();
+			return this.engineStatus.get().weightsVersion();
 		}
-		Integer registered = this.info.models().get(model);
+		Integer registered = this.info.weightsVersions().get(model);
 		return (registered != null) ? OptionalInt.of(registered) : OptionalInt.empty();
 	}
 
@@ -99,17 +99,17 @@
 	/**
 	 * Updates the engine status reported by the agent.
 	 */
-	void updateEngineStatus(EngineWord newer) {
+	void updateEngineStatus(EngineStatus newer) {
 		this.engineStatus = Optional.of(newer);
 		resetBackoff();
 	}
 
 	boolean switching() {
-		return this.engineStatus.map(EngineWord::switching).orElse(false);
+		return this.engineStatus.map(EngineStatus::switching).orElse(false);
 	}
 
 	OptionalLong switchStartNanos() {
-		return this.engineStatus.map(EngineWord::closesNanos).orElse(OptionalLong.empty());
+		return this.engineStatus.map(EngineStatus::switchStartNanos).orElse(OptionalLong.empty());
 	}
 
 	/**
@@ -119,7 +119,7 @@
 	 */
 	void sent(Job job, boolean requiresNewConnection, long nowNanos) {
 		this.capacityShare.recordSend();
-		this.ownLoad = this.ownLoad.plus(new PeerLoad(1, 1, job.size().promptTokens()));
+		this.ownLoad = this.ownLoad.plus(new InFlightLoad(1, 1, job.size().promptTokens()));
 		this.health.sent(nowNanos);
 		// The response times of plain services vary too much to judge the network path
 		// by them.
@@ -130,7 +130,7 @@
 	}
 
 	void firstEvent(Job job) {
-		this.ownLoad = this.ownLoad.plus(new PeerLoad(0, -1, -job.size().promptTokens()));
+		this.ownLoad = this.ownLoad.plus(new InFlightLoad(0, -1, -job.size().promptTokens()));
 		this.health.firstEvent(job.sentNanos);
 		this.path.answered(job.sentNanos);
 	}
@@ -148,7 +148,7 @@
 	/**
 	 * Records the outcome of a request.
 	 */
-	void ended(Job job, Outcome outcome, long nowNanos) {
+	void ended(Job job, DispatchOutcome outcome, long nowNanos) {
 		subtractLoad(job);
 		this.health.ended(outcome, job.sentNanos, nowNanos);
 		switch (outcome) {
@@ -168,15 +168,15 @@
 	private void subtractLoad(Job job) {
 		boolean firstEventSent = job.firstEventSent;
 		this.ownLoad = this.ownLoad
-			.plus(new PeerLoad(-1, firstEventSent ? 0 : -1, firstEventSent ? 0 : -job.size().promptTokens()));
+			.plus(new InFlightLoad(-1, firstEventSent ? 0 : -1, firstEventSent ? 0 : -job.size().promptTokens()));
 	}
 
-	void updatePeerLoad(String peer, PeerLoad load, long nowNanos) {
+	void updatePeerLoad(String peer, InFlightLoad load, long nowNanos) {
 		this.peerLoads.put(peer, new ReportedLoad(load, nowNanos));
 		this.cacheValidUntilNanos = Long.MIN_VALUE;
 	}
 
-	void updateFailureDomainLoad(String failureDomain, PeerLoad load, long nowNanos) {
+	void updateFailureDomainLoad(String failureDomain, InFlightLoad load, long nowNanos) {
 		this.failureDomainLoads.put(failureDomain, new ReportedLoad(load, nowNanos));
 		this.cacheValidUntilNanos = Long.MIN_VALUE;
 	}
@@ -190,7 +190,7 @@
 	 * Returns the load of all entries. It is read for every runner on each placement, so
 	 * the sum of the peer loads is cached until a report arrives or expires.
 	 */
-	PeerLoad total(long nowNanos) {
+	InFlightLoad total(long nowNanos) {
 		if (nowNanos >= this.cacheValidUntilNanos) {
 			this.cacheValidUntilNanos = Long.MAX_VALUE;
 			this.cachedPeerLoad = sum(this.peerLoads, nowNanos).plus(sum(this.failureDomainLoads, nowNanos));
@@ -203,12 +203,12 @@
 	 * callers are directed to entries in their own failure domain, these are the entries
 	 * of this failure domain.
 	 */
-	PeerLoad failureDomainTotal(long nowNanos) {
+	InFlightLoad failureDomainTotal(long nowNanos) {
 		return this.ownLoad.plus(sum(this.peerLoads, nowNanos));
 	}
 
-	private PeerLoad sum(Map<String, ReportedLoad> reports, long nowNanos) {
-		PeerLoad sum = PeerLoad.NONE;
+	private InFlightLoad sum(Map<String, ReportedLoad> reports, long nowNanos) {
+		InFlightLoad sum = InFlightLoad.NONE;
 		for (ReportedLoad report : reports.values()) {
 			long until = report.receivedNanos + PEER_TTL_NANOS;
 			if (nowNanos < until) {
@@ -253,7 +253,7 @@
 		}
 	}
 
-	private record ReportedLoad(PeerLoad load, long receivedNanos) {
+	private record ReportedLoad(InFlightLoad load, long receivedNanos) {
 	}
 
 }
--- a/policy/src/main/java/org/wisteriapost/policy/dispatch/RunnerSubset.java
+++ b/policy/src/main/java/org/wisteriapost/policy/dispatch/RunnerSubset.java
@@ -51,7 +51,7 @@
 		List<RunnerState> chosen = new ArrayList<>();
 		Map<String, List<RunnerState>> remote = new HashMap<>();
 		for (RunnerState state : all) {
-			String failureDomain = state.info.place();
+			String failureDomain = state.info.failureDomain();
 			(failureDomain.equals(this.failureDomain) ? chosen
 					: remote.computeIfAbsent(failureDomain, (name) -> new ArrayList<>()))
 				.add(state);
--- a/policy/src/main/java/org/wisteriapost/policy/dispatch/WeightsFence.java
+++ b/policy/src/main/java/org/wisteriapost/policy/dispatch/WeightsFence.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.OptionalInt;
 
-import org.wisteriapost.policy.fleet.NamedWeights;
+import org.wisteriapost.policy.fleet.TargetWeights;
 
 /**
  * Determines from when requests may only start on the latest target weights version.
@@ -52,7 +52,7 @@
 	 * Records a target weights version.
 	 * @param found whether it was present when this entry first read the store
 	 */
-	void addTarget(NamedWeights weights, boolean found, long nowNanos) {
+	void addTarget(TargetWeights weights, boolean found, long nowNanos) {
 		List<Target> list = this.targets.computeIfAbsent(weights.model(), (model) -> new ArrayList<>());
 		if (!list.isEmpty() && list.getLast().version >= weights.version()) {
 			return;
--- a/policy/src/main/java/org/wisteriapost/policy/fleet/CallerEntries.java
+++ b/policy/src/main/java/org/wisteriapost/policy/fleet/AdvertisedEntries.java
@@ -14,11 +14,11 @@
  * after the loss of one, two remain, and these forward requests to engines elsewhere when
  * the local ones have no free capacity.
  */
-public final class CallerEntries {
+public final class AdvertisedEntries {
 
 	static final int MIN_LOCAL_ENTRIES = 3;
 
-	private CallerEntries() {
+	private AdvertisedEntries() {
 	}
 
 	/**
@@ -28,10 +28,10 @@
 	 * @param scopedByFailureDomain whether the fleet is so large that traffic is kept
 	 * within failure domains
 	 */
-	public static List<EntryInfo> choose(Collection<EntryInfo> ready, Optional<String> failureDomain,
+	public static List<EntryInfo> select(Collection<EntryInfo> ready, Optional<String> failureDomain,
 			boolean scopedByFailureDomain) {
 		List<EntryInfo> local = ready.stream()
-			.filter((info) -> failureDomain.equals(Optional.of(info.place())))
+			.filter((info) -> failureDomain.equals(Optional.of(info.failureDomain())))
 			.toList();
 		return (scopedByFailureDomain && local.size() >= MIN_LOCAL_ENTRIES) ? local : List.copyOf(ready);
 	}
--- a/policy/src/main/java/org/wisteriapost/policy/fleet/AgentDuty.java
+++ b/policy/src/main/java/org/wisteriapost/policy/fleet/AgentAssignment.java
@@ -17,18 +17,18 @@
  * that one of them may be dead or hung. Agents of a failure domain without entries are
  * distributed over the entries of the others.
  */
-public final class AgentDuty {
+public final class AgentAssignment {
 
 	static final int PEER_LIST_SENDERS = 2;
 
 	private final EntryInfo self;
 
-	private AgentDuty(EntryInfo self) {
+	private AgentAssignment(EntryInfo self) {
 		this.self = self;
 	}
 
-	public static AgentDuty of(EntryInfo self) {
-		return new AgentDuty(self);
+	public static AgentAssignment of(EntryInfo self) {
+		return new AgentAssignment(self);
 	}
 
 	/**
@@ -36,16 +36,18 @@
 	 * @param engines all registered engines
 	 * @param otherEntries the other registered entries
 	 */
-	public List<RunnerInfo> linked(Collection<RunnerInfo> engines, Collection<EntryInfo> otherEntries) {
-		if (!EntryLinks.byPlace(otherEntries.size() + 1)) {
+	public List<RunnerInfo> linkedEngines(Collection<RunnerInfo> engines, Collection<EntryInfo> otherEntries) {
+		if (!EntryLinks.scopedByFailureDomain(otherEntries.size() + 1)) {
 			return List.copyOf(engines);
 		}
-		Set<String> domainsWithEntries = otherEntries.stream().map(EntryInfo::place).collect(Collectors.toSet());
+		Set<String> domainsWithEntries = otherEntries.stream()
+			.map(EntryInfo::failureDomain)
+			.collect(Collectors.toSet());
 		List<String> names = otherEntries.stream().map(EntryInfo::name).toList();
 		List<RunnerInfo> chosen = new ArrayList<>();
 		for (RunnerInfo engine : engines) {
-			boolean local = engine.place().equals(this.self.place());
-			boolean orphaned = !local && !domainsWithEntries.contains(engine.place());
+			boolean local = engine.failureDomain().equals(this.self.failureDomain());
+			boolean orphaned = !local && !domainsWithEntries.contains(engine.failureDomain());
 			if (local || (orphaned && isAmongFirst(engine, names))) {
 				chosen.add(engine);
 			}
@@ -57,10 +59,10 @@
 	 * Returns whether this entry sends the agent of an engine the list of its peers.
 	 * @param liveEntries the other entries that are live in this entry's view
 	 */
-	public boolean tells(RunnerInfo engine, Collection<EntryInfo> liveEntries) {
-		boolean sameDomain = engine.place().equals(this.self.place());
+	public boolean sendsPeerList(RunnerInfo engine, Collection<EntryInfo> liveEntries) {
+		boolean sameDomain = engine.failureDomain().equals(this.self.failureDomain());
 		List<String> entriesOfDomain = liveEntries.stream()
-			.filter((info) -> info.place().equals(engine.place()))
+			.filter((info) -> info.failureDomain().equals(engine.failureDomain()))
 			.map(EntryInfo::name)
 			.toList();
 		if (!sameDomain && !entriesOfDomain.isEmpty()) {
@@ -70,7 +72,7 @@
 	}
 
 	private boolean isAmongFirst(RunnerInfo engine, Collection<String> names) {
-		return Rendezvous.among(this.self.name(), names, engine.address(), PEER_LIST_SENDERS);
+		return RendezvousHashing.isAmongFirst(this.self.name(), names, engine.address(), PEER_LIST_SENDERS);
 	}
 
 }
--- a/policy/src/main/java/org/wisteriapost/policy/fleet/EntryLinks.java
+++ b/policy/src/main/java/org/wisteriapost/policy/fleet/EntryLinks.java
@@ -33,7 +33,7 @@
 	 * failure domains.
 	 * @param entryCount the number of entries, this one included
 	 */
-	public static boolean byPlace(int entryCount) {
+	public static boolean scopedByFailureDomain(int entryCount) {
 		return entryCount > MAX_FULL_MESH_ENTRIES;
 	}
 
@@ -41,22 +41,23 @@
 	 * Returns the entries to link to.
 	 * @param others the other registered entries
 	 */
-	public static List<EntryInfo> choose(EntryInfo self, Collection<EntryInfo> others) {
-		if (!byPlace(others.size() + 1)) {
+	public static List<EntryInfo> select(EntryInfo self, Collection<EntryInfo> others) {
+		if (!scopedByFailureDomain(others.size() + 1)) {
 			return List.copyOf(others);
 		}
 		List<EntryInfo> chosen = new ArrayList<>();
 		Map<String, Map<String, EntryInfo>> remote = new LinkedHashMap<>();
 		for (EntryInfo other : others) {
-			if (other.place().equals(self.place())) {
+			if (other.failureDomain().equals(self.failureDomain())) {
 				chosen.add(other);
 			}
 			else {
-				remote.computeIfAbsent(other.place(), (domain) -> new LinkedHashMap<>()).put(other.name(), other);
+				remote.computeIfAbsent(other.failureDomain(), (domain) -> new LinkedHashMap<>())
+					.put(other.name(), other);
 			}
 		}
 		remote.values()
-			.forEach((entries) -> Rendezvous.order(entries.keySet(), self.name())
+			.forEach((entries) -> RendezvousHashing.rank(entries.keySet(), self.name())
 				.stream()
 				.limit(LINKS_PER_REMOTE_FAILURE_DOMAIN)
 				.forEach((name) -> chosen.add(entries.get(name))));
--- a/policy/src/main/java/org/wisteriapost/policy/fleet/LeaderFailover.java
+++ b/policy/src/main/java/org/wisteriapost/policy/fleet/LeaderFailover.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Optional;
 
-import org.wisteriapost.policy.fleet.StoreDuty.Step;
+import org.wisteriapost.policy.fleet.StoreRole.Step;
 
 /**
  * The handling of one loss of the leader by a follower, until it follows another leader
@@ -51,7 +51,7 @@
 	private static final long MISSED_HEARTBEAT_NANOS = Duration.ofMillis(600).toNanos();
 
 	// A peer that has heard its leader longer ago may have lost it as well.
-	private static final long MAX_REPORT_AGE_NANOS = Duration.ofMillis(StoreDuty.LEADER_TIMEOUT_MILLIS).toNanos();
+	private static final long MAX_REPORT_AGE_NANOS = Duration.ofMillis(StoreRole.LEADER_TIMEOUT_MILLIS).toNanos();
 
 	// Between the starts of two successors: enough for the later to ask the earlier one.
 	private static final long STAGGER_NANOS = Duration.ofMillis(150).toNanos();
--- a/policy/src/main/java/org/wisteriapost/policy/fleet/LeaderOrder.java
+++ b/policy/src/main/java/org/wisteriapost/policy/fleet/LeaderOrder.java
@@ -57,7 +57,7 @@
 		List<String> names = new ArrayList<>(group);
 		names.removeAll(this.suspectedUntilNanos.keySet());
 		names.add(this.self);
-		return Rendezvous.order(names, RENDEZVOUS_KEY);
+		return RendezvousHashing.rank(names, RENDEZVOUS_KEY);
 	}
 
 }
--- a/policy/src/main/java/org/wisteriapost/policy/fleet/LinkedEntry.java
+++ b/policy/src/main/java/org/wisteriapost/policy/fleet/LinkedEntry.java
@@ -13,28 +13,28 @@
 	 */
 	public static LinkedEntry of(EntryInfo self, EntryInfo other) {
 		if (!other.region().equals(self.region())) {
-			return new LinkedEntry(other.name(), Distance.ELSEWHERE);
+			return new LinkedEntry(other.name(), Distance.REMOTE);
 		}
-		return new LinkedEntry(other.name(),
-				other.place().equals(self.place()) ? Distance.OWN_PLACE : Distance.OWN_REGION);
+		return new LinkedEntry(other.name(), other.failureDomain().equals(self.failureDomain())
+				? Distance.SAME_FAILURE_DOMAIN : Distance.SAME_REGION);
 	}
 
 	/**
 	 * Returns a linked entry whose location is unknown.
 	 */
 	public static LinkedEntry unknown(String name) {
-		return new LinkedEntry(name, Distance.ELSEWHERE);
+		return new LinkedEntry(name, Distance.REMOTE);
 	}
 
 	/** The network distance of an entry, the nearest first. */
 	public enum Distance {
 
 		/** In the same failure domain. */
-		OWN_PLACE,
+		SAME_FAILURE_DOMAIN,
 		/** In another failure domain of the same region. */
-		OWN_REGION,
+		SAME_REGION,
 		/** In another region, or at an unknown location. */
-		ELSEWHERE
+		REMOTE
 
 	}
 
--- a/policy/src/main/java/org/wisteriapost/policy/fleet/Rendezvous.java
+++ b/policy/src/main/java/org/wisteriapost/policy/fleet/RendezvousHashing.java
@@ -12,15 +12,15 @@
  * change the order of the others, and different keys rank the same names differently,
  * which distributes the load.
  */
-public final class Rendezvous {
+public final class RendezvousHashing {
 
-	private Rendezvous() {
+	private RendezvousHashing() {
 	}
 
 	/**
 	 * Returns the names by their rank for a key, the first first.
 	 */
-	public static List<String> order(Collection<String> names, String key) {
+	public static List<String> rank(Collection<String> names, String key) {
 		return names.stream()
 			.sorted(Comparator.comparingLong((String name) -> weight(name, key))
 				.thenComparing(Comparator.naturalOrder()))
@@ -32,7 +32,7 @@
 	 * @param name ranked with the names, whether or not they contain it
 	 * @param limit how many names count as the first
 	 */
-	public static boolean among(String name, Collection<String> names, String key, int limit) {
+	public static boolean isAmongFirst(String name, Collection<String> names, String key, int limit) {
 		long own = weight(name, key);
 		long preceding = names.stream().filter((other) -> !other.equals(name)).filter((other) -> {
 			long weight = weight(other, key);
--- a/policy/src/main/java/org/wisteriapost/policy/fleet/RunnerStart.java
+++ b/policy/src/main/java/org/wisteriapost/policy/fleet/RunnerIncarnation.java
@@ -14,19 +14,19 @@
  * @param startedMillis Unix time at which the runner started; empty when it does not
  * report it
  */
-public record RunnerStart(OptionalLong startedMillis) {
+public record RunnerIncarnation(OptionalLong startedMillis) {
 
 	/** An unknown incarnation; neither before nor after any other. */
-	public static final RunnerStart UNKNOWN = new RunnerStart(OptionalLong.empty());
+	public static final RunnerIncarnation UNKNOWN = new RunnerIncarnation(OptionalLong.empty());
 
-	public static RunnerStart at(long startedMillis) {
-		return new RunnerStart(OptionalLong.of(startedMillis));
+	public static RunnerIncarnation startedAt(long startedMillis) {
+		return new RunnerIncarnation(OptionalLong.of(startedMillis));
 	}
 
 	/**
 	 * Returns whether this incarnation precedes another; false unless both are known.
 	 */
-	public boolean before(RunnerStart other) {
+	public boolean precedes(RunnerIncarnation other) {
 		return this.startedMillis.isPresent() && other.startedMillis.isPresent()
 				&& this.startedMillis.getAsLong() < other.startedMillis.getAsLong();
 	}
--- a/policy/src/main/java/org/wisteriapost/policy/fleet/StoreDuty.java
+++ b/policy/src/main/java/org/wisteriapost/policy/fleet/StoreRole.java
@@ -38,13 +38,13 @@
  * reads at once, the next two after {@value #STALE_LEADER_STAGGER_MILLIS} ms each, and
  * the others follow whichever has recent routes.
  */
-public final class StoreDuty {
+public final class StoreRole {
 
 	/**
 	 * Up to this number of entries each reads the store itself: the calls are few, and no
 	 * entry depends on a leader.
 	 */
-	public static final int MOST_READING_ALL = 8;
+	public static final int MAX_ENTRIES_WITHOUT_LEADER = 8;
 
 	static final int LEADER_TIMEOUT_MILLIS = 1200;
 
@@ -108,7 +108,7 @@
 	// The handling of the last loss of a leader.
 	private Optional<LeaderFailover> failover = Optional.empty();
 
-	private StoreDuty(String self, Duration activationDelay) {
+	private StoreRole(String self, Duration activationDelay) {
 		this.self = self;
 		this.leader = self;
 		this.leaderOrder = new LeaderOrder(self);
@@ -120,7 +120,7 @@
 	 * Returns the initial state of an entry, which reads the store itself, with the
 	 * default activation delay.
 	 */
-	public static StoreDuty of(String self) {
+	public static StoreRole of(String self) {
 		return of(self, DEFAULT_ACTIVATION_DELAY);
 	}
 
@@ -128,28 +128,28 @@
 	 * Returns the initial state of an entry, which reads the store itself.
 	 * @param activationDelay from a declaration until it takes effect
 	 */
-	public static StoreDuty of(String self, Duration activationDelay) {
-		return new StoreDuty(self, activationDelay);
+	public static StoreRole of(String self, Duration activationDelay) {
+		return new StoreRole(self, activationDelay);
 	}
 
 	/**
 	 * Returns whether this entry is a follower, which includes the time of a failover.
 	 */
-	public boolean rests() {
+	public boolean isFollower() {
 		return this.stage == Stage.FOLLOWING || this.stage == Stage.FAILING_OVER;
 	}
 
 	/**
 	 * Returns whether this entry follows a leader that it has not lost.
 	 */
-	public boolean settled() {
+	public boolean hasLeader() {
 		return this.stage == Stage.FOLLOWING;
 	}
 
 	/**
 	 * Returns whether this entry accepts state updates from a peer.
 	 */
-	public boolean believes(String peer) {
+	public boolean acceptsUpdatesFrom(String peer) {
 		return isCandidate(peer) || (this.stage != Stage.READING && peer.equals(this.leader));
 	}
 
@@ -157,16 +157,16 @@
 	 * Returns the time since the leader was last heard, rounded up; empty when there is
 	 * none.
 	 */
-	public OptionalLong heardAgoMillis(long nowNanos) {
+	public OptionalLong millisSinceLeaderHeard(long nowNanos) {
 		long ago = Math.ceilDiv(Math.max(0, nowNanos - this.lastEventNanos), NANOS_PER_MILLI);
-		return settled() ? OptionalLong.of(ago) : OptionalLong.empty();
+		return hasLeader() ? OptionalLong.of(ago) : OptionalLong.empty();
 	}
 
 	/**
 	 * Records the time as of which the routes that a peer sends are confirmed.
 	 */
-	public void knownAsOf(String peer, long nanos) {
-		if (believes(peer)) {
+	public void routesConfirmed(String peer, long nanos) {
+		if (acceptsUpdatesFrom(peer)) {
 			this.staleness.confirmed(peer, nanos);
 		}
 	}
@@ -194,8 +194,8 @@
 	 * @param current whether the store answers that entry
 	 * @param complete whether all objects of all kinds have been received from it
 	 */
-	public List<Step> heard(String peer, boolean current, boolean complete, long nowNanos) {
-		if (!believes(peer)) {
+	public List<Step> statusReceived(String peer, boolean current, boolean complete, long nowNanos) {
+		if (!acceptsUpdatesFrom(peer)) {
 			return List.of();
 		}
 		if (isCandidate(peer)) {
@@ -215,10 +215,10 @@
 	 * @param leaderHeardAgoNanos the time from when it last heard its leader to its
 	 * answer
 	 */
-	public List<Step> heardResting(String peer, long leaderHeardAgoNanos, long nowNanos) {
-		return (this.stage == Stage.FAILING_OVER && believes(peer)) ? continueFailover(
+	public List<Step> followerStatusReceived(String peer, long leaderHeardAgoNanos, long nowNanos) {
+		return (this.stage == Stage.FAILING_OVER && acceptsUpdatesFrom(peer)) ? continueFailover(
 				(failover) -> failover.answeredAsFollower(peer, leaderHeardAgoNanos, this.group, nowNanos), nowNanos)
-				: heard(peer, false, false, nowNanos);
+				: statusReceived(peer, false, false, nowNanos);
 	}
 
 	private List<Step> tickReading(Collection<String> group, boolean mayFollow, long nowNanos) {
--- a/policy/src/main/java/org/wisteriapost/policy/fleet/NamedWeights.java
+++ b/policy/src/main/java/org/wisteriapost/policy/fleet/TargetWeights.java
@@ -7,5 +7,5 @@
  * @param model the model's name
  * @param version counts from 1
  */
-public record NamedWeights(String model, int version) {
+public record TargetWeights(String model, int version) {
 }
--- a/policy/src/main/java/org/wisteriapost/policy/fleet/UpstreamChoice.java
+++ b/policy/src/main/java/org/wisteriapost/policy/fleet/UpstreamSelector.java
@@ -27,7 +27,7 @@
  * one. While nobody answers, each gets twice the time of the one before, so that an
  * answer completes in the end even over a full link.
  */
-public final class UpstreamChoice {
+public final class UpstreamSelector {
 
 	// An idle link carries a message in a few milliseconds; an entry that has not
 	// answered
@@ -67,19 +67,19 @@
 
 	private boolean answeredThisRound;
 
-	private UpstreamChoice(String self) {
+	private UpstreamSelector(String self) {
 		this.self = self;
 	}
 
-	public static UpstreamChoice of(String self) {
-		return new UpstreamChoice(self);
+	public static UpstreamSelector of(String self) {
+		return new UpstreamSelector(self);
 	}
 
 	/**
 	 * Records whether the store answers this entry. Returns the entry whose request is to
 	 * be cancelled.
 	 */
-	public Optional<String> store(boolean reachable) {
+	public Optional<String> storeReachabilityChanged(boolean reachable) {
 		this.storeUnreachable = !reachable;
 		Optional<String> former = reachable ? this.upstream : Optional.empty();
 		if (reachable) {
@@ -92,7 +92,7 @@
 	 * Returns whether this entry accepts state updates from a peer: it was asked, and the
 	 * store itself does not answer.
 	 */
-	public boolean believes(String peer) {
+	public boolean acceptsUpdatesFrom(String peer) {
 		return this.storeUnreachable && this.upstream.equals(Optional.of(peer));
 	}
 
@@ -100,7 +100,7 @@
 	 * Handles the answer of the entry that was asked.
 	 * @param current whether the store answers that entry
 	 */
-	public void heard(boolean current, long nowNanos) {
+	public void answerReceived(boolean current, long nowNanos) {
 		this.heardNanos = nowNanos;
 		this.answer = current ? Answer.CURRENT : Answer.NOT_CURRENT;
 		if (current) {
@@ -112,7 +112,7 @@
 	/**
 	 * Handles a heartbeat of the upstream, which carries no objects.
 	 */
-	public void sign(long nowNanos) {
+	public void heartbeatReceived(long nowNanos) {
 		this.heardNanos = nowNanos;
 	}
 
@@ -120,7 +120,7 @@
 	 * Returns which entry to ask now, if any, and which request to cancel.
 	 * @param linked the entries to which there is a link
 	 */
-	public List<Step> ask(Collection<LinkedEntry> linked, long nowNanos) {
+	public List<Step> tick(Collection<LinkedEntry> linked, long nowNanos) {
 		if (!this.storeUnreachable) {
 			return List.of();
 		}
@@ -187,7 +187,10 @@
 		Map<LinkedEntry.Distance, List<String>> byDistance = new EnumMap<>(LinkedEntry.Distance.class);
 		linked.forEach((entry) -> byDistance.computeIfAbsent(entry.distance(), (distance) -> new ArrayList<>())
 			.add(entry.name()));
-		return byDistance.values().stream().flatMap((names) -> Rendezvous.order(names, this.self).stream()).toList();
+		return byDistance.values()
+			.stream()
+			.flatMap((names) -> RendezvousHashing.rank(names, this.self).stream())
+			.toList();
 	}
 
 	private void reset() {
--- a/policy/src/main/java/org/wisteriapost/policy/membership/LinkChoice.java
+++ b/policy/src/main/java/org/wisteriapost/policy/membership/LinkSelector.java
@@ -21,7 +21,7 @@
  * of two runners out of {@link #RUNNERS_PER_SERVICE} is within a few percent of the
  * better of two out of all.
  */
-public final class LinkChoice {
+public final class LinkSelector {
 
 	// Enough that one of three failure domains can fail and the selection still has
 	// runners
@@ -36,19 +36,19 @@
 
 	private final String self;
 
-	private LinkChoice(String self) {
+	private LinkSelector(String self) {
 		this.self = self;
 	}
 
-	public static LinkChoice of(String self) {
-		return new LinkChoice(self);
+	public static LinkSelector of(String self) {
+		return new LinkSelector(self);
 	}
 
 	/**
 	 * Returns the VMs to link to. The same list gives the same selection, and adding or
 	 * removing a VM changes little of it.
 	 */
-	public List<Member> choose(List<Member> members) {
+	public List<Member> select(List<Member> members) {
 		List<Member> chosen = new ArrayList<>(entries(members));
 		Map<String, List<Member>> services = new TreeMap<>();
 		members.stream()
@@ -70,7 +70,8 @@
 		runners.stream()
 			.sorted(Comparator.comparingLong((Member member) -> rendezvousWeight(member.vm()))
 				.thenComparing(Member::vm))
-			.forEach((member) -> domains.computeIfAbsent(member.place(), (domain) -> new ArrayList<>()).add(member));
+			.forEach((member) -> domains.computeIfAbsent(member.failureDomain(), (domain) -> new ArrayList<>())
+				.add(member));
 		List<Member> chosen = new ArrayList<>();
 		for (int turn = 0; chosen.size() < RUNNERS_PER_SERVICE; turn++) {
 			for (List<Member> domain : domains.values()) {
--- a/policy/src/main/java/org/wisteriapost/policy/membership/Member.java
+++ b/policy/src/main/java/org/wisteriapost/policy/membership/Member.java
@@ -4,7 +4,7 @@
  * A VM of the VM list.
  *
  * @param vm its name
- * @param place its failure domain
+ * @param failureDomain its failure domain
  * @param entry whether it is an entry; otherwise it is an endpoint VM
  * @param service the service of an endpoint VM; empty for an entry
  * @param host its IP address
@@ -12,6 +12,6 @@
  * @param httpPort an entry's port for callers
  * @param leaving whether the list reports that it is leaving
  */
-public record Member(String vm, String place, boolean entry, String service, String host, int linkPort, int httpPort,
-		boolean leaving) {
+public record Member(String vm, String failureDomain, boolean entry, String service, String host, int linkPort,
+		int httpPort, boolean leaving) {
 }
