--- a/policy/src/main/java/org/wisteriapost/policy/membership/Membership.java
+++ b/policy/src/main/java/org/wisteriapost/policy/membership/Membership.java
@@ -52,7 +52,7 @@
 	/**
 	 * Replaces the VM list.
 	 */
-	public void list(List<Member> list) {
+	public void replaceMembers(List<Member> list) {
 		Map<String, Member> byName = new LinkedHashMap<>();
 		list.forEach((member) -> byName.putIfAbsent(member.vm(), member));
 		this.members = byName;
@@ -63,21 +63,21 @@
 	/**
 	 * Replaces the set of VMs that the platform has marked as leaving.
 	 */
-	public void marks(Set<String> vms) {
+	public void replaceMarks(Set<String> vms) {
 		this.markedLeaving = Set.copyOf(vms);
 	}
 
 	/**
 	 * Records that a VM has announced that it is leaving.
 	 */
-	public void announced(String vm) {
+	public void leavingAnnounced(String vm) {
 		this.announcedLeaving.add(vm);
 	}
 
 	/**
 	 * Records that a link to another entry was opened or closed.
 	 */
-	public void linked(String vm, boolean connected) {
+	public void linkChanged(String vm, boolean connected) {
 		if (connected) {
 			this.linkedEntries.add(vm);
 			return;
@@ -118,14 +118,14 @@
 	 * first, then those of its own failure domain.
 	 * @param draining whether this entry is draining and so not advertised
 	 */
-	public List<Member> entries(boolean draining) {
+	public List<Member> advertisedEntries(boolean draining) {
 		Set<String> leaving = leaving();
 		List<Member> advertised = new ArrayList<>(this.members.values());
 		advertised.removeIf((member) -> !member.entry() || leaving.contains(member.vm()));
 		advertised
 			.removeIf((member) -> member.vm().equals(this.self) ? draining : !this.linkedEntries.contains(member.vm()));
 		advertised.sort(Comparator.comparing((Member member) -> !member.vm().equals(this.self))
-			.thenComparing((member) -> !member.place().equals(this.failureDomain))
+			.thenComparing((member) -> !member.failureDomain().equals(this.failureDomain))
 			// Names after the own one come first, so that the order of the other entries
 			// differs between the entries that answer.
 			.thenComparing((member) -> member.vm().compareTo(this.self) < 0)
--- a/policy/src/main/java/org/wisteriapost/policy/request/Dispatcher.java
+++ b/policy/src/main/java/org/wisteriapost/policy/request/CallDispatcher.java
@@ -13,11 +13,11 @@
  * dispatch certainly did not run. This is checked here, immediately before the effect is
  * emitted, because every dispatch passes through this class.
  */
-final class Dispatcher {
+final class CallDispatcher {
 
 	private final Invariants invariants;
 
-	Dispatcher(Invariants invariants) {
+	CallDispatcher(Invariants invariants) {
 		this.invariants = invariants;
 	}
 
--- a/policy/src/main/java/org/wisteriapost/policy/request/ConcurrencyLimit.java
+++ b/policy/src/main/java/org/wisteriapost/policy/request/ConcurrencyLimit.java
@@ -89,7 +89,7 @@
 	 * other entries see the same free slots.
 	 */
 	static void onReport(RunnerState runner, long nowNanos) {
-		RunnerView status = runner.status;
+		RunnerStatus status = runner.status;
 		int freeCapacity = status.capacity() - status.running() - status.queued();
 		if (freeCapacity > 0) {
 			double target = runner.inFlight + (freeCapacity + 1) / 2;
--- a/policy/src/main/java/org/wisteriapost/policy/request/PendingRequests.java
+++ b/policy/src/main/java/org/wisteriapost/policy/request/PendingRequests.java
@@ -76,7 +76,7 @@
 			return;
 		}
 		if (pending.mayHaveRun()) {
-			effects.add(new RequestEffect.GiveUp(pending.id(), code));
+			effects.add(new RequestEffect.AnswerUnknown(pending.id(), code));
 			return;
 		}
 		effects.add(new RequestEffect.Refuse(pending.id(), code, retryAfterMillis));
--- a/policy/src/main/java/org/wisteriapost/policy/request/RequestEffect.java
+++ b/policy/src/main/java/org/wisteriapost/policy/request/RequestEffect.java
@@ -1,7 +1,7 @@
 package org.wisteriapost.policy.request;
 
 /**
- * Actions that {@link RequestMachine} requests from the I/O layer.
+ * Actions that {@link RequestStateMachine} requests from the I/O layer.
  */
 public sealed interface RequestEffect {
 
@@ -9,7 +9,7 @@
 
 	/**
 	 * Claims the request's idempotency key in the platform before the request is sent;
-	 * answered by {@link RequestEvent.Claimed} or {@link RequestEvent.ClaimLost}.
+	 * answered by {@link RequestEvent.Claimed} or {@link RequestEvent.ClaimFailed}.
 	 *
 	 * @param id the request
 	 */
@@ -44,7 +44,7 @@
 	 * @param id the request
 	 * @param code the reason
 	 */
-	record GiveUp(long id, String code) implements RequestEffect {
+	record AnswerUnknown(long id, String code) implements RequestEffect {
 	}
 
 	/**
--- a/policy/src/main/java/org/wisteriapost/policy/request/RequestEvent.java
+++ b/policy/src/main/java/org/wisteriapost/policy/request/RequestEvent.java
@@ -4,7 +4,7 @@
 import java.util.Set;
 
 /**
- * Inputs of {@link RequestMachine}.
+ * Inputs of {@link RequestStateMachine}.
  */
 public sealed interface RequestEvent {
 
@@ -31,7 +31,7 @@
 	 *
 	 * @param id the request
 	 */
-	record ClaimLost(long id) implements RequestEvent {
+	record ClaimFailed(long id) implements RequestEvent {
 	}
 
 	/**
@@ -40,7 +40,7 @@
 	 *
 	 * @param id the request
 	 */
-	record Started(long id) implements RequestEvent {
+	record AnswerStarted(long id) implements RequestEvent {
 	}
 
 	/**
@@ -48,7 +48,7 @@
 	 *
 	 * @param id the request
 	 */
-	record Ended(long id) implements RequestEvent {
+	record AnswerCompleted(long id) implements RequestEvent {
 	}
 
 	/**
@@ -60,7 +60,8 @@
 	 * @param code the reason
 	 * @param retryAfterMillis retry interval given by the gate, 0 for none
 	 */
-	record Failed(long id, String runner, boolean notRun, String code, long retryAfterMillis) implements RequestEvent {
+	record DispatchFailed(long id, String runner, boolean notRun, String code,
+			long retryAfterMillis) implements RequestEvent {
 	}
 
 	/**
@@ -68,24 +69,24 @@
 	 *
 	 * @param id the request
 	 */
-	record CallerGone(long id) implements RequestEvent {
+	record CallerDisconnected(long id) implements RequestEvent {
 	}
 
 	/**
 	 * A status report of an agent.
 	 *
-	 * @param view the reported status
+	 * @param status the reported status
 	 */
-	record RunnerSeen(RunnerView view) implements RequestEvent {
+	record RunnerReported(RunnerStatus status) implements RequestEvent {
 	}
 
 	/**
-	 * The connection to an agent is closed. A {@link Failed} event follows for each of
-	 * its calls.
+	 * The connection to an agent is closed. A {@link DispatchFailed} event follows for
+	 * each of its calls.
 	 *
 	 * @param runner the endpoint VM
 	 */
-	record RunnerLost(String runner) implements RequestEvent {
+	record RunnerDisconnected(String runner) implements RequestEvent {
 	}
 
 	/**
@@ -95,9 +96,9 @@
 	 * @param digests for each service, the weights digests that may serve it: those of
 	 * the accepted bundle and, while runners are still switching, of its predecessor
 	 */
-	record HeadSeen(long generation, Map<String, Set<String>> digests) implements RequestEvent {
+	record HeadRead(long generation, Map<String, Set<String>> digests) implements RequestEvent {
 
-		public HeadSeen {
+		public HeadRead {
 			digests = Map.copyOf(digests);
 		}
 
@@ -108,9 +109,9 @@
 	 *
 	 * @param vms all VMs known to be leaving
 	 */
-	record LeavingSeen(Set<String> vms) implements RequestEvent {
+	record LeavingVmsRead(Set<String> vms) implements RequestEvent {
 
-		public LeavingSeen {
+		public LeavingVmsRead {
 			vms = Set.copyOf(vms);
 		}
 
--- a/policy/src/main/java/org/wisteriapost/policy/request/RequestMachine.java
+++ b/policy/src/main/java/org/wisteriapost/policy/request/RequestStateMachine.java
@@ -16,17 +16,17 @@
  * State machine of request routing: returns the effects that the I/O layer must carry out
  * for each event. Confined to one thread.
  *
- * The I/O layer reports the end of each dispatch once, by {@link RequestEvent.Ended} or
- * {@link RequestEvent.Failed}, and sends a {@link RequestEvent.Tick} at least every 50
- * ms. The cost of an event does not depend on the number of runners, except for a new
- * head.
+ * The I/O layer reports the end of each dispatch once, by
+ * {@link RequestEvent.AnswerCompleted} or {@link RequestEvent.DispatchFailed}, and sends
+ * a {@link RequestEvent.Tick} at least every 50 ms. The cost of an event does not depend
+ * on the number of runners, except for a new head.
  *
  * The decisions are made by {@link AdmissionControl}, {@link LoadShedding},
- * {@link FairQueue}, {@link RunnerSelector}, {@link Dispatcher},
+ * {@link FairQueue}, {@link RunnerSelector}, {@link CallDispatcher},
  * {@link ConcurrencyLimit}, {@link SlowStart}, {@link OutlierEjection} and
  * {@link RetryBudget}.
  */
-public final class RequestMachine {
+public final class RequestStateMachine {
 
 	private static final Code NO_RUNNER = Code.refusal("no-runner", "No runner with accepted weights takes calls now.");
 
@@ -57,7 +57,7 @@
 
 	private final RunnerRegistry runners;
 
-	private final Dispatcher dispatcher;
+	private final CallDispatcher dispatcher;
 
 	private final RunnerSelector selector;
 
@@ -68,13 +68,13 @@
 
 	private boolean draining;
 
-	private RequestMachine(RequestPolicySettings settings, long seed, Invariants invariants) {
+	private RequestStateMachine(RequestPolicySettings settings, long seed, Invariants invariants) {
 		this.settings = settings;
 		this.random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
 		this.invariants = invariants;
 		this.pendingRequests = new PendingRequests(invariants);
 		this.runners = new RunnerRegistry(settings, this.random);
-		this.dispatcher = new Dispatcher(invariants);
+		this.dispatcher = new CallDispatcher(invariants);
 		this.selector = new RunnerSelector(settings, this.random);
 		this.retryBudget = new RetryBudget(settings, this.random);
 	}
@@ -82,7 +82,7 @@
 	/**
 	 * Returns a machine with default settings and no runners.
 	 */
-	public static RequestMachine create() {
+	public static RequestStateMachine create() {
 		return create(RequestPolicySettings.defaults(), DEFAULT_SEED);
 	}
 
@@ -91,15 +91,15 @@
 	 * @param seed of the random generator; differs between entries, so that entries with
 	 * the same reports do not select the same runners
 	 */
-	public static RequestMachine create(RequestPolicySettings settings, long seed) {
+	public static RequestStateMachine create(RequestPolicySettings settings, long seed) {
 		return create(settings, seed, Invariants.create());
 	}
 
 	/**
 	 * Returns a machine that records violations with the given invariants.
 	 */
-	public static RequestMachine create(RequestPolicySettings settings, long seed, Invariants invariants) {
-		return new RequestMachine(settings, seed, invariants);
+	public static RequestStateMachine create(RequestPolicySettings settings, long seed, Invariants invariants) {
+		return new RequestStateMachine(settings, seed, invariants);
 	}
 
 	/**
@@ -126,15 +126,15 @@
 		switch (event) {
 			case RequestEvent.Arrived arrived -> onArrival(arrived.request(), nowNanos, effects);
 			case RequestEvent.Claimed claimed -> onClaimed(claimed.id(), nowNanos, effects);
-			case RequestEvent.ClaimLost lost -> onClaimFailed(lost.id(), nowNanos);
-			case RequestEvent.Started started -> onAnswerStarted(started.id());
-			case RequestEvent.Ended ended -> onCompletion(ended.id(), nowNanos);
-			case RequestEvent.Failed failed -> onFailure(failed, nowNanos, effects);
-			case RequestEvent.CallerGone gone -> onCallerDisconnected(gone.id(), nowNanos, effects);
-			case RequestEvent.RunnerSeen report -> this.runners.onReport(report.view(), nowNanos);
-			case RequestEvent.RunnerLost lost -> this.runners.onDisconnect(lost.runner(), nowNanos);
-			case RequestEvent.HeadSeen head -> this.runners.onHeadUpdate(head, nowNanos);
-			case RequestEvent.LeavingSeen leaving -> this.runners.onLeavingVms(leaving.vms(), nowNanos);
+			case RequestEvent.ClaimFailed lost -> onClaimFailed(lost.id(), nowNanos);
+			case RequestEvent.AnswerStarted started -> onAnswerStarted(started.id());
+			case RequestEvent.AnswerCompleted ended -> onCompletion(ended.id(), nowNanos);
+			case RequestEvent.DispatchFailed failed -> onFailure(failed, nowNanos, effects);
+			case RequestEvent.CallerDisconnected gone -> onCallerDisconnected(gone.id(), nowNanos, effects);
+			case RequestEvent.RunnerReported report -> this.runners.onReport(report.status(), nowNanos);
+			case RequestEvent.RunnerDisconnected lost -> this.runners.onDisconnect(lost.runner(), nowNanos);
+			case RequestEvent.HeadRead head -> this.runners.onHeadUpdate(head, nowNanos);
+			case RequestEvent.LeavingVmsRead leaving -> this.runners.onLeavingVms(leaving.vms(), nowNanos);
 			case RequestEvent.Drain drain -> this.draining = true;
 			case RequestEvent.Tick tick -> this.runners.evictIdle(nowNanos);
 		}
@@ -226,7 +226,7 @@
 		});
 	}
 
-	private void onFailure(RequestEvent.Failed failed, long nowNanos, List<RequestEffect> effects) {
+	private void onFailure(RequestEvent.DispatchFailed failed, long nowNanos, List<RequestEffect> effects) {
 		PendingRequest pending = findInStage(failed.id(), PendingRequest.Stage.DISPATCHED)
 			.filter((candidate) -> candidate.runner.name.equals(failed.runner()))
 			.orElse(null);
@@ -255,7 +255,7 @@
 	 * refusal is no failure of the runner and no attempt of the request; the runner's
 	 * backoff limits the rate of further attempts.
 	 */
-	private void requeueAfterFullGate(PendingRequest pending, RunnerState runner, RequestEvent.Failed failed,
+	private void requeueAfterFullGate(PendingRequest pending, RunnerState runner, RequestEvent.DispatchFailed failed,
 			long nowNanos) {
 		this.runners.onGateFull(runner, failed.retryAfterMillis(), nowNanos);
 		pending.dispatches--;
@@ -266,7 +266,7 @@
 	 * Schedules a retry, or answers at once so that the caller can still retry before its
 	 * own deadline.
 	 */
-	private void retry(PendingRequest pending, RequestEvent.Failed failed, boolean notRun, long nowNanos,
+	private void retry(PendingRequest pending, RequestEvent.DispatchFailed failed, boolean notRun, long nowNanos,
 			List<RequestEffect> effects) {
 		long backoff = this.retryBudget.backoffNanos(pending);
 		ServiceState service = serviceOf(pending);
--- a/policy/src/main/java/org/wisteriapost/policy/request/RunnerRegistry.java
+++ b/policy/src/main/java/org/wisteriapost/policy/request/RunnerRegistry.java
@@ -92,7 +92,7 @@
 		}
 	}
 
-	void onReport(RunnerView status, long nowNanos) {
+	void onReport(RunnerStatus status, long nowNanos) {
 		if (!this.reportReceived) {
 			this.reportReceived = true;
 			this.firstReportNanos = nowNanos;
@@ -123,7 +123,7 @@
 	/**
 	 * Applies a head. One older than the current is late and ignored.
 	 */
-	void onHeadUpdate(RequestEvent.HeadSeen head, long nowNanos) {
+	void onHeadUpdate(RequestEvent.HeadRead head, long nowNanos) {
 		if (head.generation() < this.generation) {
 			return;
 		}
--- a/policy/src/main/java/org/wisteriapost/policy/request/RunnerSelector.java
+++ b/policy/src/main/java/org/wisteriapost/policy/request/RunnerSelector.java
@@ -44,7 +44,7 @@
 	/**
 	 * Returns whether calls of the runner's service may be sent to it.
 	 */
-	static boolean eligible(RunnerView status, Set<String> accepted, Set<String> leaving) {
+	static boolean eligible(RunnerStatus status, Set<String> accepted, Set<String> leaving) {
 		return status.admitting() && status.capacity() > 0 && accepted.contains(status.weightsDigest())
 				&& !leaving.contains(status.runner());
 	}
@@ -97,7 +97,7 @@
 
 	private double score(RunnerPool pool, RunnerState runner) {
 		double load = (runner.load() + 1.0) / runner.status.capacity();
-		double remotePenalty = runner.status.place().equals(this.failureDomain) ? 0 : REMOTE_PENALTY;
+		double remotePenalty = runner.status.failureDomain().equals(this.failureDomain) ? 0 : REMOTE_PENALTY;
 		return load * slowdown(pool, runner) + remotePenalty;
 	}
 
--- a/policy/src/main/java/org/wisteriapost/policy/request/RunnerState.java
+++ b/policy/src/main/java/org/wisteriapost/policy/request/RunnerState.java
@@ -8,7 +8,7 @@
 
 	final String name;
 
-	RunnerView status;
+	RunnerStatus status;
 
 	/** Index in the pool's list of free runners, -1 if absent. */
 	int freeIndex = -1;
@@ -57,7 +57,7 @@
 
 	int ejections;
 
-	RunnerState(RunnerView status) {
+	RunnerState(RunnerStatus status) {
 		this.name = status.runner();
 		this.status = status;
 		this.limit = Math.max(1, status.capacity());
--- a/policy/src/main/java/org/wisteriapost/policy/request/RunnerView.java
+++ b/policy/src/main/java/org/wisteriapost/policy/request/RunnerStatus.java
@@ -6,7 +6,7 @@
  * Status of a runner as last reported by its agent; the figures lag.
  *
  * @param runner the endpoint VM's name
- * @param place its failure domain
+ * @param failureDomain its failure domain
  * @param service the service that it provides
  * @param admitting false while it is starting, switching weights or leaving
  * @param weightsDigest the weights in use, read back from the runner; empty for a plain
@@ -17,10 +17,10 @@
  * @param capacity concurrent calls
  * @param prefixes cached prompt prefixes, an incomplete hint
  */
-public record RunnerView(String runner, String place, String service, boolean admitting, String weightsDigest,
+public record RunnerStatus(String runner, String failureDomain, String service, boolean admitting, String weightsDigest,
 		long generation, int running, int queued, int capacity, Set<Long> prefixes) {
 
-	public RunnerView {
+	public RunnerStatus {
 		prefixes = Set.copyOf(prefixes);
 	}
 
--- a/policy/src/main/java/org/wisteriapost/policy/rollout/Rollout.java
+++ b/policy/src/main/java/org/wisteriapost/policy/rollout/Rollout.java
@@ -8,8 +8,8 @@
 import java.util.OptionalLong;
 import java.util.stream.LongStream;
 
-import org.wisteriapost.policy.dispatch.EngineWord;
-import org.wisteriapost.policy.fleet.RunnerStart;
+import org.wisteriapost.policy.dispatch.EngineStatus;
+import org.wisteriapost.policy.fleet.RunnerIncarnation;
 
 /**
  * The state machine that brings one engine to the target weights version: fetch, wait for
@@ -97,11 +97,11 @@
 
 	private long acceptedOrders;
 
-	private RunnerStart incarnation = RunnerStart.UNKNOWN;
+	private RunnerIncarnation incarnation = RunnerIncarnation.UNKNOWN;
 
 	private final ReportPolling polling = new ReportPolling();
 
-	private RolloutEffect.Tell lastStatus;
+	private RolloutEffect.PublishStatus lastStatus;
 
 	private Rollout(Duration activation) {
 		this.schedule = new SwitchSchedule(activation);
@@ -128,7 +128,7 @@
 	/**
 	 * Sets the target version. Lower versions are ignored.
 	 */
-	public void named(int version, long nowNanos) {
+	public void setTarget(int version, long nowNanos) {
 		if (this.targetVersion.isPresent() && this.targetVersion.getAsInt() >= version) {
 			return;
 		}
@@ -159,14 +159,14 @@
 	/**
 	 * Sets this engine's position among all engines that switch, from 0 to below 1.
 	 */
-	public void turn(double position) {
+	public void setPosition(double position) {
 		this.schedule.position(position);
 	}
 
 	/**
 	 * Records the progress of the fetch, from 0 to 1.
 	 */
-	public void fetching(double share, long nowNanos) {
+	public void fetchProgressed(double share, long nowNanos) {
 		this.fetchedShare = share;
 		if (this.step != Step.FETCHING || share < ANNOUNCE_SHARE) {
 			return;
@@ -182,7 +182,7 @@
 	 * Handles the end of the fetch.
 	 * @param complete whether every chunk is staged
 	 */
-	public void fetched(int version, boolean complete, long nowNanos) {
+	public void fetchEnded(int version, boolean complete, long nowNanos) {
 		if (this.step != Step.FETCHING || this.stepVersion != version) {
 			return;
 		}
@@ -205,7 +205,7 @@
 		advance(nowNanos);
 	}
 
-	public void verified(int version, boolean valid, long nowNanos) {
+	public void verificationEnded(int version, boolean valid, long nowNanos) {
 		if (this.step != Step.VERIFYING || this.stepVersion != version) {
 			return;
 		}
@@ -220,7 +220,7 @@
 		advance(nowNanos);
 	}
 
-	public void ordered(boolean accepted, long nowNanos) {
+	public void orderAnswered(boolean accepted, long nowNanos) {
 		if (this.step != Step.ORDERING) {
 			return;
 		}
@@ -246,12 +246,13 @@
 	 * incarnation is detected by its start time, or else by an order count that has
 	 * fallen.
 	 */
-	public void reported(OptionalInt version, boolean busy, long orderCount, RunnerStart reportedBy, long nowNanos) {
+	public void reportReceived(OptionalInt version, boolean busy, long orderCount, RunnerIncarnation reportedBy,
+			long nowNanos) {
 		this.polling.ended();
-		if (reportedBy.before(this.incarnation)) {
+		if (reportedBy.precedes(this.incarnation)) {
 			return;
 		}
-		if (this.incarnation.before(reportedBy) || orderCount < this.acceptedOrders) {
+		if (this.incarnation.precedes(reportedBy) || orderCount < this.acceptedOrders) {
 			this.taking = OptionalInt.empty();
 		}
 		this.incarnation = reportedBy;
@@ -266,7 +267,7 @@
 		advance(nowNanos);
 	}
 
-	public void silent(long nowNanos) {
+	public void reportFailed(long nowNanos) {
 		this.polling.ended();
 		this.engineReachable = false;
 		advance(nowNanos);
@@ -316,7 +317,7 @@
 	/**
 	 * Returns the last published status, for an entry that has just connected.
 	 */
-	public Optional<RolloutEffect.Tell> latest() {
+	public Optional<RolloutEffect.PublishStatus> lastStatus() {
 		return Optional.ofNullable(this.lastStatus);
 	}
 
@@ -417,8 +418,8 @@
 		boolean closed = announced && this.step != Step.FETCHING && nowNanos >= this.switchNanos;
 		boolean switching = closed || this.step == Step.ORDERING || this.taking.isPresent();
 		OptionalLong closes = (announced && !switching) ? OptionalLong.of(this.switchNanos) : OptionalLong.empty();
-		RolloutEffect.Tell status = new RolloutEffect.Tell(
-				new EngineWord(this.held, switching, closes, this.incarnation));
+		RolloutEffect.PublishStatus status = new RolloutEffect.PublishStatus(
+				new EngineStatus(this.held, switching, closes, this.incarnation));
 		if (this.engineReachable && !status.equals(this.lastStatus)) {
 			this.lastStatus = status;
 			this.effects.add(status);
--- a/policy/src/main/java/org/wisteriapost/policy/rollout/RolloutEffect.java
+++ b/policy/src/main/java/org/wisteriapost/policy/rollout/RolloutEffect.java
@@ -1,6 +1,6 @@
 package org.wisteriapost.policy.rollout;
 
-import org.wisteriapost.policy.dispatch.EngineWord;
+import org.wisteriapost.policy.dispatch.EngineStatus;
 
 /**
  * The actions that a {@link Rollout} requests from the agent.
@@ -47,9 +47,9 @@
 	/**
 	 * Publish the status of the engine to the entries.
 	 *
-	 * @param word the status
+	 * @param status the status
 	 */
-	record Tell(EngineWord word) implements RolloutEffect {
+	record PublishStatus(EngineStatus status) implements RolloutEffect {
 	}
 
 }
--- a/policy/src/main/java/org/wisteriapost/policy/routing/KnownMoment.java
+++ b/policy/src/main/java/org/wisteriapost/policy/routing/LastConfirmedTime.java
@@ -5,7 +5,7 @@
 /**
  * The latest time as of which a state was confirmed, on this process's monotonic clock.
  */
-public final class KnownMoment {
+public final class LastConfirmedTime {
 
 	private OptionalLong confirmedNanos = OptionalLong.empty();
 
@@ -29,8 +29,8 @@
 	 * of the suspension; a request would be rejected by an outdated state, here or at a
 	 * peer that receives the staleness.
 	 */
-	public void doubt(long nowNanos) {
-		forget();
+	public void discardBefore(long nowNanos) {
+		clear();
 		this.notBeforeNanos = OptionalLong.of(nowNanos);
 	}
 
@@ -38,7 +38,7 @@
 	 * Discards the confirmed time; used when another state is to be confirmed from now
 	 * on.
 	 */
-	public void forget() {
+	public void clear() {
 		this.confirmedNanos = OptionalLong.empty();
 	}
 
@@ -52,7 +52,7 @@
 	/**
 	 * Returns the time since then; empty when there is none.
 	 */
-	public OptionalLong ageNanos(long nowNanos) {
+	public OptionalLong stalenessNanos(long nowNanos) {
 		return this.confirmedNanos.isEmpty() ? OptionalLong.empty()
 				: OptionalLong.of(nowNanos - this.confirmedNanos.getAsLong());
 	}
--- a/policy/src/main/java/org/wisteriapost/policy/routing/RejectionGuard.java
+++ b/policy/src/main/java/org/wisteriapost/policy/routing/RejectionGuard.java
@@ -23,7 +23,7 @@
 
 	private final long maxStalenessNanos;
 
-	private final KnownMoment lastConfirmed = new KnownMoment();
+	private final LastConfirmedTime lastConfirmed = new LastConfirmedTime();
 
 	private RejectionGuard(long maxStalenessNanos) {
 		this.maxStalenessNanos = maxStalenessNanos;
@@ -48,15 +48,15 @@
 	 * Discards all confirmations from before a time: this VM was suspended until then,
 	 * and they are more stale than the clock shows.
 	 */
-	public void doubt(long nowNanos) {
-		this.lastConfirmed.doubt(nowNanos);
+	public void discardBefore(long nowNanos) {
+		this.lastConfirmed.discardBefore(nowNanos);
 	}
 
 	/**
 	 * Returns whether a request may be rejected now.
 	 */
 	public boolean allows(long nowNanos) {
-		OptionalLong staleness = ageNanos(nowNanos);
+		OptionalLong staleness = stalenessNanos(nowNanos);
 		return staleness.isPresent() && staleness.getAsLong() <= this.maxStalenessNanos;
 	}
 
@@ -74,8 +74,8 @@
 	/**
 	 * Returns the time since the latest confirmation; empty when there is none.
 	 */
-	public OptionalLong ageNanos(long nowNanos) {
-		return this.lastConfirmed.ageNanos(nowNanos);
+	public OptionalLong stalenessNanos(long nowNanos) {
+		return this.lastConfirmed.stalenessNanos(nowNanos);
 	}
 
 }
--- a/policy/src/main/java/org/wisteriapost/policy/routing/RejectionPermit.java
+++ b/policy/src/main/java/org/wisteriapost/policy/routing/RejectionPermit.java
@@ -2,7 +2,7 @@
 
 import java.util.OptionalLong;
 
-import org.wisteriapost.kernel.SuspensionWatch;
+import org.wisteriapost.kernel.SuspensionDetector;
 
 /**
  * A snapshot of a {@link RejectionGuard}, for use by other threads.
@@ -27,7 +27,8 @@
 	 */
 	public boolean allows(long nowNanos, long nowEpochMillis) {
 		return this.untilNanos.isPresent() && nowNanos - this.untilNanos.getAsLong() <= 0
-				&& !SuspensionWatch.start(this.issuedNanos, this.issuedEpochMillis).woke(nowNanos, nowEpochMillis);
+				&& !SuspensionDetector.start(this.issuedNanos, this.issuedEpochMillis)
+					.detectSuspension(nowNanos, nowEpochMillis);
 	}
 
 }
--- a/policy/src/main/java/org/wisteriapost/policy/routing/Route.java
+++ b/policy/src/main/java/org/wisteriapost/policy/routing/Route.java
@@ -11,7 +11,7 @@
  * @param prefix the path prefix; starts and ends with a slash
  * @param kind which requests may be retried
  * @param timeout the maximum time to the final answer
- * @param target the target latency of the answer, or of a stream's first event
+ * @param targetLatency the target latency of the answer, or of a stream's first event
  * @param priority 0 is the most urgent
  * @param services the services that handle requests, by weight
  * @param maxAttempts the maximum number of runners that one request is sent to
@@ -19,7 +19,7 @@
  * @param resumable whether a stream may resume at another runner after its last event
  * @param targetGap the target for the longest pause between events
  */
-public record Route(String name, String host, String prefix, RouteKind kind, Duration timeout, Duration target,
+public record Route(String name, String host, String prefix, RouteKind kind, Duration timeout, Duration targetLatency,
 		int priority, List<WeightedService> services, int maxAttempts, boolean anonymous, boolean resumable,
 		Duration targetGap) {
 
@@ -31,7 +31,7 @@
 	 * Returns whether a request that may have run may be retried: it is idempotent, or a
 	 * stream that resumes after its last event.
 	 */
-	public boolean repeatable() {
+	public boolean retryable() {
 		return this.kind == RouteKind.IDEMPOTENT || (this.kind == RouteKind.STREAM && this.resumable);
 	}
 
@@ -39,7 +39,7 @@
 	 * Selects the service for a request, by weight.
 	 * @param draw a random number from 0 inclusive to 1 exclusive
 	 */
-	public String service(double draw) {
+	public String selectService(double draw) {
 		long total = this.services.stream().mapToLong(WeightedService::weight).sum();
 		double remaining = draw * total;
 		for (WeightedService candidate : this.services) {
--- a/policy/src/main/java/org/wisteriapost/policy/routing/RouteTable.java
+++ b/policy/src/main/java/org/wisteriapost/policy/routing/RouteTable.java
@@ -78,7 +78,7 @@
 	/**
 	 * Returns whether any tokens are declared; without any, requests need none.
 	 */
-	public boolean asksForTokens() {
+	public boolean requiresTokens() {
 		return !this.tokens.isEmpty();
 	}
 
--- a/policy/src/main/java/org/wisteriapost/policy/transfer/Pieces.java
+++ b/policy/src/main/java/org/wisteriapost/policy/transfer/ChunkIndex.java
@@ -12,7 +12,7 @@
 /**
  * Numbers the chunks of several files consecutively. Immutable.
  */
-public final class Pieces {
+public final class ChunkIndex {
 
 	private final List<WeightFile> files;
 
@@ -22,11 +22,11 @@
 
 	private final int count;
 
-	private final List<int[]> twins;
+	private final List<int[]> duplicates;
 
 	private final BitSet distinct;
 
-	private Pieces(List<WeightFile> files) {
+	private ChunkIndex(List<WeightFile> files) {
 		this.files = List.copyOf(files);
 		this.digests = this.files.stream().map(WeightFile::digest).toList();
 		this.first = new int[files.size()];
@@ -37,16 +37,17 @@
 		}
 		this.count = next;
 		this.distinct = new BitSet(this.count);
-		this.twins = twins();
+		this.duplicates = duplicates();
 	}
 
 	/**
 	 * Returns the numbering of some files, in their order. Duplicate files are included
 	 * once.
 	 */
-	public static Pieces of(List<WeightFile> files) {
+	public static ChunkIndex of(List<WeightFile> files) {
 		Map<String, WeightFile> byDigest = new HashMap<>();
-		return new Pieces(files.stream().filter((file) -> byDigest.putIfAbsent(file.digest(), file) == null).toList());
+		return new ChunkIndex(
+				files.stream().filter((file) -> byDigest.putIfAbsent(file.digest(), file) == null).toList());
 	}
 
 	public int count() {
@@ -74,14 +75,14 @@
 	/**
 	 * Returns the digest of a file by its number in {@link #files()}.
 	 */
-	public String digestOfFile(int number) {
-		return this.digests.get(number);
+	public String digestOfFile(int fileNumber) {
+		return this.digests.get(fileNumber);
 	}
 
 	/**
 	 * Returns a chunk's index within its file.
 	 */
-	public int index(int chunk) {
+	public int indexInFile(int chunk) {
 		return chunk - this.first[fileNumber(chunk)];
 	}
 
@@ -89,21 +90,21 @@
 	 * Returns the SHA-256 of a chunk in lower-case hex.
 	 */
 	public String hash(int chunk) {
-		return file(chunk).chunks().get(index(chunk));
+		return file(chunk).chunks().get(indexInFile(chunk));
 	}
 
 	/**
 	 * Returns the length of a chunk in bytes.
 	 */
 	public int length(int chunk) {
-		return file(chunk).chunkLength(index(chunk));
+		return file(chunk).chunkLength(indexInFile(chunk));
 	}
 
 	/**
 	 * Returns the chunk at an index of the file with a digest, or empty when there is no
 	 * such chunk.
 	 */
-	public OptionalInt piece(String digest, int index) {
+	public OptionalInt chunk(String digest, int index) {
 		int number = this.digests.indexOf(digest);
 		if (number < 0 || index < 0 || index >= this.files.get(number).chunks().size()) {
 			return OptionalInt.empty();
@@ -114,8 +115,8 @@
 	/**
 	 * Returns the first chunk of a file by its number in {@link #files()}.
 	 */
-	public int firstOf(int number) {
-		return this.first[number];
+	public int firstChunkOf(int fileNumber) {
+		return this.first[fileNumber];
 	}
 
 	/**
@@ -129,11 +130,11 @@
 	 * Returns the later chunks with the same content, which are copied locally once this
 	 * one is held.
 	 */
-	public int[] twins(int chunk) {
-		return this.twins.get(chunk);
+	public int[] duplicates(int chunk) {
+		return this.duplicates.get(chunk);
 	}
 
-	private List<int[]> twins() {
+	private List<int[]> duplicates() {
 		Map<String, List<Integer>> byHash = new HashMap<>();
 		for (int chunk = 0; chunk < this.count; chunk++) {
 			byHash.computeIfAbsent(hash(chunk), (hash) -> new ArrayList<>(1)).add(chunk);
--- a/policy/src/main/java/org/wisteriapost/policy/transfer/ChunkSelector.java
+++ b/policy/src/main/java/org/wisteriapost/policy/transfer/ChunkSelector.java
@@ -51,7 +51,7 @@
 		BitSet unrestricted = new BitSet(this.holders.length);
 		BitSet candidates = new BitSet(this.holders.length);
 		for (PeerState peer : peers) {
-			if (peer.acceptsNewChunk(now, this.limits.perPeer())) {
+			if (peer.acceptsNewChunk(now, this.limits.maxChunksPerPeer())) {
 				(isUnrestricted(peer) ? unrestricted : candidates).or(peer.held());
 			}
 		}
@@ -64,16 +64,16 @@
 	}
 
 	private boolean isUnrestricted(PeerState peer) {
-		return peer.sameFailureDomain() || !this.limits.placeReaders();
+		return peer.sameFailureDomain() || !this.limits.oneFetcherPerFailureDomain();
 	}
 
 	private int selectRarest(BitSet candidates) {
-		if (this.limits.design() == TransferLimits.Design.CHAIN) {
+		if (this.limits.distribution() == TransferLimits.Distribution.CHAIN) {
 			return candidates.nextSetBit(0);
 		}
 		int count = candidates.cardinality();
 		int chosen = -1;
-		for (int draw = 0; draw < Math.min(this.limits.rarestOf(), count); draw++) {
+		for (int draw = 0; draw < Math.min(this.limits.rarestSampleSize(), count); draw++) {
 			int candidate = randomCandidate(candidates);
 			if (chosen < 0 || this.holders[candidate] < this.holders[chosen]) {
 				chosen = candidate;
@@ -95,7 +95,7 @@
 		int ties = 0;
 		for (PeerState peer : peers) {
 			boolean allowed = crossDomain || isUnrestricted(peer);
-			if (!allowed || !peer.held().get(chunk) || !peer.acceptsNewChunk(now, this.limits.perPeer())) {
+			if (!allowed || !peer.held().get(chunk) || !peer.acceptsNewChunk(now, this.limits.maxChunksPerPeer())) {
 				continue;
 			}
 			int load = load(peer);
@@ -109,7 +109,7 @@
 	}
 
 	private int load(PeerState peer) {
-		int remote = (this.limits.samePlaceFirst() && !peer.sameFailureDomain()) ? 1 : 0;
+		int remote = (this.limits.preferSameFailureDomain() && !peer.sameFailureDomain()) ? 1 : 0;
 		return (peer.pending().size() + peer.partial().size()) * 2 + remote;
 	}
 
--- a/policy/src/main/java/org/wisteriapost/policy/transfer/CrossDomainRequests.java
+++ b/policy/src/main/java/org/wisteriapost/policy/transfer/CrossDomainRequests.java
@@ -34,7 +34,7 @@
 
 	private final long[] heldSince;
 
-	CrossDomainRequests(Pieces chunks, Peer self) {
+	CrossDomainRequests(ChunkIndex chunks, Peer self) {
 		this.self = self;
 		this.ranking = new RendezvousRanking(chunks, self);
 		this.allowed = new BitSet(chunks.count());
@@ -48,8 +48,10 @@
 	 * failing.
 	 */
 	void update(Collection<Peer> peers, Set<String> failing) {
-		List<Peer> sameDomain = peers.stream().filter((peer) -> peer.place().equals(this.self.place())).toList();
-		this.ranking.update(sameDomain, failing, TransferLimits.Design.SWARM);
+		List<Peer> sameDomain = peers.stream()
+			.filter((peer) -> peer.failureDomain().equals(this.self.failureDomain()))
+			.toList();
+		this.ranking.update(sameDomain, failing, TransferLimits.Distribution.SWARM);
 		for (int chunk = 0; chunk < this.heldSince.length; chunk++) {
 			this.allowed.set(chunk, this.ranking.rankOf(chunk) == 0);
 		}
--- a/policy/src/main/java/org/wisteriapost/policy/transfer/LinkShare.java
+++ b/policy/src/main/java/org/wisteriapost/policy/transfer/LinkShare.java
@@ -8,10 +8,10 @@
  * zero, since a stopped rollout would keep two versions in service indefinitely.
  *
  * @param linkBytesPerSecond capacity of the link; 0 for no limit
- * @param calm share while responses are in time
- * @param late share while every response is late
+ * @param normalShare share while responses are in time
+ * @param shareWhileLate share while every response is late
  */
-public record LinkShare(double linkBytesPerSecond, double calm, double late) {
+public record LinkShare(double linkBytesPerSecond, double normalShare, double shareWhileLate) {
 
 	// The rest is left for message headers, acknowledgements and control traffic.
 	private static final double IDLE_SHARE = 0.97;
@@ -32,7 +32,8 @@
 	 */
 	public double rate(double lateness) {
 		double bounded = Math.clamp(lateness, 0, 1);
-		return this.linkBytesPerSecond * (this.calm - (this.calm - Math.min(this.calm, this.late)) * bounded);
+		return this.linkBytesPerSecond
+				* (this.normalShare - (this.normalShare - Math.min(this.normalShare, this.shareWhileLate)) * bounded);
 	}
 
 }
--- a/policy/src/main/java/org/wisteriapost/policy/transfer/LocalChunks.java
+++ b/policy/src/main/java/org/wisteriapost/policy/transfer/LocalChunks.java
@@ -17,7 +17,7 @@
 
 	private final BitSet unannounced = new BitSet();
 
-	LocalChunks(Pieces chunks) {
+	LocalChunks(ChunkIndex chunks) {
 		this.count = chunks.count();
 		this.requestable = chunks.distinct();
 	}
--- a/policy/src/main/java/org/wisteriapost/policy/transfer/LocalCopies.java
+++ b/policy/src/main/java/org/wisteriapost/policy/transfer/LocalCopyPlanner.java
@@ -13,9 +13,9 @@
  * Finds chunks of a fetch that can be copied within the VM's store because another file
  * holds the same content, such as chunks that did not change between two versions.
  */
-public final class LocalCopies {
+public final class LocalCopyPlanner {
 
-	private LocalCopies() {
+	private LocalCopyPlanner() {
 	}
 
 	/**
@@ -23,7 +23,7 @@
 	 * @param held files with the chunks that are held of each
 	 * @param have chunks that are already held
 	 */
-	public static List<Copy> plan(Pieces wanted, Collection<HeldFile> held, BitSet have) {
+	public static List<Copy> plan(ChunkIndex wanted, Collection<HeldFile> held, BitSet have) {
 		Map<String, Copy> byHash = new HashMap<>();
 		for (HeldFile file : held) {
 			file.chunks()
@@ -35,7 +35,7 @@
 		for (int chunk = have.nextClearBit(0); chunk < wanted.count(); chunk = have.nextClearBit(chunk + 1)) {
 			Copy source = byHash.get(wanted.hash(chunk));
 			if (source != null) {
-				copies.add(new Copy(source.digest(), source.index(), chunk));
+				copies.add(new Copy(source.sourceDigest(), source.sourceIndex(), chunk));
 			}
 		}
 		return copies;
@@ -54,11 +54,11 @@
 	/**
 	 * A chunk to copy within the store.
 	 *
-	 * @param digest digest of the source file
-	 * @param index index of the chunk in the source file
-	 * @param piece the chunk of the fetch that it is copied to
+	 * @param sourceDigest digest of the source file
+	 * @param sourceIndex index of the chunk in the source file
+	 * @param chunk the chunk of the fetch that it is copied to
 	 */
-	public record Copy(String digest, int index, int piece) {
+	public record Copy(String sourceDigest, int sourceIndex, int chunk) {
 	}
 
 }
--- a/policy/src/main/java/org/wisteriapost/policy/transfer/OriginReadScheduler.java
+++ b/policy/src/main/java/org/wisteriapost/policy/transfer/OriginReadScheduler.java
@@ -53,7 +53,7 @@
 
 	private int cursor;
 
-	OriginReadScheduler(Pieces chunks, TransferLimits limits, RendezvousRanking ranking, ChunkSelector selector,
+	OriginReadScheduler(ChunkIndex chunks, TransferLimits limits, RendezvousRanking ranking, ChunkSelector selector,
 			int cursor) {
 		this.limits = limits;
 		this.ranking = ranking;
@@ -81,7 +81,7 @@
 	 * Returns the chunk to read now, if any.
 	 */
 	OptionalInt next(BitSet requestable, long now, long timeoutNanos) {
-		if (now < this.backoffUntil || this.pendingReads.size() >= this.limits.originReads()) {
+		if (now < this.backoffUntil || this.pendingReads.size() >= this.limits.maxOriginReads()) {
 			return OptionalInt.empty();
 		}
 		OptionalInt found = scan(requestable, this.cursor, this.orphanedAt.length, now, timeoutNanos);
@@ -142,7 +142,7 @@
 			this.orphanedAt[chunk] = NONE;
 			return false;
 		}
-		int steps = this.ranking.rankOf(chunk) - this.limits.originCopies() + 1;
+		int steps = this.ranking.rankOf(chunk) - this.limits.originReadersPerChunk() + 1;
 		if (steps <= 0) {
 			return true;
 		}
@@ -170,7 +170,7 @@
 	 * Recomputes the ranks after a change of the peers or of their state.
 	 */
 	void updateRanks(java.util.Collection<Peer> peers, Set<String> failing) {
-		this.ranking.update(peers, failing, this.limits.design());
+		this.ranking.update(peers, failing, this.limits.distribution());
 	}
 
 }
--- a/policy/src/main/java/org/wisteriapost/policy/transfer/PeerConnections.java
+++ b/policy/src/main/java/org/wisteriapost/policy/transfer/PeerConnections.java
@@ -117,7 +117,7 @@
 		}
 		for (Peer peer : seen) {
 			if (chosen.contains(peer.vm()) && !this.peers.containsKey(peer.vm())) {
-				this.peers.put(peer.vm(), new PeerState(peer, peer.place().equals(this.self.place())));
+				this.peers.put(peer.vm(), new PeerState(peer, peer.failureDomain().equals(this.self.failureDomain())));
 				effects.add(new TransferEffect.Connect(peer.vm()));
 			}
 		}
--- a/policy/src/main/java/org/wisteriapost/policy/transfer/PeerRequests.java
+++ b/policy/src/main/java/org/wisteriapost/policy/transfer/PeerRequests.java
@@ -16,7 +16,7 @@
 	// Bridges the gap between two ticks.
 	private static final double BURST_SECONDS = 0.1;
 
-	private final Pieces chunks;
+	private final ChunkIndex chunks;
 
 	private final TransferLimits limits;
 
@@ -34,7 +34,7 @@
 
 	private final RequestWindow window;
 
-	private final Pacer pacer = Pacer.create(BURST_SECONDS);
+	private final TokenBucket pacer = TokenBucket.create(BURST_SECONDS);
 
 	private int partBytes = PartSize.of(0);
 
@@ -42,7 +42,7 @@
 	 * Creates an instance without pending requests.
 	 * @param makeRequestable called with each chunk that no longer comes from a peer
 	 */
-	PeerRequests(Pieces chunks, TransferLimits limits, Invariants invariants, LocalChunks localChunks,
+	PeerRequests(ChunkIndex chunks, TransferLimits limits, Invariants invariants, LocalChunks localChunks,
 			PeerConnections connections, ChunkSelector selector, RequestTimeout timeout, IntConsumer makeRequestable) {
 		this.chunks = chunks;
 		this.limits = limits;
@@ -52,7 +52,7 @@
 		this.selector = selector;
 		this.timeout = timeout;
 		this.makeRequestable = makeRequestable;
-		this.window = new RequestWindow(limits.outstanding());
+		this.window = new RequestWindow(limits.maxChunksInProgress());
 	}
 
 	/**
@@ -60,7 +60,7 @@
 	 * @param bytesPerSecond 0 for no limit
 	 */
 	void setRate(double bytesPerSecond, long now) {
-		this.pacer.rate(bytesPerSecond, now);
+		this.pacer.setRate(bytesPerSecond, now);
 		this.partBytes = PartSize.of(bytesPerSecond);
 	}
 
@@ -75,7 +75,7 @@
 	 * Counts bytes that were requested from the origin against the rate.
 	 */
 	void countOriginBytes(int bytes) {
-		this.pacer.take(bytes);
+		this.pacer.consume(bytes);
 	}
 
 	/**
@@ -102,8 +102,8 @@
 	 * answered late is continued too, unless the chunk has been requested elsewhere
 	 * meanwhile.
 	 */
-	void onPartReceived(PeerState peer, TransferEvent.PartCame part, long now, List<TransferEffect> effects) {
-		int chunk = part.piece();
+	void onPartReceived(PeerState peer, TransferEvent.PartReceived part, long now, List<TransferEffect> effects) {
+		int chunk = part.chunk();
 		boolean expected = peer.isPending(chunk, part.end()) || this.localChunks.requestable().get(chunk);
 		peer.recordResponse(now);
 		peer.removePending(chunk, part.end()).ifPresent((request) -> recordResponseTime(peer, request, now));
@@ -112,7 +112,7 @@
 			peer.partial().put(chunk, part.end());
 		}
 		else if (!peer.isSourceOf(chunk)) {
-			effects.add(new TransferEffect.Drop(peer.vm(), chunk));
+			effects.add(new TransferEffect.DiscardParts(peer.vm(), chunk));
 		}
 	}
 
@@ -134,7 +134,7 @@
 	 * requested parts that may still be answered.
 	 */
 	void abandonRequests(PeerState peer, List<TransferEffect> effects) {
-		peer.partial().keySet().forEach((chunk) -> effects.add(new TransferEffect.Drop(peer.vm(), chunk)));
+		peer.partial().keySet().forEach((chunk) -> effects.add(new TransferEffect.DiscardParts(peer.vm(), chunk)));
 		for (int chunk : peer.abandonRequests()) {
 			this.makeRequestable.accept(chunk);
 		}
@@ -145,7 +145,7 @@
 	 * from a peer that does not hold it.
 	 */
 	void onRefused(PeerState peer, TransferEvent.Refused refused, long now, List<TransferEffect> effects) {
-		int chunk = refused.piece();
+		int chunk = refused.chunk();
 		peer.recordResponse(now);
 		int received = peer.removePending(chunk).map(PeerState.PendingRequest::offset).orElse(0);
 		if (refused.busy()) {
@@ -160,7 +160,7 @@
 			peer.partial().put(chunk, received);
 			return;
 		}
-		effects.add(new TransferEffect.Drop(peer.vm(), chunk));
+		effects.add(new TransferEffect.DiscardParts(peer.vm(), chunk));
 		this.makeRequestable.accept(chunk);
 	}
 
@@ -170,7 +170,7 @@
 	void discardParts(int chunk, List<TransferEffect> effects) {
 		for (PeerState peer : this.connections.all()) {
 			if (peer.partial().remove(chunk) != null) {
-				effects.add(new TransferEffect.Drop(peer.vm(), chunk));
+				effects.add(new TransferEffect.DiscardParts(peer.vm(), chunk));
 			}
 		}
 	}
@@ -187,7 +187,7 @@
 				abandonRequests(peer, effects);
 				this.connections.stopCounting(peer);
 				if (peer.recordTimeout(now, limit)) {
-					effects.add(new TransferEffect.Notice(TransferMachine.PEER_STALLED, peer.vm(), 0));
+					effects.add(new TransferEffect.Notice(TransferStateMachine.PEER_STALLED, peer.vm(), 0));
 				}
 			}
 		}
@@ -198,8 +198,8 @@
 			return Optional.empty();
 		}
 		Optional<ChunkSelector.Selection> partial = nextPartial(now);
-		if (partial.isPresent()
-				|| this.connections.chunksInProgress() + this.localChunks.storingCount() >= this.limits.outstanding()) {
+		if (partial.isPresent() || this.connections.chunksInProgress() + this.localChunks.storingCount() >= this.limits
+			.maxChunksInProgress()) {
 			return partial;
 		}
 		return this.selector.next(this.localChunks.requestable(), this.connections.all(), crossDomain, now);
@@ -218,7 +218,7 @@
 		int offset = peer.partial().getOrDefault(chunk, 0);
 		int end = Math.min(this.chunks.length(chunk), offset + this.partBytes);
 		peer.addPending(chunk, end, now);
-		this.pacer.take(end - offset);
+		this.pacer.consume(end - offset);
 		boolean last = end == this.chunks.length(chunk);
 		effects.add(new TransferEffect.Request(peer.vm(), chunk, offset, last ? 0 : end - offset));
 	}
--- a/policy/src/main/java/org/wisteriapost/policy/transfer/PeerSelection.java
+++ b/policy/src/main/java/org/wisteriapost/policy/transfer/PeerSelection.java
@@ -30,19 +30,21 @@
 
 	/**
 	 * Returns the names of the peers to connect to, at most
-	 * {@link TransferLimits#neighbours()}.
+	 * {@link TransferLimits#maxPeers()}.
 	 */
 	static Set<String> choose(Peer self, Collection<Peer> peers, TransferLimits limits) {
 		List<Peer> all = ring(self, peers);
 		Set<String> chosen = new LinkedHashSet<>();
-		switch (limits.design()) {
+		switch (limits.distribution()) {
 			case NAIVE -> {
 			}
 			case CHAIN -> addPredecessor(self, all, chosen);
 			case SWARM -> {
-				List<Peer> sameDomain = all.stream().filter((peer) -> peer.place().equals(self.place())).toList();
-				addByDistance(self, sameDomain, limits.neighbours() / 2, chosen);
-				addByDistance(self, all, limits.neighbours(), chosen);
+				List<Peer> sameDomain = all.stream()
+					.filter((peer) -> peer.failureDomain().equals(self.failureDomain()))
+					.toList();
+				addByDistance(self, sameDomain, limits.maxPeers() / 2, chosen);
+				addByDistance(self, all, limits.maxPeers(), chosen);
 			}
 		}
 		return chosen;
--- a/policy/src/main/java/org/wisteriapost/policy/transfer/RendezvousRanking.java
+++ b/policy/src/main/java/org/wisteriapost/policy/transfer/RendezvousRanking.java
@@ -19,7 +19,7 @@
 	// about two chunks.
 	private static final int MAX_PRECEDING_READERS = 4;
 
-	private final Pieces chunks;
+	private final ChunkIndex chunks;
 
 	private final Peer self;
 
@@ -29,7 +29,7 @@
 
 	private Set<String> precedingReaders = Set.of();
 
-	RendezvousRanking(Pieces chunks, Peer self) {
+	RendezvousRanking(ChunkIndex chunks, Peer self) {
 		this.chunks = chunks;
 		this.self = self;
 		this.ranks = new int[chunks.count()];
@@ -38,11 +38,11 @@
 	/**
 	 * Recomputes the ranks of this VM among the peers that are not failing.
 	 */
-	void update(Collection<Peer> peers, Set<String> failing, TransferLimits.Design design) {
+	void update(Collection<Peer> peers, Set<String> failing, TransferLimits.Distribution design) {
 		List<Peer> live = peers.stream().filter((peer) -> !failing.contains(peer.vm())).toList();
 		long[] others = live.stream().mapToLong((peer) -> Hashing.komihash5_0().hashCharsToLong(peer.vm())).toArray();
 		this.size = others.length + 1;
-		if (design == TransferLimits.Design.CHAIN) {
+		if (design == TransferLimits.Distribution.CHAIN) {
 			java.util.Arrays.fill(this.ranks, PeerSelection.ring(this.self, peers).indexOf(this.self));
 			return;
 		}
--- a/policy/src/main/java/org/wisteriapost/policy/transfer/Pacer.java
+++ b/policy/src/main/java/org/wisteriapost/policy/transfer/TokenBucket.java
@@ -7,7 +7,7 @@
  * is left for live traffic. Its capacity is a fraction of a second: enough to bridge the
  * gaps between ticks, too little for a burst that delays responses to callers.
  */
-public final class Pacer {
+public final class TokenBucket {
 
 	private static final double NANOS_PER_SECOND = 1e9;
 
@@ -19,22 +19,22 @@
 
 	private long refilledNanos;
 
-	private Pacer(double burstSeconds) {
+	private TokenBucket(double burstSeconds) {
 		this.burstSeconds = burstSeconds;
 	}
 
 	/**
-	 * Returns a bucket without a limit; {@link #rate} sets one.
+	 * Returns a bucket without a limit; {@link #setRate} sets one.
 	 * @param burstSeconds the capacity, in seconds at the current rate
 	 */
-	public static Pacer create(double burstSeconds) {
-		return new Pacer(burstSeconds);
+	public static TokenBucket create(double burstSeconds) {
+		return new TokenBucket(burstSeconds);
 	}
 
 	/**
 	 * Sets the rate; 0 for no limit.
 	 */
-	public void rate(double bytesPerSecond, long nowNanos) {
+	public void setRate(double bytesPerSecond, long nowNanos) {
 		refill(nowNanos);
 		this.bytesPerSecond = bytesPerSecond;
 	}
@@ -54,7 +54,7 @@
 	/**
 	 * Consumes tokens. The balance may become negative and delays the following bytes.
 	 */
-	public void take(int bytes) {
+	public void consume(int bytes) {
 		this.tokens -= bytes;
 	}
 
--- a/policy/src/main/java/org/wisteriapost/policy/transfer/TransferEffect.java
+++ b/policy/src/main/java/org/wisteriapost/policy/transfer/TransferEffect.java
@@ -29,17 +29,17 @@
 	 * Request a part of a chunk from a peer.
 	 *
 	 * @param vm the peer
-	 * @param piece the chunk
+	 * @param chunk the chunk
 	 * @param offset where the part begins
 	 * @param length length of the part in bytes; 0 for the rest of the chunk
 	 */
-	record Request(String vm, int piece, int offset, int length) implements TransferEffect {
+	record Request(String vm, int chunk, int offset, int length) implements TransferEffect {
 
 		/**
 		 * Requests the whole chunk.
 		 */
-		public Request(String vm, int piece) {
-			this(vm, piece, 0, 0);
+		public Request(String vm, int chunk) {
+			this(vm, chunk, 0, 0);
 		}
 
 	}
@@ -48,25 +48,25 @@
 	 * Discard the parts of a chunk received from a peer.
 	 *
 	 * @param vm the peer
-	 * @param piece the chunk
+	 * @param chunk the chunk
 	 */
-	record Drop(String vm, int piece) implements TransferEffect {
+	record DiscardParts(String vm, int chunk) implements TransferEffect {
 	}
 
 	/**
 	 * Read a chunk from the origin.
 	 *
-	 * @param piece the chunk
+	 * @param chunk the chunk
 	 */
-	record ReadOrigin(int piece) implements TransferEffect {
+	record ReadOrigin(int chunk) implements TransferEffect {
 	}
 
 	/**
 	 * Write a verified chunk to the weight store.
 	 *
-	 * @param piece the chunk
+	 * @param chunk the chunk
 	 */
-	record Store(int piece) implements TransferEffect {
+	record Store(int chunk) implements TransferEffect {
 	}
 
 	/**
@@ -81,9 +81,9 @@
 	/**
 	 * Notify every VM that asked about these files that this one holds more chunks.
 	 *
-	 * @param pieces the chunks stored since the last announcement
+	 * @param chunks the chunks stored since the last announcement
 	 */
-	record Announce(BitSet pieces) implements TransferEffect {
+	record Announce(BitSet chunks) implements TransferEffect {
 	}
 
 	/**
@@ -96,28 +96,28 @@
 	 * End the fetch because the origin no longer serves the pinned version; two versions
 	 * are never mixed.
 	 *
-	 * @param piece the chunk whose read showed it
+	 * @param chunk the chunk whose read showed it
 	 */
-	record Changed(int piece) implements TransferEffect {
+	record VersionChanged(int chunk) implements TransferEffect {
 	}
 
 	/**
 	 * End the fetch because of an error that retries cannot resolve.
 	 *
 	 * @param code the error
-	 * @param piece the chunk in which it was found
+	 * @param chunk the chunk in which it was found
 	 */
-	record Fail(Code code, int piece) implements TransferEffect {
+	record Fail(Code code, int chunk) implements TransferEffect {
 	}
 
 	/**
 	 * Report a problem to operators as a log line and a metric.
 	 *
 	 * @param code the problem
-	 * @param source the peer or {@link TransferMachine#ORIGIN}
-	 * @param piece the chunk
+	 * @param source the peer or {@link TransferStateMachine#ORIGIN}
+	 * @param chunk the chunk
 	 */
-	record Notice(Code code, String source, int piece) implements TransferEffect {
+	record Notice(Code code, String source, int chunk) implements TransferEffect {
 	}
 
 }
--- a/policy/src/main/java/org/wisteriapost/policy/transfer/TransferEvent.java
+++ b/policy/src/main/java/org/wisteriapost/policy/transfer/TransferEvent.java
@@ -13,9 +13,9 @@
 	 *
 	 * @param peers all of them
 	 */
-	record PeersSeen(List<Peer> peers) implements TransferEvent {
+	record PeersChanged(List<Peer> peers) implements TransferEvent {
 
-		public PeersSeen {
+		public PeersChanged {
 			peers = List.copyOf(peers);
 		}
 
@@ -42,88 +42,88 @@
 	 *
 	 * @param vm the peer
 	 */
-	record PeerIdle(String vm) implements TransferEvent {
+	record PeerNotFetching(String vm) implements TransferEvent {
 	}
 
 	/**
 	 * A peer holds these chunks, besides those reported before.
 	 *
 	 * @param vm the peer
-	 * @param pieces the chunks it holds
+	 * @param chunks the chunks it holds
 	 */
-	record PeerHolds(String vm, BitSet pieces) implements TransferEvent {
+	record PeerHolds(String vm, BitSet chunks) implements TransferEvent {
 	}
 
 	/**
 	 * These chunks were found in the VM's weight store and verified.
 	 *
-	 * @param pieces the chunks held
+	 * @param chunks the chunks held
 	 */
-	record Held(BitSet pieces) implements TransferEvent {
+	record StoreScanned(BitSet chunks) implements TransferEvent {
 	}
 
 	/**
 	 * A requested part was received, and the chunk is not complete yet.
 	 *
-	 * @param piece the chunk
+	 * @param chunk the chunk
 	 * @param vm the peer
 	 * @param end how many bytes of the chunk have been received from it
 	 */
-	record PartCame(int piece, String vm, int end) implements TransferEvent {
+	record PartReceived(int chunk, String vm, int end) implements TransferEvent {
 	}
 
 	/**
 	 * A chunk was received and its hash verified; it is not stored yet.
 	 *
-	 * @param piece the chunk
-	 * @param source the peer or {@link TransferMachine#ORIGIN}
+	 * @param chunk the chunk
+	 * @param source the peer or {@link TransferStateMachine#ORIGIN}
 	 */
-	record Verified(int piece, String source) implements TransferEvent {
+	record Verified(int chunk, String source) implements TransferEvent {
 	}
 
 	/**
 	 * A chunk was received with a wrong hash and discarded.
 	 *
-	 * @param piece the requested chunk
-	 * @param source the peer or {@link TransferMachine#ORIGIN}
+	 * @param chunk the requested chunk
+	 * @param source the peer or {@link TransferStateMachine#ORIGIN}
 	 */
-	record Corrupt(int piece, String source) implements TransferEvent {
+	record Corrupt(int chunk, String source) implements TransferEvent {
 	}
 
 	/**
 	 * A peer refused a request.
 	 *
-	 * @param piece the chunk
+	 * @param chunk the chunk
 	 * @param vm the peer
 	 * @param busy whether it has too many uploads; false when it does not hold the chunk
 	 */
-	record Refused(int piece, String vm, boolean busy) implements TransferEvent {
+	record Refused(int chunk, String vm, boolean busy) implements TransferEvent {
 	}
 
 	/**
 	 * A read from the origin failed.
 	 *
-	 * @param piece the chunk
-	 * @param changed whether the origin no longer serves the pinned version
+	 * @param chunk the chunk
+	 * @param versionChanged whether the origin no longer serves the pinned version
 	 */
-	record OriginFailed(int piece, boolean changed) implements TransferEvent {
+	record OriginReadFailed(int chunk, boolean versionChanged) implements TransferEvent {
 	}
 
 	/**
 	 * The weight store has written a verified chunk.
 	 *
-	 * @param piece the chunk
+	 * @param chunk the chunk
 	 */
-	record Stored(int piece) implements TransferEvent {
+	record Stored(int chunk) implements TransferEvent {
 	}
 
 	/**
 	 * The weight store failed to write a chunk, no longer has it, or returned corrupt
 	 * bytes.
 	 *
-	 * @param piece the chunk
+	 * @param chunk the chunk
 	 */
-	record Lost(int piece) implements TransferEvent {
+	record Lost(int chunk) implements TransferEvent {
 	}
 
 	/**
--- a/policy/src/main/java/org/wisteriapost/policy/transfer/TransferLimits.java
+++ b/policy/src/main/java/org/wisteriapost/policy/transfer/TransferLimits.java
@@ -5,47 +5,50 @@
 /**
  * The limits and variants of a transfer.
  *
- * @param design how chunks spread
- * @param originCopies how many VMs read each chunk from the origin without waiting
- * @param originReads maximum concurrent origin reads
- * @param neighbours maximum number of peers selected for connections
- * @param outstanding maximum number of chunks being requested from peers; bounds the
- * memory used
- * @param perPeer maximum number of chunks being requested from one peer
- * @param progressDeadline minimum timeout after which an unanswered request is made
- * elsewhere, or a chunk without a holder is read by the next VM
+ * @param distribution how chunks spread
+ * @param originReadersPerChunk how many VMs read each chunk from the origin without
+ * waiting
+ * @param maxOriginReads maximum concurrent origin reads
+ * @param maxPeers maximum number of peers selected for connections
+ * @param maxChunksInProgress maximum number of chunks being requested from peers; bounds
+ * the memory used
+ * @param maxChunksPerPeer maximum number of chunks being requested from one peer
+ * @param minTimeout minimum timeout after which an unanswered request is made elsewhere,
+ * or a chunk without a holder is read by the next VM
  * @param announceInterval minimum time between two announcements
- * @param rarestOf size of the random sample of requestable chunks of which the one with
- * the fewest holders comes first; 1 for a random order
- * @param samePlaceFirst whether a holder in the same failure domain is preferred to a
- * slightly less loaded one elsewhere
- * @param placeReaders whether each chunk is fetched into a failure domain by one VM there
+ * @param rarestSampleSize size of the random sample of requestable chunks of which the
+ * one with the fewest holders comes first; 1 for a random order
+ * @param preferSameFailureDomain whether a holder in the same failure domain is preferred
+ * to a slightly less loaded one elsewhere
+ * @param oneFetcherPerFailureDomain whether each chunk is fetched into a failure domain
+ * by one VM there
  */
-public record TransferLimits(Design design, int originCopies, int originReads, int neighbours, int outstanding,
-		int perPeer, Duration progressDeadline, Duration announceInterval, int rarestOf, boolean samePlaceFirst,
-		boolean placeReaders) {
+public record TransferLimits(Distribution distribution, int originReadersPerChunk, int maxOriginReads, int maxPeers,
+		int maxChunksInProgress, int maxChunksPerPeer, Duration minTimeout, Duration announceInterval,
+		int rarestSampleSize, boolean preferSameFailureDomain, boolean oneFetcherPerFailureDomain) {
 
 	/**
 	 * Creates limits under which any VM may request chunks from any other.
 	 */
-	public TransferLimits(Design design, int originCopies, int originReads, int neighbours, int outstanding,
-			int perPeer, Duration progressDeadline, Duration announceInterval, int rarestOf, boolean samePlaceFirst) {
-		this(design, originCopies, originReads, neighbours, outstanding, perPeer, progressDeadline, announceInterval,
-				rarestOf, samePlaceFirst, false);
+	public TransferLimits(Distribution distribution, int originReadersPerChunk, int maxOriginReads, int maxPeers,
+			int maxChunksInProgress, int maxChunksPerPeer, Duration minTimeout, Duration announceInterval,
+			int rarestSampleSize, boolean preferSameFailureDomain) {
+		this(distribution, originReadersPerChunk, maxOriginReads, maxPeers, maxChunksInProgress, maxChunksPerPeer,
+				minTimeout, announceInterval, rarestSampleSize, preferSameFailureDomain, false);
 	}
 
 	/**
 	 * Returns the default limits, described in docs/design/weights.md.
 	 */
 	public static TransferLimits standard() {
-		return new TransferLimits(Design.SWARM, 1, 2, 12, 12, 2, Duration.ofMillis(500), Duration.ofMillis(200), 16,
-				true);
+		return new TransferLimits(Distribution.SWARM, 1, 2, 12, 12, 2, Duration.ofMillis(500), Duration.ofMillis(200),
+				16, true);
 	}
 
 	/**
 	 * How chunks spread from the origin.
 	 */
-	public enum Design {
+	public enum Distribution {
 
 		/** Every VM reads everything from the origin. */
 		NAIVE,
--- a/policy/src/main/java/org/wisteriapost/policy/transfer/TransferMachine.java
+++ b/policy/src/main/java/org/wisteriapost/policy/transfer/TransferStateMachine.java
@@ -18,7 +18,7 @@
  * The state machine of one fetch: computes for each event the effects that the I/O layer
  * must carry out. Used by one thread.
  */
-public final class TransferMachine {
+public final class TransferStateMachine {
 
 	/** A peer sent wrong bytes. */
 	public static final Code PEER_CORRUPT = Code.warning("peer-chunk-corrupt",
@@ -39,7 +39,7 @@
 
 	private static final int MAX_ORIGIN_CORRUPTIONS = 3;
 
-	private final Pieces chunks;
+	private final ChunkIndex chunks;
 
 	private final TransferLimits limits;
 
@@ -79,7 +79,7 @@
 
 	private boolean complete;
 
-	private TransferMachine(Pieces chunks, Peer self, TransferLimits limits, UniformRandomProvider random,
+	private TransferStateMachine(ChunkIndex chunks, Peer self, TransferLimits limits, UniformRandomProvider random,
 			Invariants invariants) {
 		this.chunks = chunks;
 		this.limits = limits;
@@ -88,7 +88,7 @@
 		this.selector = new ChunkSelector(chunks.count(), limits, random);
 		this.connections = new PeerConnections(self, limits, this.selector);
 		this.crossDomain = new CrossDomainRequests(chunks, self);
-		this.timeout = new RequestTimeout(limits.progressDeadline());
+		this.timeout = new RequestTimeout(limits.minTimeout());
 		this.requests = new PeerRequests(chunks, limits, invariants, this.localChunks, this.connections, this.selector,
 				this.timeout, this::makeRequestable);
 		int firstChunk = (chunks.count() > 0) ? random.nextInt(chunks.count()) : 0;
@@ -97,26 +97,26 @@
 	}
 
 	/**
-	 * Returns a machine that waits for {@link TransferEvent.Held}.
+	 * Returns a machine that waits for {@link TransferEvent.StoreScanned}.
 	 * @param random breaks ties between chunks and between peers
 	 * @param invariants counts invariant violations
 	 */
-	public static TransferMachine create(Pieces chunks, Peer self, TransferLimits limits, UniformRandomProvider random,
-			Invariants invariants) {
-		return new TransferMachine(chunks, self, limits, random, invariants);
+	public static TransferStateMachine create(ChunkIndex chunks, Peer self, TransferLimits limits,
+			UniformRandomProvider random, Invariants invariants) {
+		return new TransferStateMachine(chunks, self, limits, random, invariants);
 	}
 
 	/**
 	 * Returns how many chunks are verified and stored.
 	 */
-	public int verified() {
+	public int verifiedCount() {
 		return this.localChunks.held().cardinality();
 	}
 
 	/**
 	 * Returns the chunks that are verified and stored.
 	 */
-	public BitSet held() {
+	public BitSet heldChunks() {
 		return (BitSet) this.localChunks.held().clone();
 	}
 
@@ -127,27 +127,27 @@
 	public List<TransferEffect> apply(TransferEvent event, long now) {
 		List<TransferEffect> effects = new ArrayList<>();
 		switch (event) {
-			case TransferEvent.PeersSeen seen -> onPeersChanged(seen.peers(), now, effects);
+			case TransferEvent.PeersChanged seen -> onPeersChanged(seen.peers(), now, effects);
 			case TransferEvent.LinkUp up ->
 				this.connections.peer(up.vm()).ifPresent((peer) -> this.connections.linkUp(peer, now));
 			case TransferEvent.LinkDown down -> this.connections.peer(down.vm())
 				.ifPresent((peer) -> this.connections.linkDown(peer, now).forEach(this::makeRequestable));
 			case TransferEvent.PeerHolds holds ->
-				this.connections.peer(holds.vm()).ifPresent((peer) -> onPeerHolds(peer, holds.pieces(), now));
-			case TransferEvent.PeerIdle idle -> this.connections.peer(idle.vm()).ifPresent((peer) -> {
+				this.connections.peer(holds.vm()).ifPresent((peer) -> onPeerHolds(peer, holds.chunks(), now));
+			case TransferEvent.PeerNotFetching idle -> this.connections.peer(idle.vm()).ifPresent((peer) -> {
 				peer.reported(true);
 				peer.markNotFetching(now);
 			});
-			case TransferEvent.Held held -> onStoreScanned(held.pieces(), now, effects);
-			case TransferEvent.PartCame part -> this.connections.peer(part.vm())
+			case TransferEvent.StoreScanned held -> onStoreScanned(held.chunks(), now, effects);
+			case TransferEvent.PartReceived part -> this.connections.peer(part.vm())
 				.ifPresent((peer) -> this.requests.onPartReceived(peer, part, now, effects));
-			case TransferEvent.Verified verified -> onVerified(verified.piece(), verified.source(), now, effects);
-			case TransferEvent.Corrupt corrupt -> onCorrupt(corrupt.piece(), corrupt.source(), now, effects);
+			case TransferEvent.Verified verified -> onVerified(verified.chunk(), verified.source(), now, effects);
+			case TransferEvent.Corrupt corrupt -> onCorrupt(corrupt.chunk(), corrupt.source(), now, effects);
 			case TransferEvent.Refused refused -> this.connections.peer(refused.vm())
 				.ifPresent((peer) -> this.requests.onRefused(peer, refused, now, effects));
-			case TransferEvent.OriginFailed failed -> onOriginFailed(failed, now, effects);
-			case TransferEvent.Stored stored -> onStored(stored.piece(), effects);
-			case TransferEvent.Lost lost -> onLost(lost.piece());
+			case TransferEvent.OriginReadFailed failed -> onOriginFailed(failed, now, effects);
+			case TransferEvent.Stored stored -> onStored(stored.chunk(), effects);
+			case TransferEvent.Lost lost -> onLost(lost.chunk());
 			case TransferEvent.RateSet rate -> this.requests.setRate(rate.bytesPerSecond(), now);
 			case TransferEvent.Tick tick -> onTick(now, effects);
 		}
@@ -170,11 +170,11 @@
 	// VM that ranks second for a chunk therefore connects to the first-ranked VM, so
 	// that it notices at once when that VM is unreachable.
 	private Set<String> precedingReaders() {
-		if (this.limits.design() != TransferLimits.Design.SWARM) {
+		if (this.limits.distribution() != TransferLimits.Distribution.SWARM) {
 			return Set.of();
 		}
 		Set<String> additional = new HashSet<>(this.originReads.precedingReaders());
-		if (this.limits.placeReaders()) {
+		if (this.limits.oneFetcherPerFailureDomain()) {
 			additional.addAll(this.crossDomain.precedingReaders());
 		}
 		return additional;
@@ -251,11 +251,11 @@
 		});
 	}
 
-	private void onOriginFailed(TransferEvent.OriginFailed failed, long now, List<TransferEffect> effects) {
-		this.originReads.recordFailure(failed.piece(), now);
-		makeRequestable(failed.piece());
-		if (failed.changed()) {
-			end(new TransferEffect.Changed(failed.piece()), effects);
+	private void onOriginFailed(TransferEvent.OriginReadFailed failed, long now, List<TransferEffect> effects) {
+		this.originReads.recordFailure(failed.chunk(), now);
+		makeRequestable(failed.chunk());
+		if (failed.versionChanged()) {
+			end(new TransferEffect.VersionChanged(failed.chunk()), effects);
 		}
 	}
 
@@ -274,7 +274,7 @@
 	}
 
 	private void copyToDuplicates(int chunk, List<TransferEffect> effects) {
-		for (int duplicate : this.chunks.twins(chunk)) {
+		for (int duplicate : this.chunks.duplicates(chunk)) {
 			if (!this.localChunks.holds(duplicate)) {
 				effects.add(new TransferEffect.Copy(chunk, duplicate));
 			}
@@ -355,14 +355,14 @@
 	private boolean peersReported(long now) {
 		if (!this.peersReported) {
 			this.peersReported = this.connections.allReported()
-					|| now - this.startedAt > this.limits.progressDeadline().toNanos();
+					|| now - this.startedAt > this.limits.minTimeout().toNanos();
 		}
 		return this.peersReported;
 	}
 
 	private OptionalInt nextOriginRead(long now) {
 		if (!peersReported(now) || this.requests.delayNanos(now) > 0
-				|| this.localChunks.storingCount() >= this.limits.outstanding()) {
+				|| this.localChunks.storingCount() >= this.limits.maxChunksInProgress()) {
 			return OptionalInt.empty();
 		}
 		// The origin sends whole chunks only, which would occupy a narrow link for long.
--- a/policy/src/main/java/org/wisteriapost/policy/transfer/Uploads.java
+++ b/policy/src/main/java/org/wisteriapost/policy/transfer/UploadQueue.java
@@ -17,7 +17,7 @@
  *
  * @param <R> a request
  */
-public final class Uploads<R> {
+public final class UploadQueue<R> {
 
 	private final int maxQueued;
 
@@ -27,7 +27,7 @@
 
 	private int size;
 
-	private Uploads(int maxQueued, int maxPerPeer) {
+	private UploadQueue(int maxQueued, int maxPerPeer) {
 		this.maxQueued = maxQueued;
 		this.maxPerPeer = maxPerPeer;
 	}
@@ -37,8 +37,8 @@
 	 * @param maxQueued maximum number of queued requests
 	 * @param maxPerPeer maximum number of queued requests of one peer
 	 */
-	public static <R> Uploads<R> create(int maxQueued, int maxPerPeer) {
-		return new Uploads<>(maxQueued, maxPerPeer);
+	public static <R> UploadQueue<R> create(int maxQueued, int maxPerPeer) {
+		return new UploadQueue<>(maxQueued, maxPerPeer);
 	}
 
 	/**
@@ -77,7 +77,7 @@
 	/**
 	 * Removes the requests of a disconnected peer.
 	 */
-	public void drop(Object peer) {
+	public void removePeer(Object peer) {
 		Deque<R> queue = this.queues.remove(peer);
 		this.size -= (queue != null) ? queue.size() : 0;
 	}
--- a/policy/src/test/java/org/wisteriapost/policy/agent/AgentSimulation.java
+++ b/policy/src/test/java/org/wisteriapost/policy/agent/AgentSimulation.java
@@ -51,7 +51,7 @@
 
 	private final Map<Long, Bundle> bundles = new HashMap<>();
 
-	private final Map<String, AgentEvent.BundleArrived> bundleEvents = new HashMap<>();
+	private final Map<String, AgentEvent.BundleReceived> bundleEvents = new HashMap<>();
 
 	private final Set<String> keysLosingConfirmation = new HashSet<>();
 
@@ -136,9 +136,9 @@
 		AgentIdentity identity = new AgentIdentity(vm, FAILURE_DOMAIN, "lm", false, "nonce-" + this.agents);
 		AgentLimits limits = new AgentLimits(4, 4, Duration.ofSeconds(5), Duration.ofSeconds(10), Duration.ofSeconds(4),
 				0.25, Duration.ofSeconds(60));
-		OperatorKeys approvalPolicy = new OperatorKeys(Map.of(OPERATOR, base64(OPERATOR_KEYS.getPublic().getEncoded())),
-				1);
-		AgentMachine machine = AgentMachine.create(identity, limits, approvalPolicy, this.invariants,
+		ApprovalPolicy approvalPolicy = new ApprovalPolicy(
+				Map.of(OPERATOR, base64(OPERATOR_KEYS.getPublic().getEncoded())), 1);
+		AgentStateMachine machine = AgentStateMachine.create(identity, limits, approvalPolicy, this.invariants,
 				RandomSource.XO_RO_SHI_RO_128_PP.create(this.random.nextLong()));
 		SimAgent agent = new SimAgent(this, machine, engine);
 		tick(agent);
@@ -163,18 +163,18 @@
 		byte[] signature = approved ? Approvals.sign(digest, base64(OPERATOR_KEYS.getPrivate().getEncoded()))
 				: "none".getBytes(StandardCharsets.US_ASCII);
 		this.bundles.put(generation, bundle);
-		this.bundleEvents.put(digest, new AgentEvent.BundleArrived(digest, content, Map.of(OPERATOR, signature)));
+		this.bundleEvents.put(digest, new AgentEvent.BundleReceived(digest, content, Map.of(OPERATOR, signature)));
 		return new Head(generation, digest, OPERATOR, 0, "n" + generation);
 	}
 
 	AgentEvent fetchBundle(String digest) {
-		AgentEvent.BundleArrived found = this.bundleEvents.get(digest);
-		return (found != null) ? found : new AgentEvent.BundleMissing(digest);
+		AgentEvent.BundleReceived found = this.bundleEvents.get(digest);
+		return (found != null) ? found : new AgentEvent.BundleUnavailable(digest);
 	}
 
 	void replaceContent(String digest, byte[] content) {
 		this.bundleEvents.put(digest,
-				new AgentEvent.BundleArrived(digest, content, this.bundleEvents.get(digest).signatures()));
+				new AgentEvent.BundleReceived(digest, content, this.bundleEvents.get(digest).signatures()));
 	}
 
 	String weights(long generation) {
@@ -183,11 +183,11 @@
 	}
 
 	static AgentEvent confirmed(Head head) {
-		return new AgentEvent.HeadHeard(head.generation(), head.digest(), true, 0);
+		return new AgentEvent.HeadReceived(head.generation(), head.digest(), true, 0);
 	}
 
 	static AgentEvent unconfirmed(Head head) {
-		return new AgentEvent.HeadHeard(head.generation(), head.digest(), false, 0);
+		return new AgentEvent.HeadReceived(head.generation(), head.digest(), false, 0);
 	}
 
 	/**
--- a/policy/src/test/java/org/wisteriapost/policy/agent/AgentMachineTests.java
+++ b/policy/src/test/java/org/wisteriapost/policy/agent/AgentStateMachineTests.java
@@ -13,7 +13,7 @@
 import static org.hamcrest.Matchers.hasSize;
 import static org.hamcrest.Matchers.is;
 
-class AgentMachineTests {
+class AgentStateMachineTests {
 
 	private final AgentSimulation simulation = AgentSimulation.of(1, 0);
 
@@ -33,7 +33,7 @@
 		SimAgent agent = this.simulation.start("vm-1", this.engine);
 		serves(agent, 1);
 		agent.receive(AgentSimulation.confirmed(this.simulation.rollOut(2, "a")));
-		assertThat(this.simulation.runUntil(() -> agent.status().generation() == 2, 5 * AgentSimulation.SECOND),
+		assertThat(this.simulation.runUntil(() -> agent.status().bundleGeneration() == 2, 5 * AgentSimulation.SECOND),
 				is(true));
 		this.simulation.run(10 * AgentSimulation.SECOND);
 		assertThat(agent.status().admitting(), is(true));
@@ -83,7 +83,7 @@
 		agent.receive(AgentSimulation.confirmed(old));
 		this.simulation.run(10 * AgentSimulation.SECOND);
 		assertThat(this.engine.serving(), equalTo(this.simulation.weights(2)));
-		assertThat(agent.status().generation(), is(2L));
+		assertThat(agent.status().bundleGeneration(), is(2L));
 		assertThat(this.engine.acceptedOrders(), hasSize(1));
 	}
 
@@ -96,7 +96,7 @@
 		serves(agent, 1);
 		agent.receive(AgentSimulation.confirmed(this.simulation.createBundle(2, "b", false)));
 		this.simulation.run(10 * AgentSimulation.SECOND);
-		assertThat(agent.status().failing(), equalTo("bundle-unapproved"));
+		assertThat(agent.status().failureCode(), equalTo("bundle-unapproved"));
 		assertThat(agent.status().admitting(), is(true));
 		assertThat(this.engine.serving(), equalTo(this.simulation.weights(1)));
 		assertThat(agent.fetchedWeights(), hasSize(1));
@@ -108,8 +108,8 @@
 		this.simulation.replaceContent(head.digest(), "{}".getBytes());
 		SimAgent agent = this.simulation.start("vm-1", this.engine);
 		this.simulation.run(5 * AgentSimulation.SECOND);
-		assertThat(agent.status().failing(), equalTo("bundle-content-mismatch"));
-		assertThat(agent.status().generation(), is(0L));
+		assertThat(agent.status().failureCode(), equalTo("bundle-content-mismatch"));
+		assertThat(agent.status().bundleGeneration(), is(0L));
 	}
 
 	// The write that acquires the epoch takes effect but its response is lost. If it
@@ -188,7 +188,7 @@
 		AgentEffect.SendOrder foreign = order("z", 1, 0);
 		open.order(foreign);
 		open.loaded(foreign);
-		agent.receive(new AgentEvent.WrongWeightsAnswered());
+		agent.receive(new AgentEvent.WrongWeightsDetected());
 		agent.receive(call(1, this.simulation.weights(1)));
 		assertThat(this.simulation.refusals(), hasSize(1));
 		assertThat(serves(agent, 1), is(true));
@@ -208,7 +208,7 @@
 		this.simulation.rollOut(1, "a");
 		SimAgent agent = this.simulation.start("vm-1", ahead);
 		this.simulation.run(20 * AgentSimulation.SECOND);
-		assertThat(agent.status().failing(), equalTo("head-behind-engine"));
+		assertThat(agent.status().failureCode(), equalTo("head-behind-engine"));
 		assertThat(ahead.acceptedOrders(), hasSize(1));
 	}
 
@@ -236,7 +236,7 @@
 		SimAgent agent = this.simulation.start("vm-1", this.engine);
 		serves(agent, 1);
 		agent.receive(call(1, this.simulation.weights(1)));
-		agent.receive(new AgentEvent.LeaveAsked());
+		agent.receive(new AgentEvent.LeaveRequested());
 		this.simulation.run(10 * AgentSimulation.SECOND);
 		assertThat(agent.stopCode().isPresent(), is(false));
 		agent.endCall(1);
@@ -247,7 +247,7 @@
 
 	private boolean serves(SimAgent agent, long generation) {
 		return this.simulation.runUntil(
-				() -> agent.status().admitting() && agent.status().generation() == generation
+				() -> agent.status().admitting() && agent.status().bundleGeneration() == generation
 						&& agent.status().weightsDigest().equals(this.simulation.weights(generation)),
 				30 * AgentSimulation.SECOND);
 	}
--- a/policy/src/test/java/org/wisteriapost/policy/agent/SimAgent.java
+++ b/policy/src/test/java/org/wisteriapost/policy/agent/SimAgent.java
@@ -13,7 +13,7 @@
 
 	private final AgentSimulation simulation;
 
-	private final AgentMachine machine;
+	private final AgentStateMachine machine;
 
 	private final SimEngine engine;
 
@@ -31,14 +31,14 @@
 
 	private Optional<String> stopCode = Optional.empty();
 
-	SimAgent(AgentSimulation simulation, AgentMachine machine, SimEngine engine) {
+	SimAgent(AgentSimulation simulation, AgentStateMachine machine, SimEngine engine) {
 		this.simulation = simulation;
 		this.machine = machine;
 		this.engine = engine;
 	}
 
-	AgentView status() {
-		return this.machine.view();
+	AgentStatus status() {
+		return this.machine.status();
 	}
 
 	SimEngine engine() {
@@ -93,7 +93,7 @@
 
 	private void carryOut(AgentEffect effect) {
 		switch (effect) {
-			case AgentEffect.Wake wake ->
+			case AgentEffect.ScheduleTick wake ->
 				this.simulation.after(wake.delayNanos(), () -> receive(new AgentEvent.Tick()));
 			case AgentEffect.ReadObject read -> read(read.key());
 			case AgentEffect.WriteObject write -> write(write);
@@ -104,21 +104,21 @@
 				this.simulation.after(this.simulation.fetchNanos(),
 						() -> receive(new AgentEvent.WeightsFetched(weights.weightsDigest())));
 			}
-			case AgentEffect.DropWeights drop -> this.deletedFiles.addAll(drop.files());
+			case AgentEffect.DeleteWeights drop -> this.deletedFiles.addAll(drop.files());
 			case AgentEffect.ReadEngine read -> this.simulation.afterNetworkDelay(() -> {
-				EngineView status = this.engine.status();
-				this.simulation.afterNetworkDelay(() -> receive(new AgentEvent.EngineRead(status)));
+				LocalEngineStatus status = this.engine.status();
+				this.simulation.afterNetworkDelay(() -> receive(new AgentEvent.EngineStatusRead(status)));
 			});
 			case AgentEffect.SendOrder order -> order(order);
 			case AgentEffect.StartCall call -> this.calls.add(call.call());
 			case AgentEffect.Stop stop -> this.stopCode = Optional.of(stop.code());
 			case AgentEffect.RefuseCall refuse -> this.simulation.recordRefusal(refuse);
 			case AgentEffect.CancelCall cancel -> this.calls.remove(cancel.call());
-			case AgentEffect.ReportNow report -> {
+			case AgentEffect.SendReport report -> {
 			}
-			case AgentEffect.SayLeaving leaving -> {
+			case AgentEffect.AnnounceLeaving leaving -> {
 			}
-			case AgentEffect.SlowTransfer slow -> {
+			case AgentEffect.ThrottleTransfer slow -> {
 			}
 		}
 	}
@@ -133,7 +133,7 @@
 		long sent = this.simulation.now();
 		this.simulation.afterNetworkDelay(() -> {
 			if (this.simulation.platform().unavailable(key)) {
-				receive(new AgentEvent.ObjectUnread(key));
+				receive(new AgentEvent.ObjectReadFailed(key));
 				return;
 			}
 			Optional<StoredObject> value = this.simulation.platform().get(key);
@@ -144,21 +144,21 @@
 	private void write(AgentEffect.WriteObject write) {
 		this.simulation.afterNetworkDelay(() -> {
 			if (this.simulation.platform().unavailable(write.key())) {
-				receive(new AgentEvent.ObjectUnconfirmed(write.key()));
+				receive(new AgentEvent.ObjectWriteUnconfirmed(write.key()));
 				return;
 			}
 			boolean written = this.simulation.platform().write(write);
 			boolean lost = this.simulation.losesConfirmation(write.key());
 			long version = this.simulation.platform().version(write.key());
-			this.simulation.afterNetworkDelay(() -> receive(lost ? new AgentEvent.ObjectUnconfirmed(write.key())
+			this.simulation.afterNetworkDelay(() -> receive(lost ? new AgentEvent.ObjectWriteUnconfirmed(write.key())
 					: written ? new AgentEvent.ObjectWritten(write.key(), version)
-							: new AgentEvent.ObjectConflict(write.key())));
+							: new AgentEvent.ObjectWriteConflict(write.key())));
 		});
 	}
 
 	private void order(AgentEffect.SendOrder order) {
 		if (this.simulation.now() > order.notAfterNanos()) {
-			receive(new AgentEvent.OrderLapsed());
+			receive(new AgentEvent.OrderLeaseExpired());
 			return;
 		}
 		this.simulation.afterNetworkDelay(() -> {
@@ -167,7 +167,7 @@
 				return;
 			}
 			this.simulation.after(this.simulation.loadNanos(), () -> this.engine.loaded(order));
-			receive(new AgentEvent.OrderTaken());
+			receive(new AgentEvent.OrderAccepted());
 		});
 	}
 
--- a/policy/src/test/java/org/wisteriapost/policy/agent/SimEngine.java
+++ b/policy/src/test/java/org/wisteriapost/policy/agent/SimEngine.java
@@ -40,10 +40,10 @@
 		}
 	}
 
-	EngineView status() {
+	LocalEngineStatus status() {
 		long generation = this.acceptedOrders.isEmpty() ? 0 : lastOrder().generation();
 		long epoch = this.acceptedOrders.isEmpty() ? 0 : lastOrder().epoch();
-		return new EngineView(this.serving, this.loading, 0, 0, 4, generation, epoch);
+		return new LocalEngineStatus(this.serving, this.loading, 0, 0, 4, generation, epoch);
 	}
 
 	String serving() {
--- a/policy/src/test/java/org/wisteriapost/policy/agent/SimPlatform.java
+++ b/policy/src/test/java/org/wisteriapost/policy/agent/SimPlatform.java
@@ -42,8 +42,8 @@
 	 * Returns whether the write took effect.
 	 */
 	boolean write(AgentEffect.WriteObject write) {
-		boolean expected = write.version() == AgentEffect.WriteObject.ANYTHING
-				|| write.version() == version(write.key());
+		boolean expected = write.expectedVersion() == AgentEffect.WriteObject.ANY_VERSION
+				|| write.expectedVersion() == version(write.key());
 		if (expected) {
 			set(write.key(), write.value());
 		}
--- a/policy/src/test/java/org/wisteriapost/policy/agent/StartWithoutPlatformTests.java
+++ b/policy/src/test/java/org/wisteriapost/policy/agent/StartWithoutPlatformTests.java
@@ -44,7 +44,7 @@
 
 	@Test
 	void staleConfirmationIsNotEnoughToOrder() {
-		SimAgent agent = startWithHead(new AgentEvent.HeadHeard(1, this.first.digest(), true, 60_000));
+		SimAgent agent = startWithHead(new AgentEvent.HeadReceived(1, this.first.digest(), true, 60_000));
 		assertThat(agent.status().admitting(), is(false));
 		assertThat(this.engine.acceptedOrders(), is(empty()));
 	}
--- a/policy/src/test/java/org/wisteriapost/policy/bundle/ApprovalsTests.java
+++ b/policy/src/test/java/org/wisteriapost/policy/bundle/ApprovalsTests.java
@@ -22,14 +22,14 @@
 
 	@Test
 	void signaturesOfDifferentKeysCount() {
-		Set<String> counted = Approvals.counted(DIGEST, Map.of("a", sign(this.one), "b", sign(this.two)),
+		Set<String> counted = Approvals.countedOperators(DIGEST, Map.of("a", sign(this.one), "b", sign(this.two)),
 				Map.of("a", key(this.one), "b", key(this.two)));
 		assertThat(counted, is(Set.of("a", "b")));
 	}
 
 	@Test
 	void operatorsWithTheSameKeyCountOnce() {
-		Set<String> counted = Approvals.counted(DIGEST, Map.of("a", sign(this.one), "b", sign(this.one)),
+		Set<String> counted = Approvals.countedOperators(DIGEST, Map.of("a", sign(this.one), "b", sign(this.one)),
 				Map.of("a", key(this.one), "b", key(this.one)));
 		assertThat(counted.size(), is(1));
 	}
@@ -37,10 +37,11 @@
 	@Test
 	void signatureOfAnotherKeyOperatorOrDigestDoesNotCount() {
 		Map<String, String> keys = Map.of("a", key(this.one));
-		assertThat(Approvals.counted(DIGEST, Map.of("a", sign(this.two)), keys), is(Set.of()));
-		assertThat(Approvals.counted(DIGEST, Map.of("stranger", sign(this.one)), keys), is(Set.of()));
-		assertThat(Approvals.counted(Digests.sha256("other"), Map.of("a", sign(this.one)), keys), is(Set.of()));
-		assertThat(Approvals.counted(DIGEST, Map.of("a", new byte[3]), keys), is(Set.of()));
+		assertThat(Approvals.countedOperators(DIGEST, Map.of("a", sign(this.two)), keys), is(Set.of()));
+		assertThat(Approvals.countedOperators(DIGEST, Map.of("stranger", sign(this.one)), keys), is(Set.of()));
+		assertThat(Approvals.countedOperators(Digests.sha256("other"), Map.of("a", sign(this.one)), keys),
+				is(Set.of()));
+		assertThat(Approvals.countedOperators(DIGEST, Map.of("a", new byte[3]), keys), is(Set.of()));
 	}
 
 	private static byte[] sign(KeyPair pair) {
--- a/policy/src/test/java/org/wisteriapost/policy/burn/BurnTests.java
+++ b/policy/src/test/java/org/wisteriapost/policy/burn/BurnTests.java
@@ -20,7 +20,7 @@
 
 	private static final Objective ONE = new Objective("one", "lm", "press", 0.5, 100);
 
-	private final BurnLedger ledger = BurnLedger.create();
+	private final RequestCounter ledger = RequestCounter.create();
 
 	static Stream<Arguments> ages() {
 		return Stream.of(Arguments.of("just now", 0, List.of(1L, 1L, 1L, 1L)),
@@ -33,7 +33,7 @@
 	@ParameterizedTest(name = "{0}")
 	@MethodSource("ages")
 	void requestCountsInEachWindowThatCoversIt(String name, long minutes, List<Long> expected) {
-		this.ledger.count(new Series("lm", "press"), Result.LATE, NOW - minutes * 60_000);
+		this.ledger.count(new RequestSeries("lm", "press"), RequestResult.LATE, NOW - minutes * 60_000);
 		BurnReport report = BurnReport.of(List.of(ALL), List.of(this.ledger.snapshot("e", NOW)), NOW);
 		assertThat(report.lines().getFirst().spans().stream().map((span) -> span.counts().bad()).toList(),
 				is(expected));
@@ -41,20 +41,20 @@
 
 	@Test
 	void burnRateIsBadShareOverAllowedShareWithCountsByOrganisation() {
-		count("press", Result.GOOD, 6);
-		count("press", Result.REFUSED, 2);
-		count("museum", Result.UNKNOWN, 2);
+		count("press", RequestResult.GOOD, 6);
+		count("press", RequestResult.REFUSED, 2);
+		count("museum", RequestResult.UNKNOWN, 2);
 		BurnReport report = BurnReport.of(List.of(ALL, ONE), List.of(this.ledger.snapshot("e", NOW)), NOW);
 		assertThat(report.lines().get(0).budgetSpent(), closeTo(4.0, 1e-9));
 		assertThat(report.lines().get(1).budgetSpent(), closeTo(0.5, 1e-9));
-		assertThat(report.lines().get(0).spans().getFirst().spenders().get("museum").of(Result.UNKNOWN), is(2L));
+		assertThat(report.lines().get(0).spans().getFirst().spenders().get("museum").of(RequestResult.UNKNOWN), is(2L));
 	}
 
 	// The last snapshot of an entry that was replaced two hours ago still counts in the
 	// windows of six hours and three days, but not in the shorter ones.
 	@Test
 	void snapshotOfReplacedEntryCountsOnlyInLongerWindows() {
-		count("press", Result.FAILED, 1);
+		count("press", RequestResult.FAILED, 1);
 		BurnSnapshot old = this.ledger.snapshot("e", NOW);
 		BurnReport report = BurnReport.of(List.of(ALL), List.of(old), NOW + 2 * 3_600_000);
 		assertThat(report.lines().getFirst().spans().stream().map((span) -> span.counts().bad()).toList(),
@@ -64,7 +64,7 @@
 	@Test
 	void seriesOverTheLimitAreCountedTogether() {
 		for (int i = 0; i < 2000; i++) {
-			count("organisation-" + i, Result.GOOD, 1);
+			count("organisation-" + i, RequestResult.GOOD, 1);
 		}
 		BurnSnapshot snapshot = this.ledger.snapshot("e", NOW);
 		assertThat(snapshot.rows().size(), is(513));
@@ -73,16 +73,16 @@
 
 	@Test
 	void strictestObjectiveDeterminesLateResult() {
-		BurnJudge judge = BurnJudge.of(List.of(ALL, ONE));
-		assertThat(judge.answered("lm", "press", 101), is(Result.LATE));
-		assertThat(judge.answered("lm", "museum", 101), is(Result.GOOD));
-		assertThat(judge.answered("lm", "museum", 741), is(Result.LATE));
-		assertThat(judge.answered("portal", "museum", 9999), is(Result.GOOD));
+		LatencyClassifier judge = LatencyClassifier.of(List.of(ALL, ONE));
+		assertThat(judge.classify("lm", "press", 101), is(RequestResult.LATE));
+		assertThat(judge.classify("lm", "museum", 101), is(RequestResult.GOOD));
+		assertThat(judge.classify("lm", "museum", 741), is(RequestResult.LATE));
+		assertThat(judge.classify("portal", "museum", 9999), is(RequestResult.GOOD));
 	}
 
-	private void count(String organisation, Result result, int times) {
+	private void count(String organisation, RequestResult result, int times) {
 		for (int i = 0; i < times; i++) {
-			this.ledger.count(new Series("lm", organisation), result, NOW);
+			this.ledger.count(new RequestSeries("lm", organisation), result, NOW);
 		}
 	}
 
--- a/policy/src/test/java/org/wisteriapost/policy/claim/ClaimSim.java
+++ b/policy/src/test/java/org/wisteriapost/policy/claim/ClaimSim.java
@@ -81,14 +81,14 @@
 		this.down = down;
 	}
 
-	List<ClaimVerdict> verdicts(long id) {
-		return this.results.stream().map(DeliveredResult::verdict).filter((verdict) -> verdict.id() == id).toList();
+	List<ClaimResult> resultsOf(long id) {
+		return this.results.stream().map(DeliveredResult::result).filter((verdict) -> verdict.id() == id).toList();
 	}
 
 	void carryOut(int entry, List<ClaimEffect> effects) {
 		for (ClaimEffect effect : effects) {
 			switch (effect) {
-				case ClaimEffect.Tell tell -> this.results.add(new DeliveredResult(entry, tell.verdict()));
+				case ClaimEffect.Complete tell -> this.results.add(new DeliveredResult(entry, tell.result()));
 				case ClaimEffect.Read read -> read(entry, read.object());
 				case ClaimEffect.Write write -> write(entry, write);
 			}
@@ -114,7 +114,7 @@
 		this.storeCalls++;
 		schedule(() -> {
 			if (this.down) {
-				carryOut(entry, table(entry).failed(object, false, this.now));
+				carryOut(entry, table(entry).onFailure(object, false, this.now));
 				return;
 			}
 			deliverValue(entry, object, false);
@@ -126,14 +126,14 @@
 		this.writes++;
 		schedule(() -> {
 			if (this.down) {
-				carryOut(entry, table(entry).failed(write.object(), false, this.now));
+				carryOut(entry, table(entry).onFailure(write.object(), false, this.now));
 			}
 			else if (this.random.nextDouble() < this.lossShare) {
 				loseConfirmation(entry, write);
 			}
 			else if (apply(write)) {
 				long version = this.store.get(write.object()).version;
-				schedule(() -> carryOut(entry, table(entry).written(write.object(), version, this.now)));
+				schedule(() -> carryOut(entry, table(entry).onWritten(write.object(), version, this.now)));
 			}
 			else {
 				schedule(() -> deliverValue(entry, write.object(), true));
@@ -147,7 +147,7 @@
 		if (when == 0) {
 			apply(write);
 		}
-		carryOut(entry, table(entry).failed(write.object(), true, this.now));
+		carryOut(entry, table(entry).onFailure(write.object(), true, this.now));
 		if (when == 1) {
 			schedule(() -> apply(write));
 		}
@@ -164,7 +164,7 @@
 
 	private void deliverValue(int entry, String object, boolean conflict) {
 		Optional<StoredValue> value = Optional.ofNullable(this.store.get(object));
-		carryOut(entry, table(entry).read(object, value.map((item) -> item.bytes),
+		carryOut(entry, table(entry).onRead(object, value.map((item) -> item.bytes),
 				value.map((item) -> item.version).orElse(0L), conflict, this.now));
 	}
 
@@ -172,7 +172,7 @@
 		this.scheduled.add(new ScheduledTask(this.now + MILLI * (1 + this.random.nextInt(5)), task));
 	}
 
-	record DeliveredResult(int entry, ClaimVerdict verdict) {
+	record DeliveredResult(int entry, ClaimResult result) {
 	}
 
 	private record StoredValue(byte[] bytes, long version) {
--- a/policy/src/test/java/org/wisteriapost/policy/claim/ClaimTableReadTests.java
+++ b/policy/src/test/java/org/wisteriapost/policy/claim/ClaimTableReadTests.java
@@ -38,7 +38,7 @@
 			ClaimKey key = ClaimKey.of("press", "key-" + i, 1_800_000_000_000L + i * 10_000L);
 			carryOut(this.table.claim(i, key, "call", "nonce-" + i, this.now));
 		}
-		for (int i = 0; i < 10_000 && this.table.unwritten() > 0; i++) {
+		for (int i = 0; i < 10_000 && this.table.pendingOperations() > 0; i++) {
 			this.now += MILLI;
 			while (!this.replies.isEmpty() && this.replies.peek().atNanos <= this.now) {
 				deliver(this.replies.poll());
@@ -47,7 +47,7 @@
 				carryOut(this.table.tick(this.now));
 			}
 		}
-		assertThat(this.table.unwritten(), is(0));
+		assertThat(this.table.pendingOperations(), is(0));
 		assertThat(this.writes, is(greaterThan(0)));
 		assertThat(this.reads, is(lessThanOrEqualTo(2 * this.writes)));
 	}
@@ -63,15 +63,15 @@
 					this.writes++;
 					this.replies.add(new Reply(this.now + 4 * MILLI, write.object(), true));
 				}
-				case ClaimEffect.Tell tell -> {
+				case ClaimEffect.Complete tell -> {
 				}
 			}
 		}
 	}
 
 	private void deliver(Reply reply) {
-		carryOut(reply.written ? this.table.written(reply.object, 1, this.now)
-				: this.table.read(reply.object, Optional.empty(), 0, false, this.now));
+		carryOut(reply.written ? this.table.onWritten(reply.object, 1, this.now)
+				: this.table.onRead(reply.object, Optional.empty(), 0, false, this.now));
 	}
 
 	private record Reply(long atNanos, String object, boolean written) {
--- a/policy/src/test/java/org/wisteriapost/policy/claim/ClaimTableTests.java
+++ b/policy/src/test/java/org/wisteriapost/policy/claim/ClaimTableTests.java
@@ -9,8 +9,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.wisteriapost.policy.claim.ClaimRecord.KeptAnswer;
 import org.wisteriapost.policy.claim.ClaimRecord.State;
+import org.wisteriapost.policy.claim.ClaimRecord.StoredAnswer;
 
 import static org.hamcrest.MatcherAssert.assertThat;
 import static org.hamcrest.Matchers.empty;
@@ -25,7 +25,7 @@
 	// Longer than the delay of settlements and releases.
 	private static final int SETTLE_WAIT_MILLIS = 400;
 
-	private static final KeptAnswer ANSWER = new KeptAnswer(200, List.of("a", "b"),
+	private static final StoredAnswer ANSWER = new StoredAnswer(200, List.of("a", "b"),
 			"978-1".getBytes(StandardCharsets.UTF_8));
 
 	private final ClaimSim sim = new ClaimSim(2, 7);
@@ -34,14 +34,14 @@
 	void repeatAtAnotherEntryGetsTheStoredAnswer() {
 		claim(0, 1, "k", "n1");
 		this.sim.run(100);
-		assertThat(singleVerdict(1), is(new ClaimVerdict.Claimed(1)));
+		assertThat(singleResult(1), is(new ClaimResult.Claimed(1)));
 		this.sim.carryOut(0, this.sim.table(0).settle(key("k"), "n1", State.ANSWERED, ANSWER, this.sim.now()));
 		this.sim.run(SETTLE_WAIT_MILLIS);
 		claim(1, 2, "k", "n2");
 		this.sim.run(100);
-		ClaimVerdict.Repeated repeated = (ClaimVerdict.Repeated) singleVerdict(2);
+		ClaimResult.AlreadyClaimed repeated = (ClaimResult.AlreadyClaimed) singleResult(2);
 		assertThat(new String(repeated.first().answer().body(), StandardCharsets.UTF_8), is("978-1"));
-		assertThat(repeated.same(), is(true));
+		assertThat(repeated.sameCall(), is(true));
 	}
 
 	@Test
@@ -50,7 +50,7 @@
 		this.sim.run(100);
 		this.sim.carryOut(0, this.sim.table(0).claim(2, key("k"), "other", "n2", this.sim.now()));
 		this.sim.run(100);
-		assertThat(((ClaimVerdict.Repeated) singleVerdict(2)).same(), is(false));
+		assertThat(((ClaimResult.AlreadyClaimed) singleResult(2)).sameCall(), is(false));
 	}
 
 	@Test
@@ -61,7 +61,7 @@
 		this.sim.run(SETTLE_WAIT_MILLIS);
 		claim(1, 2, "k", "n2");
 		this.sim.run(100);
-		assertThat(singleVerdict(2), is(new ClaimVerdict.Claimed(2)));
+		assertThat(singleResult(2), is(new ClaimResult.Claimed(2)));
 	}
 
 	// Guards against a paused entry changing a claim that another writer holds by now.
@@ -74,7 +74,7 @@
 		this.sim.run(SETTLE_WAIT_MILLIS);
 		claim(1, 2, "k", "n2");
 		this.sim.run(100);
-		assertThat(((ClaimVerdict.Repeated) singleVerdict(2)).first().state(), is(State.CLAIMED));
+		assertThat(((ClaimResult.AlreadyClaimed) singleResult(2)).first().state(), is(State.CLAIMED));
 	}
 
 	// Guards against refusing or repeating a call whose claim was written but not
@@ -83,10 +83,10 @@
 	void claimWithLostConfirmationIsRecoveredByReadingBack() {
 		this.sim.setLossShare(1);
 		claim(0, 1, "k", "n1");
-		for (int i = 0; i < 200 && this.sim.verdicts(1).isEmpty(); i++) {
+		for (int i = 0; i < 200 && this.sim.resultsOf(1).isEmpty(); i++) {
 			this.sim.run(10);
 		}
-		assertThat(singleVerdict(1), is(new ClaimVerdict.Claimed(1)));
+		assertThat(singleResult(1), is(new ClaimResult.Claimed(1)));
 	}
 
 	// Guards against a refused claim that stays in the store after a lost confirmation
@@ -100,13 +100,13 @@
 		}
 		this.sim.setDown(true);
 		this.sim.run(100);
-		assertThat(singleVerdict(1), is(new ClaimVerdict.Failed(1, false)));
+		assertThat(singleResult(1), is(new ClaimResult.Failed(1, false)));
 		this.sim.setLossShare(0);
 		this.sim.setDown(false);
 		this.sim.run(3000);
 		claim(1, 2, "k", "n2");
 		this.sim.run(100);
-		assertThat(singleVerdict(2), is(new ClaimVerdict.Claimed(2)));
+		assertThat(singleResult(2), is(new ClaimResult.Claimed(2)));
 	}
 
 	@Test
@@ -114,14 +114,14 @@
 		this.sim.setDown(true);
 		claim(0, 1, "k", "n1");
 		this.sim.run(100);
-		assertThat(singleVerdict(1), is(new ClaimVerdict.Failed(1, false)));
+		assertThat(singleResult(1), is(new ClaimResult.Failed(1, false)));
 		claim(0, 2, "k", "n2");
-		assertThat(singleVerdict(2), is(new ClaimVerdict.Failed(2, false)));
+		assertThat(singleResult(2), is(new ClaimResult.Failed(2, false)));
 		this.sim.setDown(false);
 		this.sim.run(2000);
 		claim(0, 3, "k", "n3");
 		this.sim.run(100);
-		assertThat(singleVerdict(3), is(new ClaimVerdict.Claimed(3)));
+		assertThat(singleResult(3), is(new ClaimResult.Claimed(3)));
 	}
 
 	// Guards against memory growth during an outage while callers keep sending requests.
@@ -133,7 +133,7 @@
 			this.sim.run(2);
 		}
 		this.sim.run(100);
-		assertThat(this.sim.table(0).unwritten(), is(0));
+		assertThat(this.sim.table(0).pendingOperations(), is(0));
 	}
 
 	// Guards against taking an old key for new after its object was reused by a later
@@ -146,10 +146,10 @@
 		ClaimKey newKey = sameObject(key("k").object(), ISSUED_MILLIS + reuseMillis);
 		this.sim.carryOut(0, this.sim.table(0).claim(2, newKey, "c", "n2", this.sim.now()));
 		this.sim.run(100);
-		assertThat(singleVerdict(2), is(new ClaimVerdict.Claimed(2)));
+		assertThat(singleResult(2), is(new ClaimResult.Claimed(2)));
 		claim(1, 3, "k", "n3");
 		this.sim.run(100);
-		assertThat(singleVerdict(3), instanceOf(ClaimVerdict.Expired.class));
+		assertThat(singleResult(3), instanceOf(ClaimResult.Expired.class));
 	}
 
 	@Test
@@ -165,11 +165,11 @@
 		this.sim.run(2000);
 		long claimed = this.sim.results()
 			.stream()
-			.filter((delivered) -> delivered.verdict() instanceof ClaimVerdict.Claimed)
+			.filter((delivered) -> delivered.result() instanceof ClaimResult.Claimed)
 			.count();
 		long full = this.sim.results()
 			.stream()
-			.filter((delivered) -> delivered.verdict().equals(full(delivered.verdict().id())))
+			.filter((delivered) -> delivered.result().equals(full(delivered.result().id())))
 			.count();
 		assertThat(claimed + full, is((long) ids.size()));
 		assertThat(full > 0, is(true));
@@ -206,8 +206,8 @@
 			run.setDown(step % 500 > 470);
 			run.run(1 + run.random().nextInt(4));
 			for (; seen < run.results().size(); seen++) {
-				ClaimAttempt attempted = attempts.get(run.results().get(seen).verdict().id());
-				if (run.results().get(seen).verdict() instanceof ClaimVerdict.Claimed
+				ClaimAttempt attempted = attempts.get(run.results().get(seen).result().id());
+				if (run.results().get(seen).result() instanceof ClaimResult.Claimed
 						&& holders.putIfAbsent(attempted.key, attempted.nonce) != null) {
 					claimedTwice.add(attempted.key);
 				}
@@ -226,14 +226,14 @@
 		this.sim.carryOut(entry, this.sim.table(entry).claim(id, key(key), "c", nonce, this.sim.now()));
 	}
 
-	private ClaimVerdict singleVerdict(long id) {
-		List<ClaimVerdict> verdicts = this.sim.verdicts(id);
-		assertThat(verdicts.size(), is(1));
-		return verdicts.getFirst();
+	private ClaimResult singleResult(long id) {
+		List<ClaimResult> results = this.sim.resultsOf(id);
+		assertThat(results.size(), is(1));
+		return results.getFirst();
 	}
 
-	private static ClaimVerdict full(long id) {
-		return new ClaimVerdict.Failed(id, true);
+	private static ClaimResult full(long id) {
+		return new ClaimResult.Failed(id, true);
 	}
 
 	private static ClaimKey key(String text) {
--- a/policy/src/test/java/org/wisteriapost/policy/dispatch/CapacityShareTests.java
+++ b/policy/src/test/java/org/wisteriapost/policy/dispatch/CapacityShareTests.java
@@ -7,8 +7,8 @@
 
 import org.hamcrest.Matchers;
 import org.junit.jupiter.api.Test;
+import org.wisteriapost.policy.fleet.RunnerIncarnation;
 import org.wisteriapost.policy.fleet.RunnerInfo;
-import org.wisteriapost.policy.fleet.RunnerStart;
 
 import static org.hamcrest.MatcherAssert.assertThat;
 
@@ -19,8 +19,9 @@
 	private final RunnerInfo engine = DispatcherHarness.engine("e1");
 
 	private void reportSwitching(DispatcherHarness harness, boolean now) {
-		harness.dispatcher.agentSays(this.engine.address(),
-				new EngineWord(OptionalInt.of(1), now, OptionalLong.empty(), RunnerStart.UNKNOWN), harness.nowNanos);
+		harness.dispatcher.updateEngineStatus(this.engine.address(),
+				new EngineStatus(OptionalInt.of(1), now, OptionalLong.empty(), RunnerIncarnation.UNKNOWN),
+				harness.nowNanos);
 	}
 
 	private static long countSent(DispatcherHarness harness) {
@@ -34,7 +35,7 @@
 		List<DispatcherHarness> entries = new ArrayList<>();
 		for (int i = 0; i < ENTRIES; i++) {
 			DispatcherHarness harness = new DispatcherHarness().register(this.engine);
-			harness.dispatcher.entries(EntryCount.flat(ENTRIES));
+			harness.dispatcher.updateEntryCount(EntryCount.unpartitioned(ENTRIES));
 			reportSwitching(harness, true);
 			for (int request = 0; request < 10; request++) {
 				harness.arrive(DispatcherHarness.STREAM, 300, 6000);
--- a/policy/src/test/java/org/wisteriapost/policy/dispatch/DispatcherHarness.java
+++ b/policy/src/test/java/org/wisteriapost/policy/dispatch/DispatcherHarness.java
@@ -11,8 +11,8 @@
 import java.util.Set;
 
 import org.apache.commons.rng.simple.RandomSource;
+import org.wisteriapost.policy.fleet.RunnerIncarnation;
 import org.wisteriapost.policy.fleet.RunnerInfo;
-import org.wisteriapost.policy.fleet.RunnerStart;
 import org.wisteriapost.policy.routing.CallLimits;
 import org.wisteriapost.policy.routing.EngineSpec;
 import org.wisteriapost.policy.routing.Route;
@@ -58,7 +58,7 @@
 		CallLimits limits = new CallLimits(16_384, 1 << 20, Duration.ofSeconds(3), Duration.ofSeconds(15));
 		ServiceSpec engines = new ServiceSpec("lm-notice", 264, Optional.of(ENGINE), Optional.empty());
 		ServiceSpec plain = new ServiceSpec("registry-api", 96, Optional.empty(), Optional.empty());
-		this.dispatcher.table(RouteTable.of(1, List.of(STREAM, STREAM_ONCE, LOOKUP, ALLOCATE, SLOW),
+		this.dispatcher.updateRouteTable(RouteTable.of(1, List.of(STREAM, STREAM_ONCE, LOOKUP, ALLOCATE, SLOW),
 				List.of(engines, plain), Map.of(), limits));
 	}
 
@@ -75,17 +75,17 @@
 
 	static RunnerInfo engineIn(String failureDomain, String id) {
 		return new RunnerInfo(id, "lm-notice", "10.0.0." + id.hashCode() % 200 + ":80", failureDomain, 16, false, 0,
-				Map.of("lm", 1), 0, RunnerStart.UNKNOWN);
+				Map.of("lm", 1), 0, RunnerIncarnation.UNKNOWN);
 	}
 
 	static RunnerInfo plain(String id) {
 		return new RunnerInfo(id, "registry-api", "10.0.1." + id.hashCode() % 200 + ":80", "hall-a", 6, false, 0,
-				Map.of(), 0, RunnerStart.UNKNOWN);
+				Map.of(), 0, RunnerIncarnation.UNKNOWN);
 	}
 
 	DispatcherHarness register(RunnerInfo... infos) {
 		for (RunnerInfo info : infos) {
-			this.dispatcher.runner(info, this.nowNanos);
+			this.dispatcher.updateRunner(info, this.nowNanos);
 		}
 		confirmConnections();
 		return this;
@@ -110,9 +110,9 @@
 	Job arrive(Route route, Job.Size size, long remainingMillis, OptionalLong request) {
 		this.lastId++;
 		Job.Attempt attempt = new Job.Attempt("attempt-" + this.lastId, request, Optional.empty());
-		Job job = Job.arrived(this.lastId, attempt, route, route.service(0), Optional.empty(), size, this.nowNanos,
+		Job job = Job.create(this.lastId, attempt, route, route.selectService(0), Optional.empty(), size, this.nowNanos,
 				this.nowNanos + remainingMillis * NANOS_PER_MILLI);
-		this.dispatcher.arrived(job, this.nowNanos);
+		this.dispatcher.requestArrived(job, this.nowNanos);
 		confirmConnections();
 		return job;
 	}
@@ -120,8 +120,8 @@
 	/**
 	 * Reports the load of a peer at a runner.
 	 */
-	void reportPeerLoad(String runner, PeerLoad load) {
-		this.dispatcher.peerLoad("other", new RunnerLoad(runner, RunnerStart.UNKNOWN, load), this.nowNanos);
+	void reportPeerLoad(String runner, InFlightLoad load) {
+		this.dispatcher.updatePeerLoad("other", new RunnerLoad(runner, RunnerIncarnation.UNKNOWN, load), this.nowNanos);
 	}
 
 	DispatcherHarness advance(long millis) {
@@ -131,14 +131,14 @@
 		return this;
 	}
 
-	void ended(Job job, Outcome outcome) {
-		this.dispatcher.ended(job, outcome, this.nowNanos);
+	void ended(Job job, DispatchOutcome outcome) {
+		this.dispatcher.dispatchEnded(job, outcome, this.nowNanos);
 		confirmConnections();
 	}
 
 	void firstEvent(Job job) {
-		job.progressed(1, Optional.of("1"), this.nowNanos);
-		this.dispatcher.firstEvent(job, this.nowNanos);
+		job.recordEvents(1, Optional.of("1"), this.nowNanos);
+		this.dispatcher.firstEventSent(job, this.nowNanos);
 		confirmConnections();
 	}
 
@@ -152,16 +152,16 @@
 
 	// Establishes the required connections at once, unless they are blocked.
 	private void confirmConnections() {
-		List<DispatchEffect> newEffects = this.dispatcher.drain();
+		List<DispatchEffect> newEffects = this.dispatcher.drainEffects();
 		while (!newEffects.isEmpty()) {
 			this.effects.addAll(newEffects);
 			for (DispatchEffect effect : newEffects) {
-				if (effect instanceof DispatchEffect.Send send && send.tries()
+				if (effect instanceof DispatchEffect.Send send && send.requiresNewConnection()
 						&& !this.blockedRunners.contains(send.runner().id())) {
-					this.dispatcher.connected(send.job(), this.nowNanos);
+					this.dispatcher.connectionEstablished(send.job(), this.nowNanos);
 				}
 			}
-			newEffects = this.dispatcher.drain();
+			newEffects = this.dispatcher.drainEffects();
 		}
 	}
 
@@ -186,8 +186,8 @@
 				case DispatchEffect.Send send -> "Send:" + send.runner().id();
 				case DispatchEffect.Refuse refuse -> "Refuse:" + refuse.code().name();
 				case DispatchEffect.Fail fail -> "Fail:" + fail.code().name();
-				case DispatchEffect.Stop stop -> "Stop";
-				case DispatchEffect.PassOn passOn -> "PassOn";
+				case DispatchEffect.Cancel stop -> "Stop";
+				case DispatchEffect.ForwardError passOn -> "PassOn";
 			});
 		}
 		return names;
--- a/policy/src/test/java/org/wisteriapost/policy/dispatch/DispatcherTests.java
+++ b/policy/src/test/java/org/wisteriapost/policy/dispatch/DispatcherTests.java
@@ -20,7 +20,7 @@
 	// executed.
 	@ParameterizedTest
 	@EnumSource(names = { "BROKEN", "ERROR" })
-	void atMostOnceRequestIsNotRetriedAfterPossibleExecution(Outcome outcome) {
+	void atMostOnceRequestIsNotRetriedAfterPossibleExecution(DispatchOutcome outcome) {
 		DispatcherHarness harness = new DispatcherHarness().register(DispatcherHarness.plain("r1"),
 				DispatcherHarness.plain("r2"));
 		Job job = harness.arrive(DispatcherHarness.ALLOCATE);
@@ -32,7 +32,7 @@
 
 	@ParameterizedTest
 	@EnumSource(names = { "NOT_SENT", "FULL", "MISDIRECTED" })
-	void unexecutedRequestIsSentToAnotherRunner(Outcome outcome) {
+	void unexecutedRequestIsSentToAnotherRunner(DispatchOutcome outcome) {
 		DispatcherHarness harness = new DispatcherHarness().register(DispatcherHarness.plain("r1"),
 				DispatcherHarness.plain("r2"));
 		Job job = harness.arrive(DispatcherHarness.ALLOCATE);
@@ -48,8 +48,8 @@
 		DispatcherHarness harness = new DispatcherHarness().register(DispatcherHarness.plain("r1"),
 				DispatcherHarness.plain("r2"), DispatcherHarness.plain("r3"));
 		Job job = harness.arrive(DispatcherHarness.LOOKUP);
-		harness.ended(job, Outcome.BROKEN);
-		harness.ended(job, Outcome.BROKEN);
+		harness.ended(job, DispatchOutcome.BROKEN);
+		harness.ended(job, DispatchOutcome.BROKEN);
 		assertThat(harness.effectNames(), Matchers.contains(Matchers.startsWith("Send"), Matchers.startsWith("Send"),
 				Matchers.equalTo("Fail:run-broken")));
 	}
@@ -60,7 +60,7 @@
 	void errorResponseIsForwardedWhenRetryIsNotAllowed() {
 		DispatcherHarness harness = new DispatcherHarness().register(DispatcherHarness.plain("r1"));
 		Job job = harness.arrive(DispatcherHarness.ALLOCATE);
-		harness.ended(job, Outcome.ERROR);
+		harness.ended(job, DispatchOutcome.ERROR);
 		assertThat(harness.effectNames(), Matchers.contains("Send:r1", "PassOn"));
 	}
 
@@ -79,7 +79,7 @@
 		Job job = harness.arrive(route);
 		harness.firstEvent(job);
 		harness.effectNames();
-		harness.ended(job, Outcome.BROKEN);
+		harness.ended(job, DispatchOutcome.BROKEN);
 		assertThat(harness.effectNames().getFirst(), Matchers.startsWith(expected));
 	}
 
@@ -115,7 +115,7 @@
 	void callerDisconnectCancelsDispatch() {
 		DispatcherHarness harness = new DispatcherHarness().register(DispatcherHarness.engine("e1"));
 		Job job = harness.arrive(DispatcherHarness.STREAM);
-		harness.dispatcher.gone(job, harness.nowNanos);
+		harness.dispatcher.callerDisconnected(job, harness.nowNanos);
 		assertThat(harness.effectNames(), Matchers.contains("Send:e1", "Stop"));
 		assertThat(harness.dispatcher.inProgress(), Matchers.equalTo(0));
 	}
@@ -124,9 +124,9 @@
 	void deregisteredRunnerGetsNoNewRequests() {
 		DispatcherHarness harness = new DispatcherHarness().register(DispatcherHarness.plain("r1"),
 				DispatcherHarness.plain("r2"));
-		harness.dispatcher.runnerRemoved("r1", harness.nowNanos);
+		harness.dispatcher.registrationRemoved("r1", harness.nowNanos);
 		for (int i = 0; i < 20; i++) {
-			harness.ended(harness.arrive(DispatcherHarness.LOOKUP), Outcome.DONE);
+			harness.ended(harness.arrive(DispatcherHarness.LOOKUP), DispatchOutcome.DONE);
 		}
 		assertThat(harness.effectNames(), Matchers.everyItem(Matchers.equalTo("Send:r2")));
 	}
@@ -137,14 +137,14 @@
 	@Test
 	void registrationsThatExpireDuringStoreOutageAreKeptForGracePeriod() {
 		DispatcherHarness harness = new DispatcherHarness().register(DispatcherHarness.plain("r1"));
-		harness.dispatcher.store(false, harness.nowNanos);
-		harness.dispatcher.runnerRemoved("r1", harness.nowNanos);
-		harness.ended(harness.arrive(DispatcherHarness.LOOKUP), Outcome.DONE);
+		harness.dispatcher.updateStoreReachable(false, harness.nowNanos);
+		harness.dispatcher.registrationRemoved("r1", harness.nowNanos);
+		harness.ended(harness.arrive(DispatcherHarness.LOOKUP), DispatchOutcome.DONE);
 		assertThat(harness.effectNames(), Matchers.contains("Send:r1"));
 		harness.advance(5000);
-		harness.dispatcher.store(true, harness.nowNanos);
+		harness.dispatcher.updateStoreReachable(true, harness.nowNanos);
 		harness.advance(1000);
-		harness.ended(harness.arrive(DispatcherHarness.LOOKUP), Outcome.DONE);
+		harness.ended(harness.arrive(DispatcherHarness.LOOKUP), DispatchOutcome.DONE);
 		assertThat(harness.effectNames(), Matchers.contains("Send:r1"));
 		harness.advance(2000);
 		harness.arrive(DispatcherHarness.LOOKUP);
--- a/policy/src/test/java/org/wisteriapost/policy/dispatch/LateRequestTests.java
+++ b/policy/src/test/java/org/wisteriapost/policy/dispatch/LateRequestTests.java
@@ -24,13 +24,13 @@
 	private Job arriveAgain(long remainingMillis) {
 		this.lastKey++;
 		long askedNanos = this.harness.nowNanos - 2000 * DispatcherHarness.NANOS_PER_MILLI;
-		this.harness.dispatcher.peerRefused(new RefusedRequest(this.lastKey, askedNanos,
+		this.harness.dispatcher.recordPeerRefusal(new RefusedRequest(this.lastKey, askedNanos,
 				this.harness.nowNanos + remainingMillis * DispatcherHarness.NANOS_PER_MILLI));
 		return this.harness.arrive(DispatcherHarness.STREAM, TYPICAL, remainingMillis, OptionalLong.of(this.lastKey));
 	}
 
 	private void occupySlots(int requests) {
-		this.harness.reportPeerLoad("e1", new PeerLoad(requests, 0, 0));
+		this.harness.reportPeerLoad("e1", new InFlightLoad(requests, 0, 0));
 	}
 
 	// A late retry whose second refusal would be final is sent if a slot would stay
@@ -93,7 +93,7 @@
 			assertThat(sentRanks(), Matchers.contains(DispatcherHarness.STREAM.priority()));
 			this.harness.advance(100);
 			this.harness.firstEvent(job);
-			this.harness.ended(job, Outcome.DONE);
+			this.harness.ended(job, DispatchOutcome.DONE);
 		}
 	}
 
--- a/policy/src/test/java/org/wisteriapost/policy/dispatch/LoadTests.java
+++ b/policy/src/test/java/org/wisteriapost/policy/dispatch/LoadTests.java
@@ -38,8 +38,8 @@
 	void shortPromptIsSentToEngineWithFewerWaitingTokens() {
 		DispatcherHarness harness = new DispatcherHarness().register(DispatcherHarness.engine("e1"),
 				DispatcherHarness.engine("e2"));
-		harness.reportPeerLoad("e1", new PeerLoad(3, 3, 9000));
-		harness.reportPeerLoad("e2", new PeerLoad(3, 3, 600));
+		harness.reportPeerLoad("e1", new InFlightLoad(3, 3, 9000));
+		harness.reportPeerLoad("e2", new InFlightLoad(3, 3, 600));
 		harness.arrive(DispatcherHarness.STREAM, 100, 6000);
 		assertThat(harness.effectNames(), Matchers.contains("Send:e2"));
 	}
@@ -57,7 +57,7 @@
 			slow += (sentToSlow && i >= 30) ? 1 : 0;
 			harness.advance(sentToSlow ? 900 : 110);
 			harness.firstEvent(job);
-			harness.ended(job, Outcome.DONE);
+			harness.ended(job, DispatchOutcome.DONE);
 			harness.effectNames();
 		}
 		assertThat(slow, Matchers.lessThan(5));
@@ -74,7 +74,7 @@
 			harness.effectNames();
 			harness.advance(390);
 			harness.firstEvent(job);
-			harness.ended(job, Outcome.DONE);
+			harness.ended(job, DispatchOutcome.DONE);
 		}
 		harness.effectNames();
 		for (int i = 0; i < 60; i++) {
@@ -92,7 +92,7 @@
 	@Test
 	void waitingRequestsAreBounded() {
 		DispatcherHarness harness = new DispatcherHarness().register(DispatcherHarness.engine("e1"));
-		harness.reportPeerLoad("e1", new PeerLoad(16, 0, 0));
+		harness.reportPeerLoad("e1", new InFlightLoad(16, 0, 0));
 		for (int i = 0; i < 10; i++) {
 			harness.arrive(DispatcherHarness.STREAM);
 		}
@@ -133,10 +133,10 @@
 			Job job = harness.arrive(DispatcherHarness.LOOKUP);
 			if (harness.effectNames().contains("Send:r1")) {
 				failed++;
-				harness.ended(job, Outcome.NOT_SENT);
+				harness.ended(job, DispatchOutcome.NOT_SENT);
 				harness.effectNames();
 			}
-			harness.ended(job, Outcome.DONE);
+			harness.ended(job, DispatchOutcome.DONE);
 			harness.advance(5);
 		}
 		assertThat(failed, Matchers.equalTo(1));
--- a/policy/src/test/java/org/wisteriapost/policy/dispatch/RemoteEngineTests.java
+++ b/policy/src/test/java/org/wisteriapost/policy/dispatch/RemoteEngineTests.java
@@ -17,7 +17,7 @@
 	// A gain of a few milliseconds does not justify traffic between failure domains.
 	@Test
 	void slightlyBusierLocalEngineIsPreferred() {
-		this.harness.reportPeerLoad("local", new PeerLoad(3, 0, 0));
+		this.harness.reportPeerLoad("local", new InFlightLoad(3, 0, 0));
 		this.harness.arrive(DispatcherHarness.STREAM, 200, 6000);
 		assertThat(this.harness.effectNames(), Matchers.contains("Send:local"));
 	}
@@ -26,7 +26,7 @@
 	// notice.
 	@Test
 	void remoteEngineIsPreferredToBusyLocalEngine() {
-		this.harness.reportPeerLoad("local", new PeerLoad(8, 5, 8000));
+		this.harness.reportPeerLoad("local", new InFlightLoad(8, 5, 8000));
 		this.harness.arrive(DispatcherHarness.STREAM, 200, 6000);
 		assertThat(this.harness.effectNames(), Matchers.contains("Send:remote"));
 	}
--- a/policy/src/test/java/org/wisteriapost/policy/dispatch/RunnerIncarnationTests.java
+++ b/policy/src/test/java/org/wisteriapost/policy/dispatch/RunnerIncarnationTests.java
@@ -8,26 +8,26 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
+import org.wisteriapost.policy.fleet.RunnerIncarnation;
 import org.wisteriapost.policy.fleet.RunnerInfo;
-import org.wisteriapost.policy.fleet.RunnerStart;
 
 import static org.hamcrest.MatcherAssert.assertThat;
 
 class RunnerIncarnationTests {
 
-	private static final RunnerStart FIRST = RunnerStart.at(1_000);
+	private static final RunnerIncarnation FIRST = RunnerIncarnation.startedAt(1_000);
 
-	private static final RunnerStart SECOND = RunnerStart.at(2_000);
+	private static final RunnerIncarnation SECOND = RunnerIncarnation.startedAt(2_000);
 
 	private final DispatcherHarness harness = new DispatcherHarness();
 
-	private static RunnerInfo engine(RunnerStart start, Map<String, Integer> models) {
+	private static RunnerInfo engine(RunnerIncarnation start, Map<String, Integer> models) {
 		return new RunnerInfo("e1", "lm-notice", "10.0.0.1:80", "hall-a", 16, false, 0, models, 0, start);
 	}
 
-	private void reportStatus(OptionalInt version, RunnerStart start) {
-		this.harness.dispatcher.agentSays("10.0.0.1:80", new EngineWord(version, false, OptionalLong.empty(), start),
-				this.harness.nowNanos);
+	private void reportStatus(OptionalInt version, RunnerIncarnation start) {
+		this.harness.dispatcher.updateEngineStatus("10.0.0.1:80",
+				new EngineStatus(version, false, OptionalLong.empty(), start), this.harness.nowNanos);
 	}
 
 	private String sendAndGetEffects() {
@@ -68,11 +68,11 @@
 	@Test
 	void peerLoadOfEarlierIncarnationIsDiscarded() {
 		this.harness.register(engine(FIRST, Map.of("lm", 1)));
-		this.harness.dispatcher.peerLoad("other", new RunnerLoad("e1", FIRST, new PeerLoad(18, 0, 0)),
+		this.harness.dispatcher.updatePeerLoad("other", new RunnerLoad("e1", FIRST, new InFlightLoad(18, 0, 0)),
 				this.harness.nowNanos);
 		assertThat(sendAndGetEffects(), Matchers.equalTo(""));
 		this.harness.register(engine(SECOND, Map.of("lm", 1)));
-		this.harness.dispatcher.peerLoad("other", new RunnerLoad("e1", FIRST, new PeerLoad(18, 0, 0)),
+		this.harness.dispatcher.updatePeerLoad("other", new RunnerLoad("e1", FIRST, new InFlightLoad(18, 0, 0)),
 				this.harness.nowNanos);
 		assertThat(sendAndGetEffects(), Matchers.startsWith("Send:e1"));
 	}
@@ -84,11 +84,11 @@
 		for (int i = 0; i < 6; i++) {
 			Job job = this.harness.arrive(DispatcherHarness.STREAM);
 			boolean sentToFirst = this.harness.effectNames().contains("Send:e1");
-			this.harness.ended(job, sentToFirst ? Outcome.NOT_SENT : Outcome.DONE);
+			this.harness.ended(job, sentToFirst ? DispatchOutcome.NOT_SENT : DispatchOutcome.DONE);
 			this.harness.effectNames();
 		}
 		this.harness.register(engine(SECOND, Map.of("lm", 1)));
-		this.harness.dispatcher.runnerRemoved("e2", this.harness.nowNanos);
+		this.harness.dispatcher.registrationRemoved("e2", this.harness.nowNanos);
 		assertThat(sendAndGetEffects(), Matchers.equalTo("Send:e1"));
 	}
 
@@ -98,11 +98,11 @@
 	@ValueSource(booleans = { false, true })
 	void latestRegistrationAtAddressIsUsed(boolean latestFirst) {
 		RunnerInfo former = new RunnerInfo("former", "lm-notice", "10.0.0.1:80", "hall-a", 16, false, 0,
-				Map.of("lm", 1), 100, RunnerStart.UNKNOWN);
+				Map.of("lm", 1), 100, RunnerIncarnation.UNKNOWN);
 		RunnerInfo latest = new RunnerInfo("latest", "lm-notice", "10.0.0.1:80", "hall-a", 16, false, 0, Map.of(), 120,
-				RunnerStart.UNKNOWN);
+				RunnerIncarnation.UNKNOWN);
 		this.harness.register(latestFirst ? latest : former, latestFirst ? former : latest);
-		reportStatus(OptionalInt.of(1), RunnerStart.UNKNOWN);
+		reportStatus(OptionalInt.of(1), RunnerIncarnation.UNKNOWN);
 		for (int i = 0; i < 8; i++) {
 			this.harness.arrive(DispatcherHarness.STREAM, 100, 6000);
 		}
@@ -113,8 +113,8 @@
 	// engine hides that engine.
 	@Test
 	void registrationOfAnotherServiceDoesNotHideRunner() {
-		this.harness.register(engine(RunnerStart.UNKNOWN, Map.of("lm", 1)), new RunnerInfo("odd", "no-service",
-				"10.0.0.1:80", "hall-a", 16, false, 0, Map.of("lm", 1), 900, RunnerStart.UNKNOWN));
+		this.harness.register(engine(RunnerIncarnation.UNKNOWN, Map.of("lm", 1)), new RunnerInfo("odd", "no-service",
+				"10.0.0.1:80", "hall-a", 16, false, 0, Map.of("lm", 1), 900, RunnerIncarnation.UNKNOWN));
 		assertThat(sendAndGetEffects(), Matchers.equalTo("Send:e1"));
 	}
 
@@ -122,8 +122,8 @@
 	// latest registration, and are answered with status 421.
 	@Test
 	void statusWithoutWeightsOverridesRegistration() {
-		this.harness.register(engine(RunnerStart.UNKNOWN, Map.of("lm", 1)));
-		reportStatus(OptionalInt.empty(), RunnerStart.UNKNOWN);
+		this.harness.register(engine(RunnerIncarnation.UNKNOWN, Map.of("lm", 1)));
+		reportStatus(OptionalInt.empty(), RunnerIncarnation.UNKNOWN);
 		assertThat(sendAndGetEffects(), Matchers.equalTo(""));
 	}
 
@@ -131,20 +131,20 @@
 	// its registration or status changes.
 	@Test
 	void backoffGrowsWithRepeatedMisdirection() {
-		this.harness.register(engine(RunnerStart.UNKNOWN, Map.of("lm", 1)));
+		this.harness.register(engine(RunnerIncarnation.UNKNOWN, Map.of("lm", 1)));
 		int sent = 0;
 		for (int i = 0; i < 100; i++) {
 			Job job = this.harness.arrive(DispatcherHarness.STREAM);
 			if (this.harness.effectNames().contains("Send:e1")) {
 				sent++;
-				this.harness.ended(job, Outcome.MISDIRECTED);
+				this.harness.ended(job, DispatchOutcome.MISDIRECTED);
 			}
-			this.harness.dispatcher.gone(job, this.harness.nowNanos);
+			this.harness.dispatcher.callerDisconnected(job, this.harness.nowNanos);
 			this.harness.effectNames();
 			this.harness.advance(20);
 		}
 		assertThat(sent, Matchers.lessThanOrEqualTo(7));
-		this.harness.register(engine(RunnerStart.UNKNOWN, Map.of("lm", 2)));
+		this.harness.register(engine(RunnerIncarnation.UNKNOWN, Map.of("lm", 2)));
 		assertThat(sendAndGetEffects(), Matchers.equalTo("Send:e1"));
 	}
 
--- a/policy/src/test/java/org/wisteriapost/policy/dispatch/RunnerWayTests.java
+++ b/policy/src/test/java/org/wisteriapost/policy/dispatch/RunnerPathTests.java
@@ -15,11 +15,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.wisteriapost.policy.fleet.NamedWeights;
+import org.wisteriapost.policy.fleet.TargetWeights;
 
 import static org.hamcrest.MatcherAssert.assertThat;
 
-class RunnerWayTests {
+class RunnerPathTests {
 
 	private static final String DELAYED = "delayed";
 
@@ -59,18 +59,18 @@
 	@Test
 	void requestWithStartDeadlineRequiresConfirmedPath() {
 		DispatcherHarness harness = new DispatcherHarness().register(DispatcherHarness.engine("a"));
-		harness.dispatcher.named(new NamedWeights("lm", 1), true, harness.nowNanos);
+		harness.dispatcher.targetWeightsPublished(new TargetWeights("lm", 1), true, harness.nowNanos);
 		harness.advance(10_000);
 		assertThat(nextNeedsNewConnection(harness), Matchers.contains(false));
 		harness.advance(2000);
-		harness.dispatcher.named(new NamedWeights("lm", 2), false, harness.nowNanos);
+		harness.dispatcher.targetWeightsPublished(new TargetWeights("lm", 2), false, harness.nowNanos);
 		harness.advance(3000);
 		assertThat(nextNeedsNewConnection(harness), Matchers.contains(true));
 		assertThat("path recently confirmed", nextNeedsNewConnection(harness), Matchers.contains(false));
 		harness.advance(1000).blockConnections("a");
 		Job job = harness.arrive(DispatcherHarness.STREAM_ONCE);
 		harness.advance(200);
-		harness.ended(job, Outcome.NOT_SENT);
+		harness.ended(job, DispatchOutcome.NOT_SENT);
 		harness.advance(100);
 		assertThat(harness.effectNames(), Matchers.contains("Send:a", "Refuse:no-usable-runner"));
 	}
@@ -84,8 +84,10 @@
 		harness.blockConnections("a").advance(450);
 		harness.drain();
 		harness.arrive(DispatcherHarness.STREAM);
-		assertThat(harness.drain().stream().map((effect) -> ((DispatchEffect.Send) effect).tries()).toList(),
-				Matchers.contains(true));
+		assertThat(harness.drain()
+			.stream()
+			.map((effect) -> ((DispatchEffect.Send) effect).requiresNewConnection())
+			.toList(), Matchers.contains(true));
 		harness.register(DispatcherHarness.engine("b"));
 		for (int i = 0; i < 6; i++) {
 			harness.arrive(DispatcherHarness.STREAM, 100, 6000);
@@ -98,11 +100,11 @@
 	@Test
 	void requestThatMayBeDelayedPastStartDeadlineIsNotSent() {
 		DispatcherHarness harness = new DispatcherHarness().register(DispatcherHarness.engine("a"));
-		harness.dispatcher.named(new NamedWeights("lm", 1), true, harness.nowNanos);
+		harness.dispatcher.targetWeightsPublished(new TargetWeights("lm", 1), true, harness.nowNanos);
 		harness.advance(10_000);
-		harness.dispatcher.named(new NamedWeights("lm", 2), false, harness.nowNanos);
+		harness.dispatcher.targetWeightsPublished(new TargetWeights("lm", 2), false, harness.nowNanos);
 		harness.advance(2000);
-		harness.dispatcher.gone(harness.arrive(DispatcherHarness.STREAM), harness.nowNanos);
+		harness.dispatcher.callerDisconnected(harness.arrive(DispatcherHarness.STREAM), harness.nowNanos);
 		harness.advance(1500);
 		assertThat("enough time before the deadline", nextNeedsNewConnection(harness, false), Matchers.contains(true));
 		harness.advance(1200);
@@ -119,9 +121,9 @@
 	void nothingIsSentWhileEchoesAreMissing() {
 		DispatcherHarness harness = new DispatcherHarness().register(DispatcherHarness.engine("a"),
 				DispatcherHarness.engine("b"));
-		harness.dispatcher.named(new NamedWeights("lm", 1), true, harness.nowNanos);
+		harness.dispatcher.targetWeightsPublished(new TargetWeights("lm", 1), true, harness.nowNanos);
 		harness.advance(10_000);
-		harness.dispatcher.named(new NamedWeights("lm", 2), false, harness.nowNanos);
+		harness.dispatcher.targetWeightsPublished(new TargetWeights("lm", 2), false, harness.nowNanos);
 		advanceWithEchoes(harness, 1000, "a", "b");
 		harness.drain();
 		harness.arrive(DispatcherHarness.STREAM, 100, 6000);
@@ -148,15 +150,18 @@
 		DispatcherHarness harness = new DispatcherHarness().register(DispatcherHarness.engine("a"));
 		harness.arrive(DispatcherHarness.STREAM);
 		harness.advance(450);
-		assertThat(harness.dispatcher.ways().toAsk(harness.nowNanos),
+		assertThat(harness.dispatcher.runnerPaths().runnersToProbe(harness.nowNanos),
 				Matchers.contains(DispatcherHarness.engine("a").address()));
-		harness.dispatcher.ways().echoed(DispatcherHarness.engine("a").address(), harness.nowNanos, harness.nowNanos);
-		assertThat(harness.dispatcher.ways().toAsk(harness.nowNanos), Matchers.empty());
+		harness.dispatcher.runnerPaths()
+			.echoReceived(DispatcherHarness.engine("a").address(), harness.nowNanos, harness.nowNanos);
+		assertThat(harness.dispatcher.runnerPaths().runnersToProbe(harness.nowNanos), Matchers.empty());
 		harness.drain();
 		harness.arrive(DispatcherHarness.STREAM);
 		harness.advance(130).arrive(DispatcherHarness.STREAM);
-		assertThat(harness.drain().stream().map((effect) -> ((DispatchEffect.Send) effect).tries()).toList(),
-				Matchers.contains(false, false));
+		assertThat(harness.drain()
+			.stream()
+			.map((effect) -> ((DispatchEffect.Send) effect).requiresNewConnection())
+			.toList(), Matchers.contains(false, false));
 	}
 
 	// Plain services have varying response times.
@@ -182,7 +187,8 @@
 		harness.arrive(DispatcherHarness.STREAM);
 		assertThat(harness.effectNames(), Matchers.contains("Send:a"));
 		harness.advance(20);
-		harness.dispatcher.ways().echoed(DispatcherHarness.engine("a").address(), harness.nowNanos, harness.nowNanos);
+		harness.dispatcher.runnerPaths()
+			.echoReceived(DispatcherHarness.engine("a").address(), harness.nowNanos, harness.nowNanos);
 		harness.advance(20);
 		assertThat(harness.effectNames(), Matchers.contains("Send:a"));
 	}
@@ -193,7 +199,7 @@
 				DispatcherHarness.plain("p"));
 		harness.arrive(DispatcherHarness.STREAM);
 		harness.advance(100);
-		assertThat(harness.dispatcher.ways().toAsk(harness.nowNanos), Matchers.empty());
+		assertThat(harness.dispatcher.runnerPaths().runnersToProbe(harness.nowNanos), Matchers.empty());
 	}
 
 	// Failure: the usual response time of a plain service is taken for a blocked path,
@@ -207,13 +213,13 @@
 			running.add(harness.arrive(DispatcherHarness.SLOW));
 			harness.advance(200);
 			if (running.size() > 4) {
-				harness.ended(running.remove(), Outcome.DONE);
+				harness.ended(running.remove(), DispatchOutcome.DONE);
 			}
 		}
 		List<DispatchEffect> effects = harness.drain();
 		assertThat(effects, Matchers.everyItem(Matchers.instanceOf(DispatchEffect.Send.class)));
 		assertThat(effects, Matchers.hasSize(40));
-		assertThat(effects.stream().filter((effect) -> ((DispatchEffect.Send) effect).tries()).toList(),
+		assertThat(effects.stream().filter((effect) -> ((DispatchEffect.Send) effect).requiresNewConnection()).toList(),
 				Matchers.empty());
 	}
 
@@ -222,19 +228,19 @@
 	@Test
 	void engineIsUsedAfterItsAgentEnds() {
 		DispatcherHarness harness = new DispatcherHarness().register(DispatcherHarness.engine("a"));
-		harness.dispatcher.named(new NamedWeights("lm", 1), true, harness.nowNanos);
+		harness.dispatcher.targetWeightsPublished(new TargetWeights("lm", 1), true, harness.nowNanos);
 		harness.advance(10_000);
-		harness.dispatcher.named(new NamedWeights("lm", 2), false, harness.nowNanos);
+		harness.dispatcher.targetWeightsPublished(new TargetWeights("lm", 2), false, harness.nowNanos);
 		advanceWithEchoes(harness, 500, "a");
 		harness.drain();
-		harness.dispatcher.ways().agentGone(DispatcherHarness.engine("a").address());
+		harness.dispatcher.runnerPaths().agentDisconnected(DispatcherHarness.engine("a").address());
 		for (int i = 0; i < 5; i++) {
 			advanceWithEchoes(harness, 1000);
 			Job job = harness.arrive(DispatcherHarness.STREAM, 100, 6000);
 			advanceWithEchoes(harness, 100);
 			if (job.runner.isPresent()) {
 				harness.firstEvent(job);
-				harness.ended(job, Outcome.DONE);
+				harness.ended(job, DispatchOutcome.DONE);
 			}
 		}
 		assertThat(harness.effectNames(), Matchers.everyItem(Matchers.equalTo("Send:a")));
@@ -244,7 +250,7 @@
 	// under load get too few requests and callers are refused while slots are empty.
 	@ParameterizedTest
 	@ValueSource(longs = { 500, 800, 1200 })
-	void anEngineWhoseAgentSendsNoStampsBackGetsItsSlotsWhenItIsSlow(long firstEventMillis) {
+	void slowEngineWithoutEchoesIsNotThrottled(long firstEventMillis) {
 		long withEchoes = countSent(firstEventMillis, true);
 		long withoutEchoes = countSent(firstEventMillis, false);
 		assertThat("of " + withEchoes + " sent with echoes, without", withoutEchoes,
@@ -259,9 +265,9 @@
 			if (at % 100 == 0) {
 				running
 					.add(harness.arrive(DispatcherHarness.STREAM, new Job.Size(300, 100, OptionalInt.empty()), 6000));
-				harness.dispatcher.ways().toAsk(harness.nowNanos).forEach((address) -> {
+				harness.dispatcher.runnerPaths().runnersToProbe(harness.nowNanos).forEach((address) -> {
 					if (echoes) {
-						harness.dispatcher.ways().echoed(address, harness.nowNanos, harness.nowNanos);
+						harness.dispatcher.runnerPaths().echoReceived(address, harness.nowNanos, harness.nowNanos);
 					}
 				});
 			}
@@ -272,7 +278,7 @@
 					running.remove(job);
 				}
 				else if (job.runner.isPresent() && waited >= firstEventMillis + 500) {
-					harness.ended(job, Outcome.DONE);
+					harness.ended(job, DispatchOutcome.DONE);
 					running.remove(job);
 				}
 				else if (job.runner.isPresent() && waited >= firstEventMillis && !job.firstEventSent) {
@@ -284,20 +290,20 @@
 	}
 
 	private static List<String> pathChanges(DispatcherHarness harness) {
-		return harness.dispatcher.ways()
-			.changes(harness.nowNanos)
+		return harness.dispatcher.runnerPaths()
+			.pollChanges(harness.nowNanos)
 			.stream()
-			.map((change) -> (change.closed() ? "blocked " : "open ") + change.address())
+			.map((change) -> (change.blocked() ? "blocked " : "open ") + change.address())
 			.toList();
 	}
 
 	private static void advanceWithEchoes(DispatcherHarness harness, long millis, String... engines) {
 		for (long at = 0; at < millis; at += 100) {
 			harness.advance(100);
-			harness.dispatcher.ways().toAsk(harness.nowNanos);
+			harness.dispatcher.runnerPaths().runnersToProbe(harness.nowNanos);
 			for (String engine : engines) {
-				harness.dispatcher.ways()
-					.echoed(DispatcherHarness.engine(engine).address(), harness.nowNanos, harness.nowNanos);
+				harness.dispatcher.runnerPaths()
+					.echoReceived(DispatcherHarness.engine(engine).address(), harness.nowNanos, harness.nowNanos);
 			}
 		}
 	}
@@ -311,14 +317,14 @@
 		Job job = harness.arrive(DispatcherHarness.STREAM);
 		List<Boolean> required = harness.drain()
 			.stream()
-			.map((effect) -> ((DispatchEffect.Send) effect).tries())
+			.map((effect) -> ((DispatchEffect.Send) effect).requiresNewConnection())
 			.toList();
 		if (answered) {
 			harness.firstEvent(job);
-			harness.ended(job, Outcome.DONE);
+			harness.ended(job, DispatchOutcome.DONE);
 		}
 		else {
-			harness.dispatcher.gone(job, harness.nowNanos);
+			harness.dispatcher.callerDisconnected(job, harness.nowNanos);
 		}
 		return required;
 	}
@@ -379,10 +385,10 @@
 		// The earlier streams keep emitting events and end one after the other.
 		private void advance(long atMillis) {
 			for (Job job : this.earlierStreams) {
-				job.progressed(1, Optional.of("2"), this.harness.nowNanos);
+				job.recordEvents(1, Optional.of("2"), this.harness.nowNanos);
 			}
 			if (atMillis >= FIRST_STREAM_END_MILLIS && !this.earlierStreams.isEmpty()) {
-				this.harness.ended(this.earlierStreams.removeFirst(), Outcome.DONE);
+				this.harness.ended(this.earlierStreams.removeFirst(), DispatchOutcome.DONE);
 			}
 		}
 
@@ -393,9 +399,9 @@
 		private void recordSends(long atNanos) {
 			for (DispatchEffect effect : this.harness.drain()) {
 				if (effect instanceof DispatchEffect.Send send) {
-					this.sent
-						.add(new Sent(send.runner().id(), send.tries(), atNanos / DispatcherHarness.NANOS_PER_MILLI));
-					if (send.tries()) {
+					this.sent.add(new Sent(send.runner().id(), send.requiresNewConnection(),
+							atNanos / DispatcherHarness.NANOS_PER_MILLI));
+					if (send.requiresNewConnection()) {
 						this.probes.add(send.job());
 					}
 				}
@@ -406,17 +412,17 @@
 			long waited = (this.harness.nowNanos - job.sentNanos()) / DispatcherHarness.NANOS_PER_MILLI;
 			if (isDelayed(job) && this.probes.contains(job) && waited >= CONNECT_MILLIS) {
 				this.probes.remove(job);
-				this.harness.ended(job, Outcome.NOT_SENT);
+				this.harness.ended(job, DispatchOutcome.NOT_SENT);
 			}
 			if (job.finished || job.runner.isEmpty() || isDelayed(job)) {
 				return;
 			}
 			if (waited >= ANSWER_MILLIS) {
-				this.harness.ended(job, Outcome.DONE);
+				this.harness.ended(job, DispatchOutcome.DONE);
 			}
 			else if (waited >= FIRST_EVENT_MILLIS
-					&& !Integer.valueOf(job.dispatch()).equals(this.firstEventDispatches.get(job))) {
-				this.firstEventDispatches.put(job, job.dispatch());
+					&& !Integer.valueOf(job.dispatchNumber()).equals(this.firstEventDispatches.get(job))) {
+				this.firstEventDispatches.put(job, job.dispatchNumber());
 				this.harness.firstEvent(job);
 			}
 		}
--- a/policy/src/test/java/org/wisteriapost/policy/dispatch/RunnerSubsetTests.java
+++ b/policy/src/test/java/org/wisteriapost/policy/dispatch/RunnerSubsetTests.java
@@ -30,7 +30,7 @@
 	void selectsOwnFailureDomainAndFewOfEachOther(int failureDomains, int each, int expected) {
 		List<RunnerState> chosen = new RunnerSubset("hall-0", 7).select(engines(failureDomains, each));
 		assertThat(chosen, Matchers.hasSize(expected));
-		long local = chosen.stream().filter((state) -> state.info.place().equals("hall-0")).count();
+		long local = chosen.stream().filter((state) -> state.info.failureDomain().equals("hall-0")).count();
 		assertThat(local, Matchers.equalTo((long) each));
 	}
 
@@ -44,7 +44,7 @@
 		for (int salt = 1; salt <= 10; salt++) {
 			new RunnerSubset("hall-0", salt * 7919L).select(engines)
 				.stream()
-				.filter((state) -> !state.info.place().equals("hall-0"))
+				.filter((state) -> !state.info.failureDomain().equals("hall-0"))
 				.forEach((state) -> selected.merge(state.info.id(), 1, Integer::sum));
 		}
 		assertThat(selected.size(), Matchers.greaterThan(60));
@@ -83,7 +83,7 @@
 			.stream()
 			.filter((one) -> one.startsWith("Send"))
 			.forEach((one) -> selected.add(one.substring(5)));
-		selected.forEach((id) -> harness.dispatcher.runnerUnusable(id));
+		selected.forEach((id) -> harness.dispatcher.removeUnusableRunner(id));
 		harness.arrive(DispatcherHarness.STREAM);
 		assertThat(harness.effectNames().getFirst(), Matchers.startsWith("Send:"));
 	}
--- a/policy/src/test/java/org/wisteriapost/policy/dispatch/UnreachableRunnerTests.java
+++ b/policy/src/test/java/org/wisteriapost/policy/dispatch/UnreachableRunnerTests.java
@@ -2,7 +2,7 @@
 
 import org.hamcrest.Matchers;
 import org.junit.jupiter.api.Test;
-import org.wisteriapost.policy.fleet.NamedWeights;
+import org.wisteriapost.policy.fleet.TargetWeights;
 
 import static org.hamcrest.MatcherAssert.assertThat;
 
@@ -23,9 +23,9 @@
 		Job failing = harness.arrive(DispatcherHarness.STREAM);
 		harness.advance(400);
 		harness.register(DispatcherHarness.engine("b"));
-		harness.ended(failing, Outcome.NOT_SENT);
+		harness.ended(failing, DispatchOutcome.NOT_SENT);
 		harness.advance(40);
-		harness.ended(old, Outcome.DONE);
+		harness.ended(old, DispatchOutcome.DONE);
 		harness.effectNames();
 		for (int i = 0; i < 12; i++) {
 			harness.arrive(DispatcherHarness.STREAM, 100, 6000);
@@ -39,14 +39,14 @@
 	@Test
 	void firstEventOfProbeReinstatesUnreachableRunner() {
 		DispatcherHarness harness = new DispatcherHarness().register(DispatcherHarness.engine("a"));
-		harness.ended(harness.arrive(DispatcherHarness.STREAM), Outcome.NOT_SENT);
+		harness.ended(harness.arrive(DispatcherHarness.STREAM), DispatchOutcome.NOT_SENT);
 		harness.advance(500);
 		harness.effectNames();
 		Job probe = harness.arrive(DispatcherHarness.STREAM);
 		assertThat(harness.effectNames(), Matchers.contains("Send:a"));
 		harness.advance(FIRST_EVENT_MILLIS);
 		harness.register(DispatcherHarness.engine("b"));
-		harness.reportPeerLoad("b", new PeerLoad(6, 3, 3000));
+		harness.reportPeerLoad("b", new InFlightLoad(6, 3, 3000));
 		harness.firstEvent(probe);
 		harness.arrive(DispatcherHarness.STREAM);
 		assertThat(harness.effectNames(), Matchers.contains("Send:a"));
@@ -60,7 +60,7 @@
 		Job failing = harness.arrive(DispatcherHarness.STREAM_ONCE);
 		harness.advance(400);
 		harness.register(DispatcherHarness.engine("b"));
-		harness.ended(failing, Outcome.NOT_SENT);
+		harness.ended(failing, DispatchOutcome.NOT_SENT);
 		harness.advance(FIRST_EVENT_MILLIS);
 		harness.firstEvent(failing);
 		harness.advance(740);
@@ -76,7 +76,7 @@
 		DispatcherHarness harness = delayedDuringWeightsSwitch();
 		Job failing = harness.arrive(DispatcherHarness.STREAM_ONCE);
 		harness.advance(400);
-		harness.ended(failing, Outcome.NOT_SENT);
+		harness.ended(failing, DispatchOutcome.NOT_SENT);
 		harness.advance(900);
 		harness.effectNames();
 		harness.arrive(DispatcherHarness.STREAM);
@@ -97,11 +97,11 @@
 		harness.firstEvent(running);
 		Job next = harness.arrive(DispatcherHarness.STREAM);
 		while (!next.runner.orElseThrow().info.id().equals(failing)) {
-			harness.ended(next, Outcome.DONE);
+			harness.ended(next, DispatchOutcome.DONE);
 			next = harness.arrive(DispatcherHarness.STREAM);
 		}
-		harness.ended(next, Outcome.NOT_SENT);
-		harness.dispatcher.runnerRemoved(failing, harness.nowNanos);
+		harness.ended(next, DispatchOutcome.NOT_SENT);
+		harness.dispatcher.registrationRemoved(failing, harness.nowNanos);
 		harness.advance(150);
 		harness.register(DispatcherHarness.engine(failing));
 		harness.drain();
@@ -111,18 +111,22 @@
 		assertThat(harness.effectNames(),
 				Matchers.allOf(Matchers.hasItem("Send:" + other), Matchers.not(Matchers.hasItem("Send:" + failing))));
 		assertThat(
-				harness.dispatcher.fleet().ownLoad().stream().filter((load) -> load.runner().equals(failing)).toList(),
-				Matchers.contains(
-						new RunnerLoad(failing, DispatcherHarness.engine(failing).start(), new PeerLoad(1, 0, 0))));
+				harness.dispatcher.fleetView()
+					.ownLoad()
+					.stream()
+					.filter((load) -> load.runnerId().equals(failing))
+					.toList(),
+				Matchers.contains(new RunnerLoad(failing, DispatcherHarness.engine(failing).incarnation(),
+						new InFlightLoad(1, 0, 0))));
 	}
 
 	// The target version was published 4.5 s ago, and one request has waited at the only
 	// engine for one second.
 	private static DispatcherHarness delayedDuringWeightsSwitch() {
 		DispatcherHarness harness = new DispatcherHarness().register(DispatcherHarness.engine("a"));
-		harness.dispatcher.named(new NamedWeights("lm", 1), true, harness.nowNanos);
+		harness.dispatcher.targetWeightsPublished(new TargetWeights("lm", 1), true, harness.nowNanos);
 		harness.advance(10_000);
-		harness.dispatcher.named(new NamedWeights("lm", 2), false, harness.nowNanos);
+		harness.dispatcher.targetWeightsPublished(new TargetWeights("lm", 2), false, harness.nowNanos);
 		harness.advance(3500);
 		harness.arrive(DispatcherHarness.STREAM_ONCE);
 		harness.advance(500).advance(500);
--- a/policy/src/test/java/org/wisteriapost/policy/dispatch/WeightsFenceTests.java
+++ b/policy/src/test/java/org/wisteriapost/policy/dispatch/WeightsFenceTests.java
@@ -6,9 +6,9 @@
 
 import org.hamcrest.Matchers;
 import org.junit.jupiter.api.Test;
-import org.wisteriapost.policy.fleet.NamedWeights;
+import org.wisteriapost.policy.fleet.RunnerIncarnation;
 import org.wisteriapost.policy.fleet.RunnerInfo;
-import org.wisteriapost.policy.fleet.RunnerStart;
+import org.wisteriapost.policy.fleet.TargetWeights;
 
 import static org.hamcrest.MatcherAssert.assertThat;
 
@@ -21,8 +21,8 @@
 	// A newer target does not affect when an earlier one is required.
 	@Test
 	void eachVersionIsRequiredAfterItsOwnDelay() {
-		this.fence.addTarget(new NamedWeights("lm", 1), false, 0);
-		this.fence.addTarget(new NamedWeights("lm", 2), false, 20 * SECOND);
+		this.fence.addTarget(new TargetWeights("lm", 1), false, 0);
+		this.fence.addTarget(new TargetWeights("lm", 2), false, 20 * SECOND);
 		assertThat(this.fence.requiredVersion("lm", 22 * SECOND), Matchers.equalTo(OptionalInt.of(1)));
 		assertThat(this.fence.requiredVersion("lm", 27 * SECOND), Matchers.equalTo(OptionalInt.of(2)));
 	}
@@ -31,8 +31,8 @@
 	// that engines on the first one get requests after the promised time.
 	@Test
 	void newerTargetDoesNotDelayEarlierTarget() {
-		this.fence.addTarget(new NamedWeights("lm", 2), false, 20 * SECOND);
-		this.fence.addTarget(new NamedWeights("lm", 3), false, 23 * SECOND);
+		this.fence.addTarget(new TargetWeights("lm", 2), false, 20 * SECOND);
+		this.fence.addTarget(new TargetWeights("lm", 3), false, 23 * SECOND);
 		assertThat(this.fence.requiredVersion("lm", 22 * SECOND), Matchers.equalTo(OptionalInt.empty()));
 		assertThat(this.fence.requiredVersion("lm", 27 * SECOND), Matchers.equalTo(OptionalInt.of(2)));
 		assertThat(this.fence.requiredVersion("lm", 30 * SECOND), Matchers.equalTo(OptionalInt.of(3)));
@@ -40,24 +40,25 @@
 
 	@Test
 	void targetFoundAtStartupIsRequiredSoon() {
-		this.fence.addTarget(new NamedWeights("lm", 2), true, 20 * SECOND);
+		this.fence.addTarget(new TargetWeights("lm", 2), true, 20 * SECOND);
 		assertThat(this.fence.requiredVersion("lm", 23 * SECOND), Matchers.equalTo(OptionalInt.of(2)));
 	}
 
 	@Test
 	void olderTargetIsIgnored() {
-		this.fence.addTarget(new NamedWeights("lm", 3), false, 0);
-		this.fence.addTarget(new NamedWeights("lm", 2), false, SECOND);
+		this.fence.addTarget(new TargetWeights("lm", 3), false, 0);
+		this.fence.addTarget(new TargetWeights("lm", 2), false, SECOND);
 		assertThat(this.fence.requiredVersion("lm", 20 * SECOND), Matchers.equalTo(OptionalInt.of(3)));
 	}
 
 	@Test
 	void engineOnOlderVersionGetsNoRequestsOnceTargetIsRequired() {
-		DispatcherHarness harness = new DispatcherHarness().register(DispatcherHarness.engine("old"), new RunnerInfo(
-				"new", "lm-notice", "10.0.0.9:80", "hall-a", 16, false, 0, Map.of("lm", 2), 0, RunnerStart.UNKNOWN));
-		harness.dispatcher.named(new NamedWeights("lm", 1), true, harness.nowNanos);
+		DispatcherHarness harness = new DispatcherHarness().register(DispatcherHarness.engine("old"),
+				new RunnerInfo("new", "lm-notice", "10.0.0.9:80", "hall-a", 16, false, 0, Map.of("lm", 2), 0,
+						RunnerIncarnation.UNKNOWN));
+		harness.dispatcher.targetWeightsPublished(new TargetWeights("lm", 1), true, harness.nowNanos);
 		harness.advance(10_000);
-		harness.dispatcher.named(new NamedWeights("lm", 2), false, harness.nowNanos);
+		harness.dispatcher.targetWeightsPublished(new TargetWeights("lm", 2), false, harness.nowNanos);
 		harness.advance(7000);
 		for (int i = 0; i < 10; i++) {
 			harness.arrive(DispatcherHarness.STREAM);
@@ -67,13 +68,13 @@
 
 	private static DispatcherHarness withOlderWeights() {
 		DispatcherHarness harness = new DispatcherHarness().register(DispatcherHarness.engine("old"));
-		harness.dispatcher.named(new NamedWeights("lm", 1), true, harness.nowNanos);
+		harness.dispatcher.targetWeightsPublished(new TargetWeights("lm", 1), true, harness.nowNanos);
 		return harness.advance(10_000);
 	}
 
 	private static RunnerInfo engineWithTargetWeights() {
 		return new RunnerInfo("new", "lm-notice", "10.0.0.9:80", "hall-a", 16, false, 0, Map.of("lm", 2), 0,
-				RunnerStart.UNKNOWN);
+				RunnerIncarnation.UNKNOWN);
 	}
 
 	// Failure: in a burst, requests sent within the default margin wait 1.3 s at the
@@ -81,7 +82,7 @@
 	@Test
 	void marginGrowsWithObservedWait() {
 		DispatcherHarness harness = withOlderWeights();
-		harness.dispatcher.named(new NamedWeights("lm", 2), false, harness.nowNanos);
+		harness.dispatcher.targetWeightsPublished(new TargetWeights("lm", 2), false, harness.nowNanos);
 		harness.advance(4300);
 		Job slow = harness.arrive(DispatcherHarness.STREAM);
 		harness.advance(900).advance(400);
@@ -99,10 +100,10 @@
 	@Test
 	void waitOfLateRequestsDoesNotRestrictOthers() {
 		DispatcherHarness harness = withOlderWeights();
-		harness.dispatcher.named(new NamedWeights("lm", 2), false, harness.nowNanos);
+		harness.dispatcher.targetWeightsPublished(new TargetWeights("lm", 2), false, harness.nowNanos);
 		harness.advance(4900);
 		harness.dispatcher
-			.peerRefused(new RefusedRequest(7, harness.nowNanos - 2000 * DispatcherHarness.NANOS_PER_MILLI,
+			.recordPeerRefusal(new RefusedRequest(7, harness.nowNanos - 2000 * DispatcherHarness.NANOS_PER_MILLI,
 					harness.nowNanos + 4000 * DispatcherHarness.NANOS_PER_MILLI));
 		Job late = harness.arrive(DispatcherHarness.STREAM, new Job.Size(1000, 100, OptionalInt.empty()), 4000,
 				java.util.OptionalLong.of(7));
@@ -121,7 +122,7 @@
 	@Test
 	void requestThatMissesStartDeadlineIsRetriedElsewhere() {
 		DispatcherHarness harness = withOlderWeights();
-		harness.dispatcher.named(new NamedWeights("lm", 2), false, harness.nowNanos);
+		harness.dispatcher.targetWeightsPublished(new TargetWeights("lm", 2), false, harness.nowNanos);
 		harness.advance(6750);
 		harness.arrive(DispatcherHarness.STREAM);
 		assertThat(harness.effectNames(), Matchers.contains("Send:old"));
@@ -136,7 +137,7 @@
 	@Test
 	void nonRepeatableRequestThatMissesStartDeadlineFails() {
 		DispatcherHarness harness = withOlderWeights();
-		harness.dispatcher.named(new NamedWeights("lm", 2), false, harness.nowNanos);
+		harness.dispatcher.targetWeightsPublished(new TargetWeights("lm", 2), false, harness.nowNanos);
 		harness.advance(6750);
 		harness.arrive(DispatcherHarness.STREAM_ONCE);
 		harness.effectNames();
@@ -151,12 +152,12 @@
 	@Test
 	void requestAtEngineThatHasSwitchedIsNotCancelled() {
 		DispatcherHarness harness = withOlderWeights();
-		harness.dispatcher.named(new NamedWeights("lm", 2), false, harness.nowNanos);
+		harness.dispatcher.targetWeightsPublished(new TargetWeights("lm", 2), false, harness.nowNanos);
 		harness.advance(6750);
 		harness.arrive(DispatcherHarness.STREAM);
 		harness.effectNames();
-		harness.dispatcher.agentSays(DispatcherHarness.engine("old").address(),
-				new EngineWord(OptionalInt.of(2), false, java.util.OptionalLong.empty(), RunnerStart.UNKNOWN),
+		harness.dispatcher.updateEngineStatus(DispatcherHarness.engine("old").address(),
+				new EngineStatus(OptionalInt.of(2), false, java.util.OptionalLong.empty(), RunnerIncarnation.UNKNOWN),
 				harness.nowNanos);
 		for (int i = 0; i < 58; i++) {
 			harness.advance(20);
@@ -169,17 +170,17 @@
 	@Test
 	void brokenStreamIsNotResumedOnSupersededWeights() {
 		DispatcherHarness harness = withOlderWeights().register(DispatcherHarness.engine("old-too"));
-		harness.dispatcher.named(new NamedWeights("lm", 2), false, harness.nowNanos);
+		harness.dispatcher.targetWeightsPublished(new TargetWeights("lm", 2), false, harness.nowNanos);
 		harness.advance(5000);
 		Job job = harness.arrive(DispatcherHarness.STREAM);
-		job.begunOn(OptionalInt.of(1));
+		job.recordWeightsVersion(OptionalInt.of(1));
 		harness.firstEvent(job);
 		harness.effectNames();
 		for (int i = 0; i < 10; i++) {
 			harness.advance(200);
-			job.progressed(1, java.util.Optional.of("2"), harness.nowNanos);
+			job.recordEvents(1, java.util.Optional.of("2"), harness.nowNanos);
 		}
-		harness.ended(job, Outcome.BROKEN);
+		harness.ended(job, DispatchOutcome.BROKEN);
 		for (int i = 0; i < 20; i++) {
 			harness.advance(20);
 		}
--- a/policy/src/test/java/org/wisteriapost/policy/dispatch/WeightsSwitchTests.java
+++ b/policy/src/test/java/org/wisteriapost/policy/dispatch/WeightsSwitchTests.java
@@ -8,8 +8,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.wisteriapost.policy.fleet.RunnerIncarnation;
 import org.wisteriapost.policy.fleet.RunnerInfo;
-import org.wisteriapost.policy.fleet.RunnerStart;
 
 import static org.hamcrest.MatcherAssert.assertThat;
 
@@ -22,10 +22,10 @@
 	private final DispatcherHarness harness = new DispatcherHarness().register(this.switching, this.serving);
 
 	private void scheduleSwitch(RunnerInfo engine, long inMillis) {
-		this.harness.dispatcher.agentSays(engine.address(),
-				new EngineWord(OptionalInt.of(1), false,
+		this.harness.dispatcher.updateEngineStatus(engine.address(),
+				new EngineStatus(OptionalInt.of(1), false,
 						OptionalLong.of(this.harness.nowNanos + inMillis * DispatcherHarness.NANOS_PER_MILLI),
-						RunnerStart.UNKNOWN),
+						RunnerIncarnation.UNKNOWN),
 				this.harness.nowNanos);
 	}
 
@@ -39,7 +39,7 @@
 	@ParameterizedTest
 	@CsvSource({ "20,Send:e1", "250,Send:e2" })
 	void engineGetsOnlyRequestsThatEndBeforeItsSwitch(int answerTokens, String sent) {
-		this.harness.reportPeerLoad("e2", new PeerLoad(8, 2, 2000));
+		this.harness.reportPeerLoad("e2", new InFlightLoad(8, 2, 2000));
 		scheduleSwitch(this.switching, 900);
 		assertThat(arrive(answerTokens), Matchers.contains(sent));
 	}
@@ -55,10 +55,10 @@
 	@Test
 	void engineGetsLongResponsesAfterItsSwitch() {
 		scheduleSwitch(this.switching, 300);
-		this.harness.dispatcher.agentSays(this.switching.address(),
-				new EngineWord(OptionalInt.of(2), false, OptionalLong.empty(), RunnerStart.UNKNOWN),
+		this.harness.dispatcher.updateEngineStatus(this.switching.address(),
+				new EngineStatus(OptionalInt.of(2), false, OptionalLong.empty(), RunnerIncarnation.UNKNOWN),
 				this.harness.nowNanos);
-		this.harness.reportPeerLoad("e2", new PeerLoad(8, 2, 2000));
+		this.harness.reportPeerLoad("e2", new InFlightLoad(8, 2, 2000));
 		assertThat(arrive(250), Matchers.contains("Send:e1"));
 	}
 
--- a/policy/src/test/java/org/wisteriapost/policy/fleet/EntryLinksTests.java
+++ b/policy/src/test/java/org/wisteriapost/policy/fleet/EntryLinksTests.java
@@ -38,7 +38,7 @@
 			for (int i = 0; i < perDomain; i++) {
 				String id = "engine-" + domain + "-" + i;
 				engines.add(new RunnerInfo(id, "lm", "10." + domain + ".0." + i + ":80", "hall-" + domain, 8, false, 0,
-						Map.of(), 1, RunnerStart.UNKNOWN));
+						Map.of(), 1, RunnerIncarnation.UNKNOWN));
 			}
 		}
 		return engines;
@@ -55,7 +55,7 @@
 	void linksOutsideAFailureDomainAreBounded(int domains, int perDomain, int maxLinks) {
 		List<EntryInfo> all = entries(domains, perDomain);
 		for (EntryInfo self : all.subList(0, perDomain)) {
-			assertThat(EntryLinks.choose(self, others(all, self)).size(), Matchers.lessThanOrEqualTo(maxLinks));
+			assertThat(EntryLinks.select(self, others(all, self)).size(), Matchers.lessThanOrEqualTo(maxLinks));
 		}
 	}
 
@@ -64,7 +64,7 @@
 		List<EntryInfo> all = entries(5, 10);
 		for (EntryInfo self : all) {
 			Set<String> domains = new HashSet<>();
-			EntryLinks.choose(self, others(all, self)).forEach((info) -> domains.add(info.place()));
+			EntryLinks.select(self, others(all, self)).forEach((info) -> domains.add(info.failureDomain()));
 			assertThat(domains, Matchers.hasSize(5));
 		}
 	}
@@ -73,10 +73,10 @@
 	void removingAnEntryChangesNoOtherLinks() {
 		List<EntryInfo> all = entries(5, 10);
 		EntryInfo self = all.getFirst();
-		Set<EntryInfo> before = new HashSet<>(EntryLinks.choose(self, others(all, self)));
+		Set<EntryInfo> before = new HashSet<>(EntryLinks.select(self, others(all, self)));
 		EntryInfo removed = all.get(15);
 		List<EntryInfo> rest = others(others(all, self), removed);
-		Set<EntryInfo> after = new HashSet<>(EntryLinks.choose(self, rest));
+		Set<EntryInfo> after = new HashSet<>(EntryLinks.select(self, rest));
 		before.removeAll(after);
 		assertThat(before, Matchers.anyOf(Matchers.empty(), Matchers.equalTo(Set.of(removed))));
 	}
@@ -86,7 +86,8 @@
 			",10,true,50" })
 	void callersGetLocalEntriesWhileThereAreEnough(String domain, int perDomain, boolean scopedByDomain, int expected) {
 		List<EntryInfo> all = entries(5, perDomain);
-		assertThat(CallerEntries.choose(all, Optional.ofNullable(domain), scopedByDomain), Matchers.hasSize(expected));
+		assertThat(AdvertisedEntries.select(all, Optional.ofNullable(domain), scopedByDomain),
+				Matchers.hasSize(expected));
 	}
 
 	// Each agent gets the list of its peers from two entries of its own failure domain,
@@ -101,10 +102,10 @@
 			.toList();
 		Map<String, Integer> senders = new HashMap<>();
 		for (EntryInfo self : live) {
-			AgentDuty assignment = AgentDuty.of(self);
-			assignment.linked(engines(5, 22), others(all, self))
+			AgentAssignment assignment = AgentAssignment.of(self);
+			assignment.linkedEngines(engines(5, 22), others(all, self))
 				.stream()
-				.filter((engine) -> assignment.tells(engine, others(live, self)))
+				.filter((engine) -> assignment.sendsPeerList(engine, others(live, self)))
 				.forEach((engine) -> senders.merge(engine.id(), 1, Integer::sum));
 		}
 		assertThat(senders.size(), Matchers.equalTo(110));
@@ -115,14 +116,16 @@
 	// entries their agents would not receive new target weights versions.
 	@Test
 	void agentsOfAFailureDomainWithoutEntriesAreTakenOverByOthers() {
-		List<EntryInfo> rest = entries(5, 10).stream().filter((info) -> !info.place().equals("hall-4")).toList();
+		List<EntryInfo> rest = entries(5, 10).stream()
+			.filter((info) -> !info.failureDomain().equals("hall-4"))
+			.toList();
 		Map<String, Integer> senders = new HashMap<>();
 		for (EntryInfo self : rest) {
-			AgentDuty assignment = AgentDuty.of(self);
-			assignment.linked(engines(5, 22), others(rest, self))
+			AgentAssignment assignment = AgentAssignment.of(self);
+			assignment.linkedEngines(engines(5, 22), others(rest, self))
 				.stream()
-				.filter((engine) -> engine.place().equals("hall-4"))
-				.filter((engine) -> assignment.tells(engine, others(rest, self)))
+				.filter((engine) -> engine.failureDomain().equals("hall-4"))
+				.filter((engine) -> assignment.sendsPeerList(engine, others(rest, self)))
 				.forEach((engine) -> senders.merge(engine.id(), 1, Integer::sum));
 		}
 		assertThat(senders.size(), Matchers.equalTo(22));
--- a/policy/src/test/java/org/wisteriapost/policy/fleet/StoreDutyTests.java
+++ b/policy/src/test/java/org/wisteriapost/policy/fleet/StoreRoleTests.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.wisteriapost.policy.fleet.StoreDuty.Step;
+import org.wisteriapost.policy.fleet.StoreRole.Step;
 
 import static org.hamcrest.MatcherAssert.assertThat;
 
@@ -22,7 +22,7 @@
  * followers must not keep using its last state: callers would be sent to runners that
  * have left, and refused for routes that exist.
  */
-class StoreDutyTests {
+class StoreRoleTests {
 
 	private static final long MILLI = 1_000_000;
 
@@ -48,7 +48,7 @@
 		String leader = this.group.readers().iterator().next();
 		this.group.resumedReads = 0;
 		this.group.lose(leader, loss);
-		this.group.run(StoreDuty.LEADER_TIMEOUT_MILLIS + 200);
+		this.group.run(StoreRole.LEADER_TIMEOUT_MILLIS + 200);
 		assertThat(this.group.withoutLeader(leader), Matchers.empty());
 		this.group.run(5000);
 		Set<String> readers = this.group.readers();
@@ -64,27 +64,27 @@
 	void entryWithoutASuccessorReadsItself(int others) {
 		Set<String> group = new TreeSet<>();
 		IntStream.range(0, others).forEach((i) -> group.add("entry-" + i));
-		String self = Rendezvous.order(IntStream.range(0, 1000).mapToObj((i) -> "self-" + i).toList(), "store")
+		String self = RendezvousHashing.rank(IntStream.range(0, 1000).mapToObj((i) -> "self-" + i).toList(), "store")
 			.getLast();
-		StoreDuty role = StoreDuty.of(self);
+		StoreRole role = StoreRole.of(self);
 		List<Step> steps = new ArrayList<>();
 		long now = 0;
-		for (; !role.rests(); now += TICK) {
+		for (; !role.isFollower(); now += TICK) {
 			for (Step step : role.tick(group, true, now)) {
 				if (step instanceof Step.Ask ask) {
-					role.heard(ask.entry(), true, true, now);
+					role.statusReceived(ask.entry(), true, true, now);
 				}
 			}
 		}
 		long lostAt = now;
-		for (; role.rests(); now += TICK) {
+		for (; role.isFollower(); now += TICK) {
 			steps.addAll(role.tick(group, false, now));
 			for (String peer : group) {
-				steps.addAll(role.heard(peer, false, false, now));
+				steps.addAll(role.statusReceived(peer, false, false, now));
 			}
 		}
 		assertThat(steps.getLast(), Matchers.equalTo(new Step.Read()));
-		assertThat(now - lostAt, Matchers.lessThanOrEqualTo(StoreDuty.MAX_FAILOVER_MILLIS * MILLI + TICK));
+		assertThat(now - lostAt, Matchers.lessThanOrEqualTo(StoreRole.MAX_FAILOVER_MILLIS * MILLI + TICK));
 	}
 
 	// Half of the entries have lost their link to the leader. Further entries read then,
@@ -105,19 +105,19 @@
 
 	@Test
 	void entryWithFollowersDoesNotStopReading() {
-		StoreDuty role = StoreDuty.of("z");
+		StoreRole role = StoreRole.of("z");
 		for (int i = 0; i < 50; i++) {
 			assertThat(role.tick(Set.of("a", "b", "c"), false, i * TICK), Matchers.empty());
 		}
-		assertThat(role.rests(), Matchers.equalTo(false));
+		assertThat(role.isFollower(), Matchers.equalTo(false));
 	}
 
 	@Test
 	void updatesOfPeersThatWereNotAskedAreIgnored() {
-		StoreDuty role = StoreDuty.of("z");
+		StoreRole role = StoreRole.of("z");
 		role.tick(Set.of("a"), true, 0);
-		assertThat(role.believes("a"), Matchers.equalTo(false));
-		assertThat(role.heard("a", true, true, TICK), Matchers.empty());
+		assertThat(role.acceptsUpdatesFrom("a"), Matchers.equalTo(false));
+		assertThat(role.statusReceived("a", true, true, TICK), Matchers.empty());
 	}
 
 	/** How a leader fails. */
@@ -135,7 +135,7 @@
 	/** Entries that are linked to each other, in virtual time. */
 	private static final class Group {
 
-		private final Map<String, StoreDuty> roles = new HashMap<>();
+		private final Map<String, StoreRole> roles = new HashMap<>();
 
 		private final Map<String, Set<String>> followers = new HashMap<>();
 
@@ -149,7 +149,7 @@
 
 		private Group(int size) {
 			for (int i = 0; i < size; i++) {
-				this.roles.put("entry-" + i, StoreDuty.of("entry-" + i));
+				this.roles.put("entry-" + i, StoreRole.of("entry-" + i));
 				this.followers.put("entry-" + i, new TreeSet<>());
 			}
 		}
@@ -185,10 +185,10 @@
 			if (unresponsive(name)) {
 				return;
 			}
-			boolean current = !this.roles.get(name).rests() && !this.losses.containsKey(name);
+			boolean current = !this.roles.get(name).isFollower() && !this.losses.containsKey(name);
 			for (String peer : List.copyOf(this.followers.get(name))) {
 				if (!this.unlinkedPeers.getOrDefault(peer, Set.of()).contains(name)) {
-					carryOut(peer, this.roles.get(peer).heard(name, current, true, this.now));
+					carryOut(peer, this.roles.get(peer).statusReceived(name, current, true, this.now));
 				}
 			}
 		}
@@ -212,7 +212,7 @@
 
 		private Set<String> readers() {
 			Set<String> readers = names();
-			readers.removeIf((name) -> this.roles.get(name).rests());
+			readers.removeIf((name) -> this.roles.get(name).isFollower());
 			return readers;
 		}
 
@@ -222,9 +222,9 @@
 			for (String name : names()) {
 				boolean informed = names().stream()
 					.anyMatch((other) -> this.followers.get(other).contains(name) && !this.losses.containsKey(other)
-							&& !this.roles.get(other).rests()
+							&& !this.roles.get(other).isFollower()
 							&& !this.unlinkedPeers.getOrDefault(name, Set.of()).contains(other));
-				if (!name.equals(except) && this.roles.get(name).rests() && !informed) {
+				if (!name.equals(except) && this.roles.get(name).isFollower() && !informed) {
 					affected.add(name);
 				}
 			}
--- a/policy/src/test/java/org/wisteriapost/policy/membership/LinkChoiceTests.java
+++ b/policy/src/test/java/org/wisteriapost/policy/membership/LinkSelectorTests.java
@@ -17,14 +17,14 @@
 import static org.hamcrest.Matchers.is;
 import static org.hamcrest.Matchers.lessThanOrEqualTo;
 
-class LinkChoiceTests {
+class LinkSelectorTests {
 
 	@Test
 	void smallFleetIsAFullMeshWithOneLinkAPair() {
 		List<Member> members = fleet(6, 13);
 		int pairs = 0;
 		for (int i = 0; i < 6; i++) {
-			List<Member> chosen = LinkChoice.of("entry-" + i).choose(members);
+			List<Member> chosen = LinkSelector.of("entry-" + i).select(members);
 			assertThat(chosen.stream().filter((member) -> !member.entry()).count(), is(13L));
 			pairs += (int) chosen.stream().filter(Member::entry).count();
 		}
@@ -33,11 +33,11 @@
 
 	@Test
 	void linksOfALargeFleetAreBoundedAndInEveryFailureDomain() {
-		List<Member> chosen = LinkChoice.of("entry-7").choose(fleet(2300, 6400));
+		List<Member> chosen = LinkSelector.of("entry-7").select(fleet(2300, 6400));
 		assertThat(chosen.size(), lessThanOrEqualTo(24 + 12));
 		Set<String> domains = chosen.stream()
 			.filter((member) -> !member.entry())
-			.map(Member::place)
+			.map(Member::failureDomain)
 			.collect(Collectors.toSet());
 		assertThat(domains.size(), is(10));
 	}
@@ -47,7 +47,7 @@
 		List<Member> members = fleet(300, 900);
 		Set<String> linked = new HashSet<>();
 		for (int i = 0; i < 300; i++) {
-			LinkChoice.of("entry-" + i).choose(members).forEach((member) -> linked.add(member.vm()));
+			LinkSelector.of("entry-" + i).select(members).forEach((member) -> linked.add(member.vm()));
 		}
 		assertThat(linked.stream().filter((vm) -> vm.startsWith("vm-")).count(), greaterThan(895L));
 	}
@@ -60,7 +60,7 @@
 		Map<String, Set<String>> links = new HashMap<>();
 		for (int i = 0; i < 2300; i++) {
 			String self = "entry-" + i;
-			for (Member member : LinkChoice.of(self).choose(members)) {
+			for (Member member : LinkSelector.of(self).select(members)) {
 				links.computeIfAbsent(self, (vm) -> new HashSet<>()).add(member.vm());
 				links.computeIfAbsent(member.vm(), (vm) -> new HashSet<>()).add(self);
 			}
@@ -82,11 +82,11 @@
 	@Test
 	void removingARunnerChangesAtMostOneLink() {
 		List<Member> members = fleet(6, 900);
-		List<Member> before = LinkChoice.of("entry-0").choose(members);
+		List<Member> before = LinkSelector.of("entry-0").select(members);
 		Member removed = before.getLast();
 		List<Member> rest = new ArrayList<>(members);
 		rest.remove(removed);
-		Set<Member> kept = new HashSet<>(LinkChoice.of("entry-0").choose(rest));
+		Set<Member> kept = new HashSet<>(LinkSelector.of("entry-0").select(rest));
 		assertThat(before.stream().filter((member) -> !kept.contains(member)).toList(), is(List.of(removed)));
 	}
 
--- a/policy/src/test/java/org/wisteriapost/policy/membership/MembershipTests.java
+++ b/policy/src/test/java/org/wisteriapost/policy/membership/MembershipTests.java
@@ -34,17 +34,18 @@
 	@Test
 	void entryWithoutALinkIsNotAdvertised() {
 		fleet();
-		this.membership.linked("n3", false);
+		this.membership.linkChanged("n3", false);
 		assertThat(advertised(false), contains("n2", "n4", "n1"));
 	}
 
 	@Test
 	void anySourceMarksAVmAsLeaving() {
-		this.membership.list(List.of(entry("n1", "p2", true), entry("n2", "p1", false), entry("n3", "p1", false)));
-		this.membership.marks(Set.of("n3"));
-		this.membership.announced("e9");
+		this.membership
+			.replaceMembers(List.of(entry("n1", "p2", true), entry("n2", "p1", false), entry("n3", "p1", false)));
+		this.membership.replaceMarks(Set.of("n3"));
+		this.membership.leavingAnnounced("e9");
 		assertThat(this.membership.leaving(), is(Set.of("n1", "n3", "e9")));
-		this.membership.marks(Set.of());
+		this.membership.replaceMarks(Set.of());
 		assertThat(this.membership.leaving(), is(Set.of("n1", "e9")));
 	}
 
@@ -53,28 +54,29 @@
 	@Test
 	void replacedVmIsNotLeaving() {
 		fleet();
-		this.membership.announced("n3");
-		this.membership.list(List.of(entry("n2", "p1", false)));
-		this.membership.list(List.of(entry("n2", "p1", false), entry("n3", "p1", false)));
+		this.membership.leavingAnnounced("n3");
+		this.membership.replaceMembers(List.of(entry("n2", "p1", false)));
+		this.membership.replaceMembers(List.of(entry("n2", "p1", false), entry("n3", "p1", false)));
 		assertThat(this.membership.leaving(), empty());
 	}
 
 	@Test
 	void answerIsBoundedInALargeFleet() {
 		List<Member> many = IntStream.range(0, 2300).mapToObj((i) -> entry("x" + i, "p" + i % 10, false)).toList();
-		this.membership.list(many);
-		many.forEach((member) -> this.membership.linked(member.vm(), true));
+		this.membership.replaceMembers(many);
+		many.forEach((member) -> this.membership.linkChanged(member.vm(), true));
 		assertThat(advertised(false), hasSize(16));
 	}
 
 	private void fleet() {
-		this.membership.list(List.of(entry("n1", "p2", false), entry("n2", "p1", false), entry("n3", "p1", false),
-				entry("n4", "p2", false), new Member("e1", "p1", false, "lm", "127.0.0.9", 1, 0, false)));
-		List.of("n1", "n3", "n4").forEach((vm) -> this.membership.linked(vm, true));
+		this.membership
+			.replaceMembers(List.of(entry("n1", "p2", false), entry("n2", "p1", false), entry("n3", "p1", false),
+					entry("n4", "p2", false), new Member("e1", "p1", false, "lm", "127.0.0.9", 1, 0, false)));
+		List.of("n1", "n3", "n4").forEach((vm) -> this.membership.linkChanged(vm, true));
 	}
 
 	private List<String> advertised(boolean draining) {
-		return this.membership.entries(draining).stream().map(Member::vm).toList();
+		return this.membership.advertisedEntries(draining).stream().map(Member::vm).toList();
 	}
 
 	private static Member entry(String vm, String failureDomain, boolean leaving) {
--- a/policy/src/test/java/org/wisteriapost/policy/request/DispatcherTests.java
+++ b/policy/src/test/java/org/wisteriapost/policy/request/CallDispatcherTests.java
@@ -18,7 +18,7 @@
  * Checks immediately before an effect is emitted, which guard against faults in earlier
  * decisions.
  */
-class DispatcherTests {
+class CallDispatcherTests {
 
 	private final Invariants invariants = Invariants.create();
 
@@ -30,17 +30,17 @@
 		PendingRequest pending = pending(idempotent);
 		pending.claimed = true;
 		pending.possibleRuns = possibleRuns;
-		pending.runner = new RunnerState(RequestMachineFixture.view("runner-0", 1));
-		assertThat(new Dispatcher(this.invariants).send(pending, 0, this.effects), is(sent));
+		pending.runner = new RunnerState(RequestStateMachineFixture.status("runner-0", 1));
+		assertThat(new CallDispatcher(this.invariants).send(pending, 0, this.effects), is(sent));
 		assertThat(this.effects, hasSize(sent ? 1 : 0));
 		assertThat(this.invariants.violations(), is(sent ? Map.of() : Map.of("at-most-once", 1L)));
 	}
 
 	@Test
 	void slotReleasedTwiceIsCountedOnce() {
-		Dispatcher dispatch = new Dispatcher(this.invariants);
+		CallDispatcher dispatch = new CallDispatcher(this.invariants);
 		ServiceState service = new ServiceState(RequestPolicySettings.defaults());
-		RunnerState runner = new RunnerState(RequestMachineFixture.view("runner-0", 1));
+		RunnerState runner = new RunnerState(RequestStateMachineFixture.status("runner-0", 1));
 		PendingRequest pending = pending(true);
 		dispatch.reserve(pending, runner, service);
 		dispatch.release(pending, service);
@@ -63,10 +63,10 @@
 
 	@Test
 	void startedAnswerIsNeverReportedAsNotRun() {
-		RequestMachineFixture fixture = RequestMachineFixture.of("runner-0", "runner-1");
+		RequestStateMachineFixture fixture = RequestStateMachineFixture.of("runner-0", "runner-1");
 		RequestEffect.Dispatch sent = (RequestEffect.Dispatch) fixture.arrive(1).getFirst();
-		fixture.apply(new RequestEvent.Started(1));
-		assertThat(fixture.fail(1, sent.runner(), true), is(List.of(new RequestEffect.GiveUp(1, "answer-cut"))));
+		fixture.apply(new RequestEvent.AnswerStarted(1));
+		assertThat(fixture.fail(1, sent.runner(), true), is(List.of(new RequestEffect.AnswerUnknown(1, "answer-cut"))));
 		assertThat(fixture.machine.violations(), is(Map.of("not-run-after-start", 1L)));
 	}
 
@@ -74,7 +74,7 @@
 	@CsvSource({ "1, true, true", "2, true, false", "2, false, true" })
 	void longRequestsLeaveSlotsWhileShortRequestsArrive(int longInFlight, boolean shortArrives, boolean allowed) {
 		ServiceState service = new ServiceState(RequestPolicySettings.defaults());
-		service.pool.setSlots(new RunnerState(RequestMachineFixture.view("runner-0", 4)), 4);
+		service.pool.setSlots(new RunnerState(RequestStateMachineFixture.status("runner-0", 4)), 4);
 		service.pool.addInFlight(longInFlight, true);
 		if (shortArrives) {
 			service.recordAdmitted(pending(true).request, 0);
@@ -84,7 +84,7 @@
 
 	private static PendingRequest pending(boolean idempotent) {
 		return new PendingRequest(
-				new Request(1, "org-0", RequestMachineFixture.SERVICE, Priority.NORMAL, 1, idempotent, 0, 1));
+				new Request(1, "org-0", RequestStateMachineFixture.SERVICE, Priority.NORMAL, 1, idempotent, 0, 1));
 	}
 
 }
--- a/policy/src/test/java/org/wisteriapost/policy/request/RandomEventsTests.java
+++ b/policy/src/test/java/org/wisteriapost/policy/request/RandomEventsTests.java
@@ -27,8 +27,8 @@
 
 	private static final int RUNNERS = 8;
 
-	private final RequestMachineFixture fixture = RequestMachineFixture.of(RequestPolicySettings.defaults(), 2,
-			"runner-0", "runner-1", "runner-2");
+	private final RequestStateMachineFixture fixture = RequestStateMachineFixture.of(RequestPolicySettings.defaults(),
+			2, "runner-0", "runner-1", "runner-2");
 
 	private final Map<Long, ObservedRequest> requests = new HashMap<>();
 
@@ -67,12 +67,12 @@
 		return switch (this.random.nextInt(16)) {
 			case 0, 1, 2, 3 -> arrival();
 			case 4, 5, 6, 7, 8, 9 -> requestEvent();
-			case 10 -> recorded(new RequestEvent.RunnerLost(runner()));
-			case 11, 12, 13 -> recorded(new RequestEvent.RunnerSeen(RequestMachineFixture.view(runner(),
+			case 10 -> recorded(new RequestEvent.RunnerDisconnected(runner()));
+			case 11, 12, 13 -> recorded(new RequestEvent.RunnerReported(RequestStateMachineFixture.status(runner(),
 					this.random.nextInt(8) > 0, "d" + (1 + this.random.nextInt(2)), this.random.nextInt(3), 2)));
 			case 14 -> (this.random.nextInt(10) > 0) ? new RequestEvent.Tick() : headUpdate();
 			default ->
-				recorded(new RequestEvent.LeavingSeen((this.random.nextInt(4) > 0) ? Set.of() : Set.of(runner())));
+				recorded(new RequestEvent.LeavingVmsRead((this.random.nextInt(4) > 0) ? Set.of() : Set.of(runner())));
 		};
 	}
 
@@ -84,7 +84,7 @@
 		if (!this.openIds.contains(idOf(event))) {
 			return event;
 		}
-		boolean otherCall = event instanceof RequestEvent.Failed failed
+		boolean otherCall = event instanceof RequestEvent.DispatchFailed failed
 				&& !failed.runner().equals(this.requests.get(failed.id()).runner);
 		return (otherCall || event instanceof RequestEvent.Claimed) ? event : new RequestEvent.Tick();
 	}
@@ -92,7 +92,8 @@
 	private RequestEvent headUpdate() {
 		this.generation++;
 		Set<String> digests = this.random.nextBoolean() ? Set.of("d1", "d2") : Set.of("d1");
-		return recorded(new RequestEvent.HeadSeen(this.generation, Map.of(RequestMachineFixture.SERVICE, digests)));
+		return recorded(
+				new RequestEvent.HeadRead(this.generation, Map.of(RequestStateMachineFixture.SERVICE, digests)));
 	}
 
 	private RequestEvent arrival() {
@@ -101,9 +102,9 @@
 		boolean idempotent = this.random.nextBoolean();
 		this.requests.put(id, new ObservedRequest(idempotent));
 		long deadline = this.fixture.nowNanos + this.random.nextLong(3_000_000_000L);
-		return new RequestEvent.Arrived(new Request(id, "org-" + this.random.nextInt(4), RequestMachineFixture.SERVICE,
-				Priority.values()[this.random.nextInt(3)], deadline, idempotent, this.random.nextInt(5),
-				1 + this.random.nextInt(12)));
+		return new RequestEvent.Arrived(new Request(id, "org-" + this.random.nextInt(4),
+				RequestStateMachineFixture.SERVICE, Priority.values()[this.random.nextInt(3)], deadline, idempotent,
+				this.random.nextInt(5), 1 + this.random.nextInt(12)));
 	}
 
 	/**
@@ -118,20 +119,20 @@
 		ObservedRequest request = this.requests.get(id);
 		if (this.random.nextInt(30) == 0) {
 			request.ended = true;
-			return recorded(new RequestEvent.CallerGone(id));
+			return recorded(new RequestEvent.CallerDisconnected(id));
 		}
 		if (request.claiming) {
 			request.claiming = false;
 			request.claimed = this.random.nextInt(5) > 0;
 			request.ended |= !request.claimed;
-			return recorded(request.claimed ? new RequestEvent.Claimed(id) : new RequestEvent.ClaimLost(id));
+			return recorded(request.claimed ? new RequestEvent.Claimed(id) : new RequestEvent.ClaimFailed(id));
 		}
 		if (request.runner.isEmpty()) {
 			return new RequestEvent.Tick();
 		}
 		if (!request.started && this.random.nextInt(3) == 0) {
 			request.started = true;
-			return recorded(new RequestEvent.Started(id));
+			return recorded(new RequestEvent.AnswerStarted(id));
 		}
 		return end(id, request);
 	}
@@ -141,12 +142,12 @@
 		request.runner = "";
 		if (this.random.nextBoolean()) {
 			request.ended = true;
-			return recorded(new RequestEvent.Ended(id));
+			return recorded(new RequestEvent.AnswerCompleted(id));
 		}
 		boolean notRun = !request.started && this.random.nextBoolean();
 		request.possibleRuns -= notRun ? 1 : 0;
 		String code = (notRun && this.random.nextBoolean()) ? "gate-full" : "link-lost";
-		return recorded(new RequestEvent.Failed(id, runner, notRun, code, 0));
+		return recorded(new RequestEvent.DispatchFailed(id, runner, notRun, code, 0));
 	}
 
 	private RequestEvent recorded(RequestEvent event) {
@@ -167,11 +168,11 @@
 	private static long idOf(RequestEvent event) {
 		return switch (event) {
 			case RequestEvent.Claimed claimed -> claimed.id();
-			case RequestEvent.ClaimLost lost -> lost.id();
-			case RequestEvent.Started started -> started.id();
-			case RequestEvent.Ended ended -> ended.id();
-			case RequestEvent.Failed failed -> failed.id();
-			case RequestEvent.CallerGone gone -> gone.id();
+			case RequestEvent.ClaimFailed lost -> lost.id();
+			case RequestEvent.AnswerStarted started -> started.id();
+			case RequestEvent.AnswerCompleted ended -> ended.id();
+			case RequestEvent.DispatchFailed failed -> failed.id();
+			case RequestEvent.CallerDisconnected gone -> gone.id();
 			default -> 0;
 		};
 	}
@@ -197,7 +198,7 @@
 				check(refuse.retryAfterMillis() > 0, "no retry interval");
 				request.ended = true;
 			}
-			case RequestEffect.GiveUp gaveUp -> request.ended = true;
+			case RequestEffect.AnswerUnknown gaveUp -> request.ended = true;
 			case RequestEffect.Cancel cancelled -> request.runner = "";
 		}
 	}
--- a/policy/src/test/java/org/wisteriapost/policy/request/RequestMachineFixture.java
+++ b/policy/src/test/java/org/wisteriapost/policy/request/RequestStateMachineFixture.java
@@ -6,41 +6,41 @@
 import java.util.Set;
 
 /**
- * A {@link RequestMachine} with a simulated clock, and shorthands for its events.
+ * A {@link RequestStateMachine} with a simulated clock, and shorthands for its events.
  */
-final class RequestMachineFixture {
+final class RequestStateMachineFixture {
 
 	static final String SERVICE = "lm-notice";
 
 	static final String DIGEST = "d1";
 
-	final RequestMachine machine;
+	final RequestStateMachine machine;
 
 	long nowNanos;
 
-	private RequestMachineFixture(RequestPolicySettings settings) {
-		this.machine = RequestMachine.create(settings, 7);
-		apply(new RequestEvent.HeadSeen(1, Map.of(SERVICE, Set.of(DIGEST))));
+	private RequestStateMachineFixture(RequestPolicySettings settings) {
+		this.machine = RequestStateMachine.create(settings, 7);
+		apply(new RequestEvent.HeadRead(1, Map.of(SERVICE, Set.of(DIGEST))));
 	}
 
-	static RequestMachineFixture of(String... runners) {
+	static RequestStateMachineFixture of(String... runners) {
 		return of(RequestPolicySettings.defaults(), 1, runners);
 	}
 
-	static RequestMachineFixture of(RequestPolicySettings settings, int capacity, String... runners) {
-		RequestMachineFixture fixture = new RequestMachineFixture(settings);
+	static RequestStateMachineFixture of(RequestPolicySettings settings, int capacity, String... runners) {
+		RequestStateMachineFixture fixture = new RequestStateMachineFixture(settings);
 		for (String runner : runners) {
-			fixture.apply(new RequestEvent.RunnerSeen(view(runner, capacity)));
+			fixture.apply(new RequestEvent.RunnerReported(status(runner, capacity)));
 		}
 		return fixture;
 	}
 
-	static RunnerView view(String runner, int capacity) {
-		return view(runner, true, DIGEST, 0, capacity);
+	static RunnerStatus status(String runner, int capacity) {
+		return status(runner, true, DIGEST, 0, capacity);
 	}
 
-	static RunnerView view(String runner, boolean admitting, String digest, int running, int capacity) {
-		return new RunnerView(runner, "clyde-a", SERVICE, admitting, digest, 1, running, 0, capacity, Set.of());
+	static RunnerStatus status(String runner, boolean admitting, String digest, int running, int capacity) {
+		return new RunnerStatus(runner, "clyde-a", SERVICE, admitting, digest, 1, running, 0, capacity, Set.of());
 	}
 
 	Request request(long id) {
@@ -75,11 +75,11 @@
 	 */
 	List<RequestEffect> end(long id, long millis) {
 		this.nowNanos += Duration.ofMillis(millis).toNanos();
-		return apply(new RequestEvent.Ended(id));
+		return apply(new RequestEvent.AnswerCompleted(id));
 	}
 
 	List<RequestEffect> fail(long id, String runner, boolean notRun) {
-		return apply(new RequestEvent.Failed(id, runner, notRun, "link-lost", 0));
+		return apply(new RequestEvent.DispatchFailed(id, runner, notRun, "link-lost", 0));
 	}
 
 	List<RequestEffect> tickAfter(long millis) {
--- a/policy/src/test/java/org/wisteriapost/policy/request/RequestMachineTests.java
+++ b/policy/src/test/java/org/wisteriapost/policy/request/RequestStateMachineTests.java
@@ -20,9 +20,9 @@
 import static org.hamcrest.Matchers.is;
 import static org.hamcrest.Matchers.not;
 
-class RequestMachineTests {
+class RequestStateMachineTests {
 
-	private RequestMachineFixture fixture = RequestMachineFixture.of("runner-0");
+	private RequestStateMachineFixture fixture = RequestStateMachineFixture.of("runner-0");
 
 	@AfterEach
 	void noInvariantIsViolated() {
@@ -36,7 +36,7 @@
 
 	@Test
 	void withoutRunnerRequestIsRefusedAtOnce() {
-		this.fixture = RequestMachineFixture.of();
+		this.fixture = RequestStateMachineFixture.of();
 		assertThat(code(this.fixture.arrive(1)), is("no-runner"));
 	}
 
@@ -44,19 +44,20 @@
 	@ValueSource(strings = { "switching", "other-weights", "leaving", "lost", "new-head" })
 	void ineligibleRunnerGetsNoRequests(String reason) {
 		this.fixture.apply(switch (reason) {
-			case "switching" -> new RequestEvent.RunnerSeen(RequestMachineFixture.view("runner-0", false, "d1", 0, 1));
+			case "switching" ->
+				new RequestEvent.RunnerReported(RequestStateMachineFixture.status("runner-0", false, "d1", 0, 1));
 			case "other-weights" ->
-				new RequestEvent.RunnerSeen(RequestMachineFixture.view("runner-0", true, "d2", 0, 1));
-			case "leaving" -> new RequestEvent.LeavingSeen(Set.of("runner-0"));
-			case "lost" -> new RequestEvent.RunnerLost("runner-0");
-			default -> new RequestEvent.HeadSeen(2, Map.of(RequestMachineFixture.SERVICE, Set.of("d2")));
+				new RequestEvent.RunnerReported(RequestStateMachineFixture.status("runner-0", true, "d2", 0, 1));
+			case "leaving" -> new RequestEvent.LeavingVmsRead(Set.of("runner-0"));
+			case "lost" -> new RequestEvent.RunnerDisconnected("runner-0");
+			default -> new RequestEvent.HeadRead(2, Map.of(RequestStateMachineFixture.SERVICE, Set.of("d2")));
 		});
 		assertThat(code(this.fixture.arrive(1)), is("no-runner"));
 	}
 
 	@Test
 	void olderHeadDoesNotRevert() {
-		this.fixture.apply(new RequestEvent.HeadSeen(0, Map.of(RequestMachineFixture.SERVICE, Set.of("d0"))));
+		this.fixture.apply(new RequestEvent.HeadRead(0, Map.of(RequestStateMachineFixture.SERVICE, Set.of("d0"))));
 		assertThat(this.fixture.arrive(1), contains(instanceOf(RequestEffect.Dispatch.class)));
 	}
 
@@ -71,7 +72,7 @@
 	void waitingRequestsAreRefusedWhenTheLastRunnerDisconnects() {
 		this.fixture.arrive(1);
 		this.fixture.arrive(2);
-		assertThat(code(this.fixture.apply(new RequestEvent.RunnerLost("runner-0"))), is("no-runner"));
+		assertThat(code(this.fixture.apply(new RequestEvent.RunnerDisconnected("runner-0"))), is("no-runner"));
 	}
 
 	@Test
@@ -80,8 +81,8 @@
 		this.fixture.arrive(2);
 		List<RequestEffect> effects = this.fixture.tickAfter(10_000);
 		assertThat(effects, hasSize(3));
-		assertThat(effects.subList(0, 2),
-				contains(new RequestEffect.Cancel(1, "runner-0"), new RequestEffect.GiveUp(1, "deadline-passed")));
+		assertThat(effects.subList(0, 2), contains(new RequestEffect.Cancel(1, "runner-0"),
+				new RequestEffect.AnswerUnknown(1, "deadline-passed")));
 		assertThat(code(effects.subList(2, 3)), is("deadline-unreachable"));
 	}
 
@@ -92,15 +93,15 @@
 	 */
 	@Test
 	void nonIdempotentRequestIsNotRetriedAfterAnUnknownOutcome() {
-		this.fixture = RequestMachineFixture.of("runner-0", "runner-1");
+		this.fixture = RequestStateMachineFixture.of("runner-0", "runner-1");
 		String runner = claimAndSend(1);
-		assertThat(this.fixture.fail(1, runner, false), contains(new RequestEffect.GiveUp(1, "answer-cut")));
+		assertThat(this.fixture.fail(1, runner, false), contains(new RequestEffect.AnswerUnknown(1, "answer-cut")));
 		assertThat(this.fixture.tickAfter(1000), is(empty()));
 	}
 
 	@Test
 	void nonIdempotentRequestThatDidNotRunIsRetriedWithoutASecondClaim() {
-		this.fixture = RequestMachineFixture.of("runner-0", "runner-1");
+		this.fixture = RequestStateMachineFixture.of("runner-0", "runner-1");
 		String runner = claimAndSend(1);
 		assertThat(this.fixture.fail(1, runner, true), is(empty()));
 		List<RequestEffect> effects = this.fixture.tickAfter(100);
@@ -119,15 +120,15 @@
 	void failedClaimFreesItsSlot() {
 		this.fixture.arrive(this.fixture.nonIdempotentRequest(1));
 		this.fixture.arrive(2);
-		assertThat(this.fixture.apply(new RequestEvent.ClaimLost(1)),
+		assertThat(this.fixture.apply(new RequestEvent.ClaimFailed(1)),
 				contains(new RequestEffect.Dispatch(2, "runner-0", "d1")));
 	}
 
 	@Test
 	void runnerThatLeavesDuringTheClaimIsReplaced() {
 		this.fixture.arrive(this.fixture.nonIdempotentRequest(1));
-		this.fixture.apply(new RequestEvent.RunnerSeen(RequestMachineFixture.view("runner-1", 1)));
-		this.fixture.apply(new RequestEvent.LeavingSeen(Set.of("runner-0")));
+		this.fixture.apply(new RequestEvent.RunnerReported(RequestStateMachineFixture.status("runner-1", 1)));
+		this.fixture.apply(new RequestEvent.LeavingVmsRead(Set.of("runner-0")));
 		assertThat(this.fixture.apply(new RequestEvent.Claimed(1)),
 				contains(new RequestEffect.Dispatch(1, "runner-1", "d1")));
 	}
@@ -142,30 +143,30 @@
 	@ParameterizedTest
 	@CsvSource({ "false, true", "true, false" })
 	void idempotentRequestIsRetriedUnlessItsAnswerHasStarted(boolean started, boolean repeated) {
-		this.fixture = RequestMachineFixture.of("runner-0", "runner-1");
+		this.fixture = RequestStateMachineFixture.of("runner-0", "runner-1");
 		String runner = runner(this.fixture.arrive(1));
 		if (started) {
-			this.fixture.apply(new RequestEvent.Started(1));
+			this.fixture.apply(new RequestEvent.AnswerStarted(1));
 		}
 		List<RequestEffect> atOnce = this.fixture.fail(1, runner, false);
-		assertThat(atOnce.contains(new RequestEffect.GiveUp(1, "answer-cut")), is(!repeated));
+		assertThat(atOnce.contains(new RequestEffect.AnswerUnknown(1, "answer-cut")), is(!repeated));
 		assertThat(this.fixture.tickAfter(100), hasSize(repeated ? 1 : 0));
 	}
 
 	@Test
 	void requestThatMayHaveRunIsNeverRefusedAsNotRun() {
-		this.fixture = RequestMachineFixture.of("runner-0", "runner-1");
+		this.fixture = RequestStateMachineFixture.of("runner-0", "runner-1");
 		String runner = runner(this.fixture.arrive(1));
 		this.fixture.fail(1, runner, false);
 		String other = runner(this.fixture.tickAfter(100));
 		this.fixture.fail(1, other, true);
 		String third = runner(this.fixture.tickAfter(100));
-		assertThat(this.fixture.fail(1, third, true), contains(instanceOf(RequestEffect.GiveUp.class)));
+		assertThat(this.fixture.fail(1, third, true), contains(instanceOf(RequestEffect.AnswerUnknown.class)));
 	}
 
 	@Test
 	void requestIsAnsweredAtOnceWhenTheRetryBudgetIsSpent() {
-		this.fixture = RequestMachineFixture.of(RequestPolicySettings.defaults(), 100, "runner-0", "runner-1",
+		this.fixture = RequestStateMachineFixture.of(RequestPolicySettings.defaults(), 100, "runner-0", "runner-1",
 				"runner-2");
 		int retried = 0;
 		int answered = 0;
@@ -175,7 +176,7 @@
 			answered += gaveUp ? 1 : 0;
 			retried += gaveUp ? 0 : 1;
 			this.fixture.tickAfter(1000);
-			this.fixture.apply(new RequestEvent.Ended(id));
+			this.fixture.apply(new RequestEvent.AnswerCompleted(id));
 		}
 		assertThat(retried, is(25));
 		assertThat(answered, is(35));
@@ -183,7 +184,7 @@
 
 	@Test
 	void noRetryThatWouldEndAfterTheDeadline() {
-		this.fixture = RequestMachineFixture.of("runner-0", "runner-1");
+		this.fixture = RequestStateMachineFixture.of("runner-0", "runner-1");
 		this.fixture.arrive(1);
 		this.fixture.end(1, 6000);
 		String runner = runner(this.fixture.arrive(2));
@@ -195,7 +196,7 @@
 	void callerDisconnectCancelsTheWorkAndFreesTheSlot() {
 		this.fixture.arrive(1);
 		this.fixture.arrive(2);
-		assertThat(this.fixture.apply(new RequestEvent.CallerGone(1)),
+		assertThat(this.fixture.apply(new RequestEvent.CallerDisconnected(1)),
 				contains(new RequestEffect.Cancel(1, "runner-0"), new RequestEffect.Dispatch(2, "runner-0", "d1")));
 	}
 
@@ -211,7 +212,7 @@
 	@Test
 	void requestRefusedByFullGateWaitsAndIsRetried() {
 		this.fixture.arrive(1);
-		RequestEvent full = new RequestEvent.Failed(1, "runner-0", true, "gate-full", 20);
+		RequestEvent full = new RequestEvent.DispatchFailed(1, "runner-0", true, "gate-full", 20);
 		for (int i = 0; i < 6; i++) {
 			assertThat(this.fixture.apply(full), is(empty()));
 			assertThat(this.fixture.tickAfter(40), contains(instanceOf(RequestEffect.Dispatch.class)));
@@ -221,11 +222,11 @@
 	@ParameterizedTest
 	@CsvSource({ "gate-deadline, true", "gate-not-admitting, true", "link-lost, false" })
 	void routineGateRefusalDoesNotEjectTheRunner(String code, boolean stays) {
-		this.fixture = RequestMachineFixture.of("runner-0", "runner-1", "runner-2", "runner-3");
+		this.fixture = RequestStateMachineFixture.of("runner-0", "runner-1", "runner-2", "runner-3");
 		for (int i = 0; i < 12; i++) {
 			String runner = runner(this.fixture.arrive(i));
-			this.fixture.apply(new RequestEvent.Failed(i, runner, true, code, 0));
-			this.fixture.apply(new RequestEvent.CallerGone(i));
+			this.fixture.apply(new RequestEvent.DispatchFailed(i, runner, true, code, 0));
+			this.fixture.apply(new RequestEvent.CallerDisconnected(i));
 			this.fixture.tickAfter(100);
 		}
 		int sent = 0;
@@ -237,7 +238,7 @@
 
 	@Test
 	void lateAndDuplicateEventsAreIgnored() {
-		this.fixture = RequestMachineFixture.of("runner-0", "runner-1");
+		this.fixture = RequestStateMachineFixture.of("runner-0", "runner-1");
 		this.fixture.arrive(1);
 		this.fixture.end(1, 100);
 		assertThat(this.fixture.end(1, 0), is(empty()));
@@ -248,7 +249,7 @@
 
 	@Test
 	void retryAfterHasALowerBound() {
-		this.fixture = RequestMachineFixture.of();
+		this.fixture = RequestStateMachineFixture.of();
 		RequestEffect.Refuse refuse = (RequestEffect.Refuse) this.fixture.arrive(1).getFirst();
 		assertThat(refuse.retryAfterMillis(), greaterThanOrEqualTo(100L));
 	}
--- a/policy/src/test/java/org/wisteriapost/policy/request/RunnerHealthTests.java
+++ b/policy/src/test/java/org/wisteriapost/policy/request/RunnerHealthTests.java
@@ -37,7 +37,7 @@
 
 	RunnerHealthTests() {
 		for (int i = 0; i < 10; i++) {
-			RunnerState runner = new RunnerState(RequestMachineFixture.view("runner-" + i, 8));
+			RunnerState runner = new RunnerState(RequestStateMachineFixture.status("runner-" + i, 8));
 			this.runners.add(runner);
 			this.pool.setEligible(runner, true);
 		}
@@ -81,7 +81,7 @@
 		runner.limit = 6;
 		runner.inFlight = own;
 		runner.inFlightAtReport = own;
-		runner.status = RequestMachineFixture.view(runner.name, true, "d1", running, 8);
+		runner.status = RequestStateMachineFixture.status(runner.name, true, "d1", running, 8);
 		ConcurrencyLimit.onReport(runner, 0);
 		assertThat(runner.limit, closeTo(limit, 0.001));
 	}
--- a/policy/src/test/java/org/wisteriapost/policy/request/RunnerSelectorTests.java
+++ b/policy/src/test/java/org/wisteriapost/policy/request/RunnerSelectorTests.java
@@ -25,7 +25,7 @@
 			"true, d1, 0, here, false", "true, d1, 4, leaving, false", "true, '', 4, here, false" })
 	void onlyAdmittingRunnersWithAcceptedWeightsAreEligible(boolean admitting, String digest, int capacity, String name,
 			boolean eligible) {
-		RunnerView view = RequestMachineFixture.view(name, admitting, digest, 0, capacity);
+		RunnerStatus view = RequestStateMachineFixture.status(name, admitting, digest, 0, capacity);
 		assertThat(RunnerSelector.eligible(view, Set.of("d1"), Set.of("leaving")), is(eligible));
 	}
 
@@ -90,7 +90,7 @@
 
 	private RunnerState add(String name, String failureDomain, int inFlight) {
 		RunnerState runner = new RunnerState(
-				new RunnerView(name, failureDomain, "s", true, "d1", 1, 0, 0, 8, Set.of()));
+				new RunnerStatus(name, failureDomain, "s", true, "d1", 1, 0, 0, 8, Set.of()));
 		runner.inFlight = inFlight;
 		this.pool.setEligible(runner, true);
 		this.pool.setFree(runner, true);
