--- a/policy/src/test/java/org/wisteriapost/policy/rollout/RolloutTests.java
+++ b/policy/src/test/java/org/wisteriapost/policy/rollout/RolloutTests.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.wisteriapost.policy.fleet.RunnerStart;
+import org.wisteriapost.policy.fleet.RunnerIncarnation;
 
 import static org.hamcrest.MatcherAssert.assertThat;
 
@@ -25,8 +25,8 @@
 	private long now = 100_000 * MILLI;
 
 	private void report(int version, boolean busy) {
-		this.rollout.reported((version > 0) ? OptionalInt.of(version) : OptionalInt.empty(), busy, 0,
-				RunnerStart.UNKNOWN, this.now);
+		this.rollout.reportReceived((version > 0) ? OptionalInt.of(version) : OptionalInt.empty(), busy, 0,
+				RunnerIncarnation.UNKNOWN, this.now);
 		this.all.addAll(this.rollout.drain());
 	}
 
@@ -64,13 +64,13 @@
 	private void settleOn(int version) {
 		report(version, false);
 		setTarget(version);
-		this.rollout.fetched(version, true, this.now);
+		this.rollout.fetchEnded(version, true, this.now);
 		advance(50);
 		this.all.clear();
 	}
 
 	private void setTarget(int version) {
-		this.rollout.named(version, this.now);
+		this.rollout.setTarget(version, this.now);
 		this.all.addAll(this.rollout.drain());
 	}
 
@@ -78,20 +78,20 @@
 	void fetchesPublishesVerifiesAndOrdersInThisOrder() {
 		report(1, false);
 		setTarget(2);
-		this.rollout.fetched(2, true, this.now);
+		this.rollout.fetchEnded(2, true, this.now);
 		advance(100);
-		this.rollout.verified(2, true, this.now);
+		this.rollout.verificationEnded(2, true, this.now);
 		advance(500);
-		this.rollout.ordered(true, this.now);
+		this.rollout.orderAnswered(true, this.now);
 		report(1, true);
 		report(2, false);
 		this.all.addAll(this.rollout.drain());
 		List<String> steps = this.all.stream()
 			.filter((effect) -> !(effect instanceof RolloutEffect.ReadReport))
 			.map((effect) -> switch (effect) {
-				case RolloutEffect.Tell tell ->
-					"Tell " + tell.word().version().orElse(0) + (tell.word().switching() ? " switching" : "")
-							+ (tell.word().closesNanos().isPresent() ? " closes" : "");
+				case RolloutEffect.PublishStatus tell ->
+					"Tell " + tell.status().weightsVersion().orElse(0) + (tell.status().switching() ? " switching" : "")
+							+ (tell.status().switchStartNanos().isPresent() ? " closes" : "");
 				default -> effect.getClass().getSimpleName();
 			})
 			.toList();
@@ -105,10 +105,10 @@
 	void corruptStagedWeightsAreFetchedAgainAndNeverOrdered() {
 		report(1, false);
 		setTarget(2);
-		this.rollout.fetched(2, true, this.now);
+		this.rollout.fetchEnded(2, true, this.now);
 		advance(5000);
 		this.all.clear();
-		this.rollout.verified(2, false, this.now);
+		this.rollout.verificationEnded(2, false, this.now);
 		advance(100);
 		assertThat(this.all, Matchers.hasItem(new RolloutEffect.Fetch(2)));
 		assertThat(this.all, Matchers.not(Matchers.hasItem(Matchers.instanceOf(RolloutEffect.Take.class))));
@@ -121,7 +121,7 @@
 	void newerVersionWaitsForAFetchThatIsMostlyDone(double share) {
 		report(1, false);
 		setTarget(2);
-		this.rollout.fetching(share, this.now);
+		this.rollout.fetchProgressed(share, this.now);
 		this.all.clear();
 		setTarget(3);
 		boolean abandoned = this.all.contains(new RolloutEffect.Abandon(2));
@@ -136,12 +136,12 @@
 			"1500,0.99,4450", "6500,0.99,450" })
 	void enginesSwitchInGroups(long fetchMillis, double position, double switchMillis) {
 		settleOn(1);
-		this.rollout.turn(position);
+		this.rollout.setPosition(position);
 		setTarget(2);
 		advance(fetchMillis);
-		this.rollout.fetched(2, true, this.now);
+		this.rollout.fetchEnded(2, true, this.now);
 		advance(50);
-		long closes = this.rollout.latest().orElseThrow().word().closesNanos().orElseThrow() - this.now;
+		long closes = this.rollout.lastStatus().orElseThrow().status().switchStartNanos().orElseThrow() - this.now;
 		assertThat((double) closes / MILLI, Matchers.closeTo(switchMillis - 50, 200));
 		advance(Math.max(50, closes / MILLI - 300));
 		assertThat(this.all, Matchers.hasItem(new RolloutEffect.Verify(2)));
@@ -155,33 +155,33 @@
 		settleOn(1);
 		setTarget(2);
 		advance(2000);
-		this.rollout.fetching(0.5, this.now);
+		this.rollout.fetchProgressed(0.5, this.now);
 		advance(50);
-		long closes = this.rollout.latest().orElseThrow().word().closesNanos().orElseThrow() - this.now;
+		long closes = this.rollout.lastStatus().orElseThrow().status().switchStartNanos().orElseThrow() - this.now;
 		assertThat((double) closes / MILLI, Matchers.closeTo(2400, 120));
 		this.all.clear();
 		advance(400);
-		this.rollout.fetching(0.6, this.now);
+		this.rollout.fetchProgressed(0.6, this.now);
 		advance(50);
-		assertThat(this.all, Matchers.not(Matchers.hasItem(Matchers.instanceOf(RolloutEffect.Tell.class))));
+		assertThat(this.all, Matchers.not(Matchers.hasItem(Matchers.instanceOf(RolloutEffect.PublishStatus.class))));
 		advance(1000);
-		this.rollout.fetching(0.65, this.now);
+		this.rollout.fetchProgressed(0.65, this.now);
 		advance(50);
-		assertThat(this.all, Matchers.hasItem(Matchers.instanceOf(RolloutEffect.Tell.class)));
+		assertThat(this.all, Matchers.hasItem(Matchers.instanceOf(RolloutEffect.PublishStatus.class)));
 	}
 
 	// The fetch of a newer version can begin only after the switch.
 	@Test
 	void switchIsEarlierWhenANewerVersionIsPending() {
 		settleOn(1);
-		this.rollout.turn(0.99);
+		this.rollout.setPosition(0.99);
 		setTarget(2);
 		advance(3000);
-		this.rollout.fetched(2, true, this.now);
+		this.rollout.fetchEnded(2, true, this.now);
 		advance(50);
 		setTarget(3);
 		advance(50);
-		long closes = this.rollout.latest().orElseThrow().word().closesNanos().orElseThrow() - this.now;
+		long closes = this.rollout.lastStatus().orElseThrow().status().switchStartNanos().orElseThrow() - this.now;
 		assertThat(closes / MILLI, Matchers.lessThan(1500L));
 	}
 
@@ -191,9 +191,9 @@
 	void outdatedVerificationIsRepeated() {
 		settleOn(1);
 		setTarget(2);
-		this.rollout.fetched(2, true, this.now);
+		this.rollout.fetchEnded(2, true, this.now);
 		advance(100);
-		this.rollout.verified(2, true, this.now);
+		this.rollout.verificationEnded(2, true, this.now);
 		this.all.clear();
 		this.now += 4000 * MILLI;
 		advance(50);
@@ -205,23 +205,23 @@
 	void nextFetchBeginsAsSoonAsTheOrderIsAccepted() {
 		settleOn(1);
 		setTarget(2);
-		this.rollout.fetched(2, true, this.now);
+		this.rollout.fetchEnded(2, true, this.now);
 		setTarget(3);
 		advance(1000);
-		this.rollout.verified(2, true, this.now);
+		this.rollout.verificationEnded(2, true, this.now);
 		this.all.clear();
-		this.rollout.ordered(true, this.now);
+		this.rollout.orderAnswered(true, this.now);
 		advance(50);
 		assertThat(this.all, Matchers.hasItem(new RolloutEffect.Fetch(3)));
 	}
 
 	@Test
 	void engineWithoutWeightsSwitchesAtOnce() {
-		this.rollout.turn(0.99);
+		this.rollout.setPosition(0.99);
 		report(0, false);
 		setTarget(1);
 		advance(4000);
-		this.rollout.fetched(1, true, this.now);
+		this.rollout.fetchEnded(1, true, this.now);
 		advance(50);
 		assertThat(this.all, Matchers.hasItem(new RolloutEffect.Verify(1)));
 	}
@@ -241,20 +241,22 @@
 	@ParameterizedTest
 	@CsvSource({ "1000,2000,1", "0,0,0" })
 	void orderIsRepeatedAfterTheEngineRestarts(long firstStart, long secondStart, long orders) {
-		RunnerStart first = (firstStart > 0) ? RunnerStart.at(firstStart) : RunnerStart.UNKNOWN;
-		RunnerStart second = (secondStart > 0) ? RunnerStart.at(secondStart) : RunnerStart.UNKNOWN;
-		this.rollout.reported(OptionalInt.empty(), false, 0, first, this.now);
+		RunnerIncarnation first = (firstStart > 0) ? RunnerIncarnation.startedAt(firstStart)
+				: RunnerIncarnation.UNKNOWN;
+		RunnerIncarnation second = (secondStart > 0) ? RunnerIncarnation.startedAt(secondStart)
+				: RunnerIncarnation.UNKNOWN;
+		this.rollout.reportReceived(OptionalInt.empty(), false, 0, first, this.now);
 		setTarget(2);
-		this.rollout.fetched(2, true, this.now);
+		this.rollout.fetchEnded(2, true, this.now);
 		advance(100);
-		this.rollout.verified(2, true, this.now);
-		this.rollout.ordered(true, this.now);
-		this.rollout.reported(OptionalInt.empty(), true, 1, first, this.now);
+		this.rollout.verificationEnded(2, true, this.now);
+		this.rollout.orderAnswered(true, this.now);
+		this.rollout.reportReceived(OptionalInt.empty(), true, 1, first, this.now);
 		this.rollout.drain();
 		this.all.clear();
-		this.rollout.reported(OptionalInt.empty(), false, orders, second, this.now);
-		if (first.before(second)) {
-			this.rollout.reported(OptionalInt.of(2), false, 1, first, this.now);
+		this.rollout.reportReceived(OptionalInt.empty(), false, orders, second, this.now);
+		if (first.precedes(second)) {
+			this.rollout.reportReceived(OptionalInt.of(2), false, 1, first, this.now);
 		}
 		advance(100);
 		assertThat(this.all, Matchers.hasItem(new RolloutEffect.Verify(2)));
@@ -270,7 +272,7 @@
 		setTarget(1);
 		advance(fetchMillis);
 		this.all.clear();
-		this.rollout.fetched(1, true, this.now);
+		this.rollout.fetchEnded(1, true, this.now);
 		this.all.addAll(this.rollout.drain());
 		assertThat(this.all.contains(new RolloutEffect.Take(1, 0)), Matchers.equalTo(atOnce));
 		assertThat(this.all.contains(new RolloutEffect.Verify(1)), Matchers.equalTo(!atOnce));
@@ -281,15 +283,15 @@
 	@Test
 	void switchPrecedesTheActivationOfTheOldestPendingVersion() {
 		settleOn(1);
-		this.rollout.turn(0.99);
+		this.rollout.setPosition(0.99);
 		setTarget(2);
 		advance(500);
 		setTarget(3);
 		assertThat(this.all, Matchers.hasItem(new RolloutEffect.Fetch(3)));
 		advance(5500);
-		this.rollout.fetched(3, true, this.now);
+		this.rollout.fetchEnded(3, true, this.now);
 		advance(50);
-		long closes = this.rollout.latest().orElseThrow().word().closesNanos().orElseThrow() - this.now;
+		long closes = this.rollout.lastStatus().orElseThrow().status().switchStartNanos().orElseThrow() - this.now;
 		assertThat((double) closes / MILLI, Matchers.closeTo(720 - 50, 60));
 	}
 
@@ -301,7 +303,7 @@
 		settleOn(1);
 		setTarget(2);
 		advance(elapsedMillis);
-		this.rollout.fetching(share, this.now);
+		this.rollout.fetchProgressed(share, this.now);
 		this.all.clear();
 		setTarget(3);
 		assertThat(this.all.contains(new RolloutEffect.Abandon(2)), Matchers.equalTo(abandoned));
@@ -325,23 +327,23 @@
 	@CsvSource({ "0", "0.5", "0.99" })
 	void switchIsOnTimeWhenTickedOnlyAsScheduled(double position) {
 		settleOn(1);
-		this.rollout.turn(position);
+		this.rollout.setPosition(position);
 		runScheduled(5000, 1);
 		setTarget(2);
 		assertThat((this.rollout.nextNanos(this.now) - this.now) / MILLI, Matchers.lessThanOrEqualTo(150L));
 		runScheduled(1500, 1);
-		this.rollout.fetched(2, true, this.now);
-		long switchNanos = this.rollout.latest().orElseThrow().word().closesNanos().orElseThrow();
+		this.rollout.fetchEnded(2, true, this.now);
+		long switchNanos = this.rollout.lastStatus().orElseThrow().status().switchStartNanos().orElseThrow();
 		this.all.clear();
 		runScheduled((switchNanos - this.now) / MILLI - 401, 1);
 		assertThat(this.all, Matchers.not(Matchers.hasItem(new RolloutEffect.Verify(2))));
 		runScheduled(4, 1);
 		assertThat(this.all, Matchers.hasItem(new RolloutEffect.Verify(2)));
-		this.rollout.verified(2, true, this.now);
+		this.rollout.verificationEnded(2, true, this.now);
 		runScheduled((switchNanos - this.now) / MILLI - 1, 1);
-		assertThat(this.rollout.latest().orElseThrow().word().switching(), Matchers.is(false));
+		assertThat(this.rollout.lastStatus().orElseThrow().status().switching(), Matchers.is(false));
 		runScheduled(4, 1);
-		assertThat(this.rollout.latest().orElseThrow().word().switching(), Matchers.is(true));
+		assertThat(this.rollout.lastStatus().orElseThrow().status().switching(), Matchers.is(true));
 		runScheduled(80, 1);
 		assertThat(this.all, Matchers.hasItem(Matchers.instanceOf(RolloutEffect.Take.class)));
 	}
@@ -376,7 +378,7 @@
 	void failedFetchIsRepeatedWhenTickedOnlyAsScheduled() {
 		settleOn(1);
 		setTarget(2);
-		this.rollout.fetched(2, false, this.now);
+		this.rollout.fetchEnded(2, false, this.now);
 		this.all.clear();
 		runScheduled(500, 1);
 		assertThat(this.all, Matchers.hasItem(new RolloutEffect.Fetch(2)));
--- a/policy/src/test/java/org/wisteriapost/policy/routing/RejectionGuardTests.java
+++ b/policy/src/test/java/org/wisteriapost/policy/routing/RejectionGuardTests.java
@@ -23,7 +23,7 @@
 	@Test
 	void nothingIsRejectedBeforeTheFirstConfirmation() {
 		assertThat(this.guard.allows(5 * MILLI), Matchers.equalTo(false));
-		assertThat(this.guard.ageNanos(5 * MILLI).isPresent(), Matchers.equalTo(false));
+		assertThat(this.guard.stalenessNanos(5 * MILLI).isPresent(), Matchers.equalTo(false));
 	}
 
 	// System.nanoTime() may be negative.
@@ -43,7 +43,7 @@
 	@Test
 	void confirmationsBeforeASuspensionAreDiscarded() {
 		this.guard.confirmed(1000 * MILLI);
-		this.guard.doubt(1005 * MILLI);
+		this.guard.discardBefore(1005 * MILLI);
 		assertThat(this.guard.allows(1006 * MILLI), Matchers.equalTo(false));
 		this.guard.confirmed(1004 * MILLI);
 		assertThat(this.guard.allows(1007 * MILLI), Matchers.equalTo(false));
@@ -55,7 +55,7 @@
 	void aConfirmationOfAnEarlierTimeIsIgnored() {
 		this.guard.confirmed(1000 * MILLI);
 		this.guard.confirmed(400 * MILLI);
-		assertThat(this.guard.ageNanos(1500 * MILLI).getAsLong(), Matchers.equalTo(500 * MILLI));
+		assertThat(this.guard.stalenessNanos(1500 * MILLI).getAsLong(), Matchers.equalTo(500 * MILLI));
 	}
 
 }
--- a/policy/src/test/java/org/wisteriapost/policy/routing/RouteTableTests.java
+++ b/policy/src/test/java/org/wisteriapost/policy/routing/RouteTableTests.java
@@ -34,12 +34,12 @@
 	@ParameterizedTest
 	@CsvSource({ "0.0,first", "0.099,first", "0.1,second", "0.999,second" })
 	void servicesAreSelectedByWeight(double draw, String expected) {
-		assertThat(route("split", "/a/", 1).service(draw), Matchers.equalTo(expected));
+		assertThat(route("split", "/a/", 1).selectService(draw), Matchers.equalTo(expected));
 	}
 
 	@Test
 	void aTableWithoutTokensRequiresNone() {
-		assertThat(this.table.asksForTokens(), Matchers.equalTo(false));
+		assertThat(this.table.requiresTokens(), Matchers.equalTo(false));
 	}
 
 }
--- a/policy/src/test/java/org/wisteriapost/policy/transfer/CrossDomainRequestsTests.java
+++ b/policy/src/test/java/org/wisteriapost/policy/transfer/CrossDomainRequestsTests.java
@@ -25,7 +25,7 @@
 	// sooner, it crosses between failure domains twice.
 	private static final long MIN_WAIT = Duration.ofMillis(1500).toNanos();
 
-	private final Pieces chunks = Pieces.of(List.of(new WeightFile("lm", "2", "lm/2", "2", CHUNKS * 10L, 10,
+	private final ChunkIndex chunks = ChunkIndex.of(List.of(new WeightFile("lm", "2", "lm/2", "2", CHUNKS * 10L, 10,
 			IntStream.range(0, CHUNKS).mapToObj((i) -> Digests.sha256(("chunk" + i).getBytes())).toList())));
 
 	private static List<Peer> peers() {
@@ -44,7 +44,7 @@
 	void eachChunkIsFetchedByOneVmOfAFailureDomain() {
 		List<BitSet> allowed = new ArrayList<>();
 		peers().stream()
-			.filter((peer) -> peer.place().equals("here"))
+			.filter((peer) -> peer.failureDomain().equals("here"))
 			.forEach((peer) -> allowed.add(requests(peer, Set.of()).allowed()));
 		for (int chunk = 0; chunk < CHUNKS; chunk++) {
 			int at = chunk;
--- a/policy/src/test/java/org/wisteriapost/policy/transfer/LinkPacingTests.java
+++ b/policy/src/test/java/org/wisteriapost/policy/transfer/LinkPacingTests.java
@@ -34,12 +34,12 @@
 
 	@Test
 	void averageRateStaysWithinTheLimitAndBurst() {
-		Pacer pacer = Pacer.create(0.1);
-		pacer.rate(1000, 0);
+		TokenBucket pacer = TokenBucket.create(0.1);
+		pacer.setRate(1000, 0);
 		int sent = 0;
 		for (long now = 0; now < 10 * SECOND; now += SECOND / 1000) {
 			if (pacer.delayNanos(now) == 0) {
-				pacer.take(50);
+				pacer.consume(50);
 				sent += 50;
 			}
 		}
@@ -49,17 +49,17 @@
 
 	@Test
 	void noDelayWithoutARate() {
-		Pacer pacer = Pacer.create(0.1);
-		pacer.take(1_000_000);
+		TokenBucket pacer = TokenBucket.create(0.1);
+		pacer.consume(1_000_000);
 		assertThat(pacer.delayNanos(1), is(0L));
 	}
 
 	@Test
 	void burstIsBoundedAfterALongPause() {
-		Pacer pacer = Pacer.create(0.1);
-		pacer.rate(1000, 0);
+		TokenBucket pacer = TokenBucket.create(0.1);
+		pacer.setRate(1000, 0);
 		assertThat(pacer.delayNanos(3600 * SECOND), is(0L));
-		pacer.take(101);
+		pacer.consume(101);
 		assertThat(pacer.delayNanos(3600 * SECOND), is(greaterThan(0L)));
 	}
 
--- a/policy/src/test/java/org/wisteriapost/policy/transfer/NarrowLinkTests.java
+++ b/policy/src/test/java/org/wisteriapost/policy/transfer/NarrowLinkTests.java
@@ -31,8 +31,8 @@
 
 	private final Invariants invariants = Invariants.create();
 
-	private final Pieces chunks = Pieces.of(List.of(new WeightFile("model", "1", "model", "etag", 64L * CHUNK, CHUNK,
-			IntStream.range(0, 64).mapToObj((index) -> "hash-" + index).toList())));
+	private final ChunkIndex chunks = ChunkIndex.of(List.of(new WeightFile("model", "1", "model", "etag", 64L * CHUNK,
+			CHUNK, IntStream.range(0, 64).mapToObj((index) -> "hash-" + index).toList())));
 
 	// Requested parts queue on a link with a tenth of its declared capacity, time out
 	// and are requested again elsewhere while they still arrive. That must not keep the
@@ -77,21 +77,21 @@
 	}
 
 	private SimulatedLink link(long seed) {
-		TransferLimits limits = new TransferLimits(TransferLimits.Design.SWARM, 1, 2, 8, 6, 1, Duration.ofMillis(600),
-				Duration.ofMillis(80), 16, true, true);
-		TransferMachine machine = TransferMachine.create(this.chunks, new Peer("self", "place"), limits,
+		TransferLimits limits = new TransferLimits(TransferLimits.Distribution.SWARM, 1, 2, 8, 6, 1,
+				Duration.ofMillis(600), Duration.ofMillis(80), 16, true, true);
+		TransferStateMachine machine = TransferStateMachine.create(this.chunks, new Peer("self", "place"), limits,
 				RandomSource.XO_RO_SHI_RO_128_PP.create(seed), this.invariants);
 		List<Peer> peers = IntStream.range(0, 8).mapToObj((index) -> new Peer("peer-" + index, "place")).toList();
 		SimulatedLink link = new SimulatedLink(machine, this.chunks, DECLARED_RATE, 0.85 * DECLARED_RATE);
 		link.apply(new TransferEvent.RateSet(0.85 * DECLARED_RATE));
-		link.apply(new TransferEvent.PeersSeen(peers));
+		link.apply(new TransferEvent.PeersChanged(peers));
 		BitSet all = new BitSet();
 		all.set(0, this.chunks.count());
 		for (Peer peer : peers) {
 			link.apply(new TransferEvent.LinkUp(peer.vm()));
 			link.apply(new TransferEvent.PeerHolds(peer.vm(), all));
 		}
-		link.apply(new TransferEvent.Held(new BitSet()));
+		link.apply(new TransferEvent.StoreScanned(new BitSet()));
 		assertThat(this.invariants.violations(), is(Map.of()));
 		return link;
 	}
--- a/policy/src/test/java/org/wisteriapost/policy/transfer/PeerSelectionTests.java
+++ b/policy/src/test/java/org/wisteriapost/policy/transfer/PeerSelectionTests.java
@@ -30,7 +30,7 @@
 		Map<String, Set<String>> chosen = new HashMap<>();
 		for (Peer self : all) {
 			Set<String> links = PeerSelection.choose(self, without(all, self), LIMITS);
-			assertThat(links.size(), is(lessThanOrEqualTo(LIMITS.neighbours())));
+			assertThat(links.size(), is(lessThanOrEqualTo(LIMITS.maxPeers())));
 			assertThat(links, not(hasItem(self.vm())));
 			chosen.put(self.vm(), links);
 		}
@@ -39,19 +39,19 @@
 
 	@Test
 	void smallFleetIsAFullMesh() {
-		List<Peer> all = fleet(LIMITS.neighbours() + 1);
+		List<Peer> all = fleet(LIMITS.maxPeers() + 1);
 		Peer self = all.getFirst();
-		assertThat(PeerSelection.choose(self, without(all, self), LIMITS).size(), is(LIMITS.neighbours()));
+		assertThat(PeerSelection.choose(self, without(all, self), LIMITS).size(), is(LIMITS.maxPeers()));
 	}
 
 	@Test
 	void eachChunkHasExactlyOneVmRankedFirst() {
 		List<Peer> all = fleet(20);
-		Pieces chunks = Pieces.of(List.of(Weights.file("model", "a", "b", "c", "d", "e", "f", "g", "h")));
+		ChunkIndex chunks = ChunkIndex.of(List.of(Weights.file("model", "a", "b", "c", "d", "e", "f", "g", "h")));
 		int[] firsts = new int[chunks.count()];
 		for (Peer self : all) {
 			RendezvousRanking rank = new RendezvousRanking(chunks, self);
-			rank.update(without(all, self), Set.of(), TransferLimits.Design.SWARM);
+			rank.update(without(all, self), Set.of(), TransferLimits.Distribution.SWARM);
 			for (int chunk = 0; chunk < firsts.length; chunk++) {
 				firsts[chunk] += (rank.rankOf(chunk) == 0) ? 1 : 0;
 			}
@@ -62,9 +62,9 @@
 	@Test
 	void failingVmIsReplacedByTheNextInRank() {
 		List<Peer> all = fleet(2);
-		Pieces chunks = Pieces.of(List.of(Weights.file("model", "a", "b", "c", "d", "e", "f", "g", "h")));
+		ChunkIndex chunks = ChunkIndex.of(List.of(Weights.file("model", "a", "b", "c", "d", "e", "f", "g", "h")));
 		RendezvousRanking rank = new RendezvousRanking(chunks, all.get(0));
-		rank.update(List.of(all.get(1)), Set.of(all.get(1).vm()), TransferLimits.Design.SWARM);
+		rank.update(List.of(all.get(1)), Set.of(all.get(1).vm()), TransferLimits.Distribution.SWARM);
 		for (int chunk = 0; chunk < chunks.count(); chunk++) {
 			assertThat(rank.rankOf(chunk), is(0));
 		}
--- a/policy/src/test/java/org/wisteriapost/policy/transfer/SimulatedLink.java
+++ b/policy/src/test/java/org/wisteriapost/policy/transfer/SimulatedLink.java
@@ -29,9 +29,9 @@
 
 	private static final int REQUEST_BYTES = 1_100;
 
-	private final TransferMachine machine;
+	private final TransferStateMachine machine;
 
-	private final Pieces chunks;
+	private final ChunkIndex chunks;
 
 	private final double uploadRate;
 
@@ -48,7 +48,7 @@
 
 	private long idleAt;
 
-	SimulatedLink(TransferMachine machine, Pieces chunks, double rate, double uploadRate) {
+	SimulatedLink(TransferStateMachine machine, ChunkIndex chunks, double rate, double uploadRate) {
 		this.machine = machine;
 		this.chunks = chunks;
 		this.rate = rate;
@@ -87,7 +87,7 @@
 	}
 
 	int verified() {
-		return this.machine.verified();
+		return this.machine.verifiedCount();
 	}
 
 	/**
@@ -116,12 +116,12 @@
 			schedule(LATENCY, () -> send(request, request.offset()));
 		}
 		else if (effect instanceof TransferEffect.Store store) {
-			schedule(MILLI / 5, () -> apply(new TransferEvent.Stored(store.piece())));
+			schedule(MILLI / 5, () -> apply(new TransferEvent.Stored(store.chunk())));
 		}
 	}
 
 	private void send(TransferEffect.Request request, int offset) {
-		int chunkBytes = this.chunks.length(request.piece());
+		int chunkBytes = this.chunks.length(request.chunk());
 		int requestedEnd = (request.length() > 0) ? request.offset() + request.length() : chunkBytes;
 		int length = Math.min((int) (this.uploadRate * PART_SECONDS), requestedEnd - offset);
 		long sendNanos = (long) (length / this.uploadRate * CONCURRENT_UPLOADS * SECOND);
@@ -138,12 +138,12 @@
 	}
 
 	private void arrive(TransferEffect.Request request, int end) {
-		if (end < this.chunks.length(request.piece())) {
-			apply(new TransferEvent.PartCame(request.piece(), request.vm(), end));
+		if (end < this.chunks.length(request.chunk())) {
+			apply(new TransferEvent.PartReceived(request.chunk(), request.vm(), end));
 			return;
 		}
-		this.received.merge(request.piece(), 1, Integer::sum);
-		apply(new TransferEvent.Verified(request.piece(), request.vm()));
+		this.received.merge(request.chunk(), 1, Integer::sum);
+		apply(new TransferEvent.Verified(request.chunk(), request.vm()));
 	}
 
 	private void schedule(long delay, Runnable action) {
--- a/policy/src/test/java/org/wisteriapost/policy/transfer/TransferMachineTests.java
+++ b/policy/src/test/java/org/wisteriapost/policy/transfer/TransferStateMachineTests.java
@@ -19,22 +19,22 @@
 import static org.hamcrest.Matchers.is;
 import static org.hamcrest.Matchers.not;
 
-class TransferMachineTests {
+class TransferStateMachineTests {
 
 	private static final long MILLI = 1_000_000;
 
-	private static final long DEADLINE = TransferLimits.standard().progressDeadline().toNanos();
+	private static final long DEADLINE = TransferLimits.standard().minTimeout().toNanos();
 
 	private static final Peer OTHER = new Peer("other", "place");
 
 	private static final Peer THIRD = new Peer("third", "place");
 
-	private final Pieces chunks = Pieces
+	private final ChunkIndex chunks = ChunkIndex
 		.of(List.of(Weights.file("model", IntStream.range(0, 40).mapToObj((i) -> "hash-" + i).toArray(String[]::new))));
 
 	private final Invariants invariants = Invariants.create();
 
-	private final TransferMachine machine = TransferMachine.create(this.chunks, new Peer("self", "place"),
+	private final TransferStateMachine machine = TransferStateMachine.create(this.chunks, new Peer("self", "place"),
 			TransferLimits.standard(), RandomSource.XO_RO_SHI_RO_128_PP.create(7), this.invariants);
 
 	private long now = Duration.ofHours(5).toNanos();
@@ -46,15 +46,15 @@
 
 	@Test
 	void chunksWithoutPeersAreReadFromTheOriginAndStoredOnceVerified() {
-		apply(new TransferEvent.PeersSeen(List.of()));
-		List<Integer> requested = reads(apply(new TransferEvent.Held(new BitSet())));
-		assertThat(requested.size(), is(TransferLimits.standard().originReads()));
+		apply(new TransferEvent.PeersChanged(List.of()));
+		List<Integer> requested = reads(apply(new TransferEvent.StoreScanned(new BitSet())));
+		assertThat(requested.size(), is(TransferLimits.standard().maxOriginReads()));
 		int chunk = requested.getFirst();
-		assertThat(apply(new TransferEvent.Verified(chunk, TransferMachine.ORIGIN)),
+		assertThat(apply(new TransferEvent.Verified(chunk, TransferStateMachine.ORIGIN)),
 				hasItem(new TransferEffect.Store(chunk)));
-		assertThat(this.machine.held().get(chunk), is(false));
+		assertThat(this.machine.heldChunks().get(chunk), is(false));
 		apply(new TransferEvent.Stored(chunk));
-		assertThat(this.machine.held().get(chunk), is(true));
+		assertThat(this.machine.heldChunks().get(chunk), is(true));
 	}
 
 	// The first VM to start a fetch reads its own chunks but not those of peers that are
@@ -62,17 +62,17 @@
 	// something else, and its chunks are read by this VM.
 	@Test
 	void peerThatDoesNotFetchIsReplacedAfterTheGracePeriod() {
-		apply(new TransferEvent.PeersSeen(List.of(OTHER, THIRD)));
+		apply(new TransferEvent.PeersChanged(List.of(OTHER, THIRD)));
 		for (Peer peer : List.of(OTHER, THIRD)) {
 			apply(new TransferEvent.LinkUp(peer.vm()));
-			apply(new TransferEvent.PeerIdle(peer.vm()));
+			apply(new TransferEvent.PeerNotFetching(peer.vm()));
 		}
-		List<TransferEffect> first = apply(new TransferEvent.Held(new BitSet()));
+		List<TransferEffect> first = apply(new TransferEvent.StoreScanned(new BitSet()));
 		int own = readAll(first).cardinality();
 		assertThat(own < 25, is(true));
 		this.now += Duration.ofMillis(1100).toNanos();
 		readAll(apply(new TransferEvent.Tick()));
-		assertThat(this.machine.held().cardinality(), is(40));
+		assertThat(this.machine.heldChunks().cardinality(), is(40));
 	}
 
 	// A chunk corrupted in a peer's memory must neither be stored nor announced; the
@@ -82,7 +82,7 @@
 		int chunk = requestFromOther();
 		List<TransferEffect> effects = apply(new TransferEvent.Corrupt(chunk, OTHER.vm()));
 		assertThat(effects, not(hasItem(instanceOf(TransferEffect.Store.class))));
-		assertThat(effects, hasItem(new TransferEffect.Notice(TransferMachine.PEER_CORRUPT, OTHER.vm(), chunk)));
+		assertThat(effects, hasItem(new TransferEffect.Notice(TransferStateMachine.PEER_CORRUPT, OTHER.vm(), chunk)));
 		assertThat(requests(effects, OTHER), is(empty()));
 		this.now += Duration.ofSeconds(29).toNanos();
 		assertThat(requests(apply(new TransferEvent.Tick()), OTHER), is(empty()));
@@ -92,10 +92,10 @@
 
 	@Test
 	void corruptOriginIsTriedThreeTimesThenTheFetchFails() {
-		apply(new TransferEvent.PeersSeen(List.of()));
-		int chunk = reads(apply(new TransferEvent.Held(new BitSet()))).getFirst();
-		TransferEvent corrupt = new TransferEvent.Corrupt(chunk, TransferMachine.ORIGIN);
-		TransferEffect failed = new TransferEffect.Fail(TransferMachine.ORIGIN_CORRUPT, chunk);
+		apply(new TransferEvent.PeersChanged(List.of()));
+		int chunk = reads(apply(new TransferEvent.StoreScanned(new BitSet()))).getFirst();
+		TransferEvent corrupt = new TransferEvent.Corrupt(chunk, TransferStateMachine.ORIGIN);
+		TransferEffect failed = new TransferEffect.Fail(TransferStateMachine.ORIGIN_CORRUPT, chunk);
 		assertThat(apply(corrupt), not(hasItem(failed)));
 		assertThat(apply(corrupt), not(hasItem(failed)));
 		assertThat(apply(corrupt), hasItem(failed));
@@ -103,18 +103,19 @@
 
 	@Test
 	void changedVersionEndsTheFetch() {
-		apply(new TransferEvent.PeersSeen(List.of()));
-		int chunk = reads(apply(new TransferEvent.Held(new BitSet()))).getFirst();
-		assertThat(apply(new TransferEvent.OriginFailed(chunk, true)), is(List.of(new TransferEffect.Changed(chunk))));
+		apply(new TransferEvent.PeersChanged(List.of()));
+		int chunk = reads(apply(new TransferEvent.StoreScanned(new BitSet()))).getFirst();
+		assertThat(apply(new TransferEvent.OriginReadFailed(chunk, true)),
+				is(List.of(new TransferEffect.VersionChanged(chunk))));
 		this.now += DEADLINE * 10;
 		assertThat(reads(apply(new TransferEvent.Tick())), is(empty()));
 	}
 
 	@Test
 	void unreachableOriginIsRetriedLater() {
-		apply(new TransferEvent.PeersSeen(List.of()));
-		for (int chunk : reads(apply(new TransferEvent.Held(new BitSet())))) {
-			assertThat(reads(apply(new TransferEvent.OriginFailed(chunk, false))), is(empty()));
+		apply(new TransferEvent.PeersChanged(List.of()));
+		for (int chunk : reads(apply(new TransferEvent.StoreScanned(new BitSet())))) {
+			assertThat(reads(apply(new TransferEvent.OriginReadFailed(chunk, false))), is(empty()));
 		}
 		this.now += Duration.ofSeconds(1).toNanos();
 		assertThat(reads(apply(new TransferEvent.Tick())), is(not(empty())));
@@ -124,14 +125,14 @@
 	// get the weights too late for their activation.
 	@Test
 	void originBackoffStaysShortDuringALongOutage() {
-		apply(new TransferEvent.PeersSeen(List.of()));
-		List<Integer> requested = reads(apply(new TransferEvent.Held(new BitSet())));
+		apply(new TransferEvent.PeersChanged(List.of()));
+		List<Integer> requested = reads(apply(new TransferEvent.StoreScanned(new BitSet())));
 		for (int tick = 0; tick < 300; tick++) {
-			requested.forEach((chunk) -> apply(new TransferEvent.OriginFailed(chunk, false)));
+			requested.forEach((chunk) -> apply(new TransferEvent.OriginReadFailed(chunk, false)));
 			this.now += 20 * MILLI;
 			requested = reads(apply(new TransferEvent.Tick()));
 		}
-		requested.forEach((chunk) -> apply(new TransferEvent.OriginFailed(chunk, false)));
+		requested.forEach((chunk) -> apply(new TransferEvent.OriginReadFailed(chunk, false)));
 		this.now += Duration.ofMillis(500).toNanos();
 		assertThat(reads(apply(new TransferEvent.Tick())), is(not(empty())));
 	}
@@ -142,7 +143,7 @@
 	@Test
 	void nextInRankReadsOnlyWhenNoChunkAppears() {
 		connectTwoPeers();
-		BitSet own = readAll(apply(new TransferEvent.Held(new BitSet())));
+		BitSet own = readAll(apply(new TransferEvent.StoreScanned(new BitSet())));
 		assertThat(own.cardinality() < this.chunks.count(), is(true));
 		apply(new TransferEvent.Tick());
 		assertThat(reads(advance(DEADLINE - MILLI)), is(empty()));
@@ -153,8 +154,8 @@
 	// chunks.
 	@Test
 	void lateVmWaitsForReportsOfPeersBeforeItReadsTheOrigin() {
-		apply(new TransferEvent.PeersSeen(List.of(OTHER)));
-		assertThat(reads(apply(new TransferEvent.Held(new BitSet()))), is(empty()));
+		apply(new TransferEvent.PeersChanged(List.of(OTHER)));
+		assertThat(reads(apply(new TransferEvent.StoreScanned(new BitSet()))), is(empty()));
 		assertThat(reads(apply(new TransferEvent.LinkUp(OTHER.vm()))), is(empty()));
 		BitSet all = new BitSet();
 		all.set(0, this.chunks.count());
@@ -165,9 +166,9 @@
 
 	@Test
 	void unresponsivePeerDelaysTheFirstReadByOneTimeout() {
-		apply(new TransferEvent.PeersSeen(List.of(OTHER)));
+		apply(new TransferEvent.PeersChanged(List.of(OTHER)));
 		apply(new TransferEvent.LinkUp(OTHER.vm()));
-		assertThat(reads(apply(new TransferEvent.Held(new BitSet()))), is(empty()));
+		assertThat(reads(apply(new TransferEvent.StoreScanned(new BitSet()))), is(empty()));
 		this.now += DEADLINE + MILLI;
 		assertThat(reads(apply(new TransferEvent.Tick())), is(not(empty())));
 	}
@@ -178,9 +179,9 @@
 		connectTwoPeers();
 		this.now += DEADLINE * 100;
 		apply(new TransferEvent.Tick());
-		List<Integer> started = reads(apply(new TransferEvent.Held(new BitSet())));
+		List<Integer> started = reads(apply(new TransferEvent.StoreScanned(new BitSet())));
 		RendezvousRanking rank = new RendezvousRanking(this.chunks, new Peer("self", "place"));
-		rank.update(List.of(OTHER, THIRD), java.util.Set.of(), TransferLimits.Design.SWARM);
+		rank.update(List.of(OTHER, THIRD), java.util.Set.of(), TransferLimits.Distribution.SWARM);
 		for (int chunk : started) {
 			assertThat(rank.rankOf(chunk), is(0));
 		}
@@ -191,7 +192,7 @@
 		connectTwoPeers();
 		apply(new TransferEvent.LinkDown(OTHER.vm()));
 		apply(new TransferEvent.LinkDown(THIRD.vm()));
-		BitSet own = readAll(apply(new TransferEvent.Held(new BitSet())));
+		BitSet own = readAll(apply(new TransferEvent.StoreScanned(new BitSet())));
 		assertThat(own.cardinality(), is(this.chunks.count()));
 	}
 
@@ -199,7 +200,7 @@
 	@Test
 	void chunksOfAStalledPeerAreRequestedElsewhere() {
 		int chunk = requestFromOther();
-		apply(new TransferEvent.PeersSeen(List.of(OTHER, THIRD)));
+		apply(new TransferEvent.PeersChanged(List.of(OTHER, THIRD)));
 		apply(new TransferEvent.LinkUp(THIRD.vm()));
 		BitSet held = new BitSet();
 		held.set(chunk);
@@ -207,7 +208,7 @@
 		assertThat(beforeTimeout, not(hasItem(new TransferEffect.Request(THIRD.vm(), chunk))));
 		List<TransferEffect> afterTimeout = advance(DEADLINE * 2);
 		assertThat(afterTimeout, hasItem(new TransferEffect.Request(THIRD.vm(), chunk)));
-		assertThat(afterTimeout, hasItem(new TransferEffect.Notice(TransferMachine.PEER_STALLED, OTHER.vm(), 0)));
+		assertThat(afterTimeout, hasItem(new TransferEffect.Notice(TransferStateMachine.PEER_STALLED, OTHER.vm(), 0)));
 	}
 
 	// A part exceeds its timeout since the local link is slow. When it arrives, the
@@ -215,8 +216,8 @@
 	@Test
 	void chunkContinuesAfterALatePart() {
 		int chunk = requestFromOther();
-		assertThat(advance(DEADLINE * 2), not(hasItem(new TransferEffect.Drop(OTHER.vm(), chunk))));
-		assertThat(apply(new TransferEvent.PartCame(chunk, OTHER.vm(), 60)),
+		assertThat(advance(DEADLINE * 2), not(hasItem(new TransferEffect.DiscardParts(OTHER.vm(), chunk))));
+		assertThat(apply(new TransferEvent.PartReceived(chunk, OTHER.vm(), 60)),
 				hasItem(new TransferEffect.Request(OTHER.vm(), chunk, 60, 0)));
 	}
 
@@ -225,10 +226,10 @@
 	void partReceivedAfterItsChunkIsDiscarded() {
 		int chunk = requestFromOther();
 		advance(DEADLINE * 2);
-		apply(new TransferEvent.Verified(chunk, TransferMachine.ORIGIN));
+		apply(new TransferEvent.Verified(chunk, TransferStateMachine.ORIGIN));
 		apply(new TransferEvent.Stored(chunk));
-		assertThat(apply(new TransferEvent.PartCame(chunk, OTHER.vm(), 60)),
-				hasItem(new TransferEffect.Drop(OTHER.vm(), chunk)));
+		assertThat(apply(new TransferEvent.PartReceived(chunk, OTHER.vm(), 60)),
+				hasItem(new TransferEffect.DiscardParts(OTHER.vm(), chunk)));
 	}
 
 	@Test
@@ -242,9 +243,9 @@
 
 	@Test
 	void chunkThatAPeerNoLongerHoldsIsNotRequestedFromItAgain() {
-		apply(new TransferEvent.PeersSeen(List.of(OTHER)));
+		apply(new TransferEvent.PeersChanged(List.of(OTHER)));
 		apply(new TransferEvent.LinkUp(OTHER.vm()));
-		apply(new TransferEvent.Held(new BitSet()));
+		apply(new TransferEvent.StoreScanned(new BitSet()));
 		BitSet held = new BitSet();
 		held.set(23);
 		int chunk = requests(apply(new TransferEvent.PeerHolds(OTHER.vm(), held)), OTHER).getFirst();
@@ -257,56 +258,56 @@
 	@Test
 	void requestsInFlightAreBounded() {
 		connectTwoPeers();
-		apply(new TransferEvent.Held(new BitSet()));
+		apply(new TransferEvent.StoreScanned(new BitSet()));
 		BitSet all = new BitSet();
 		all.set(0, this.chunks.count());
 		List<Integer> requested = requests(apply(new TransferEvent.PeerHolds(OTHER.vm(), all)), OTHER);
-		assertThat(requested.size(), is(TransferLimits.standard().perPeer()));
+		assertThat(requested.size(), is(TransferLimits.standard().maxChunksPerPeer()));
 	}
 
 	@Test
 	void originIsNotReadBeforePeersHaveReported() {
-		apply(new TransferEvent.PeersSeen(List.of(OTHER)));
-		assertThat(reads(apply(new TransferEvent.Held(new BitSet()))), is(empty()));
+		apply(new TransferEvent.PeersChanged(List.of(OTHER)));
+		assertThat(reads(apply(new TransferEvent.StoreScanned(new BitSet()))), is(empty()));
 		apply(new TransferEvent.LinkUp(OTHER.vm()));
 		assertThat(reads(apply(new TransferEvent.PeerHolds(OTHER.vm(), new BitSet()))), is(not(empty())));
 	}
 
 	@Test
 	void unresponsivePeerDelaysOriginReadsNoLongerThanTheTimeout() {
-		apply(new TransferEvent.PeersSeen(List.of(OTHER)));
-		apply(new TransferEvent.Held(new BitSet()));
+		apply(new TransferEvent.PeersChanged(List.of(OTHER)));
+		apply(new TransferEvent.StoreScanned(new BitSet()));
 		this.now += DEADLINE + MILLI;
 		assertThat(reads(apply(new TransferEvent.Tick())), is(not(empty())));
 	}
 
 	@Test
 	void restartFetchesOnlyMissingChunks() {
-		apply(new TransferEvent.PeersSeen(List.of()));
+		apply(new TransferEvent.PeersChanged(List.of()));
 		BitSet held = new BitSet();
 		held.set(0, this.chunks.count());
 		held.clear(17);
-		assertThat(reads(apply(new TransferEvent.Held(held))), is(List.of(17)));
-		apply(new TransferEvent.Verified(17, TransferMachine.ORIGIN));
+		assertThat(reads(apply(new TransferEvent.StoreScanned(held))), is(List.of(17)));
+		apply(new TransferEvent.Verified(17, TransferStateMachine.ORIGIN));
 		assertThat(apply(new TransferEvent.Stored(17)), hasItem(new TransferEffect.Complete()));
 	}
 
 	@Test
 	void chunkLostByTheStoreIsFetchedAgain() {
-		apply(new TransferEvent.PeersSeen(List.of()));
+		apply(new TransferEvent.PeersChanged(List.of()));
 		BitSet held = new BitSet();
 		held.set(0, this.chunks.count());
-		assertThat(apply(new TransferEvent.Held(held)), hasItem(new TransferEffect.Complete()));
+		assertThat(apply(new TransferEvent.StoreScanned(held)), hasItem(new TransferEffect.Complete()));
 		assertThat(reads(apply(new TransferEvent.Lost(3))), is(List.of(3)));
 	}
 
 	@Test
 	void announcementRateIsBounded() {
-		apply(new TransferEvent.PeersSeen(List.of()));
+		apply(new TransferEvent.PeersChanged(List.of()));
 		BitSet held = new BitSet();
 		held.set(0, 10);
-		assertThat(apply(new TransferEvent.Held(held)), hasItem(new TransferEffect.Announce(held)));
-		apply(new TransferEvent.Verified(20, TransferMachine.ORIGIN));
+		assertThat(apply(new TransferEvent.StoreScanned(held)), hasItem(new TransferEffect.Announce(held)));
+		apply(new TransferEvent.Verified(20, TransferStateMachine.ORIGIN));
 		List<TransferEffect> soon = apply(new TransferEvent.Stored(20));
 		assertThat(soon, not(hasItem(instanceOf(TransferEffect.Announce.class))));
 		this.now += TransferLimits.standard().announceInterval().toNanos();
@@ -315,11 +316,11 @@
 
 	@Test
 	void lastChunksAreAnnouncedWhenTheFetchCompletes() {
-		apply(new TransferEvent.PeersSeen(List.of()));
+		apply(new TransferEvent.PeersChanged(List.of()));
 		BitSet held = new BitSet();
 		held.set(0, this.chunks.count() - 1);
-		int last = reads(apply(new TransferEvent.Held(held))).getFirst();
-		apply(new TransferEvent.Verified(last, TransferMachine.ORIGIN));
+		int last = reads(apply(new TransferEvent.StoreScanned(held))).getFirst();
+		apply(new TransferEvent.Verified(last, TransferStateMachine.ORIGIN));
 		List<TransferEffect> effects = apply(new TransferEvent.Stored(last));
 		assertThat(effects, hasItem(new TransferEffect.Complete()));
 		assertThat(effects, hasItem(instanceOf(TransferEffect.Announce.class)));
@@ -354,23 +355,23 @@
 		while (!open.isEmpty()) {
 			int chunk = open.removeFirst();
 			read.set(chunk);
-			open.addAll(reads(apply(new TransferEvent.Verified(chunk, TransferMachine.ORIGIN))));
+			open.addAll(reads(apply(new TransferEvent.Verified(chunk, TransferStateMachine.ORIGIN))));
 			open.addAll(reads(apply(new TransferEvent.Stored(chunk))));
 		}
 		return read;
 	}
 
 	private int requestFromOther() {
-		apply(new TransferEvent.PeersSeen(List.of(OTHER)));
+		apply(new TransferEvent.PeersChanged(List.of(OTHER)));
 		apply(new TransferEvent.LinkUp(OTHER.vm()));
-		apply(new TransferEvent.Held(new BitSet()));
+		apply(new TransferEvent.StoreScanned(new BitSet()));
 		BitSet all = new BitSet();
 		all.set(0, this.chunks.count());
 		return requests(apply(new TransferEvent.PeerHolds(OTHER.vm(), all)), OTHER).getFirst();
 	}
 
 	private void connectTwoPeers() {
-		apply(new TransferEvent.PeersSeen(List.of(OTHER, THIRD)));
+		apply(new TransferEvent.PeersChanged(List.of(OTHER, THIRD)));
 		apply(new TransferEvent.LinkUp(OTHER.vm()));
 		apply(new TransferEvent.LinkUp(THIRD.vm()));
 		apply(new TransferEvent.PeerHolds(OTHER.vm(), new BitSet()));
@@ -384,7 +385,7 @@
 	private static List<Integer> reads(List<TransferEffect> effects) {
 		return effects.stream()
 			.filter(TransferEffect.ReadOrigin.class::isInstance)
-			.map((effect) -> ((TransferEffect.ReadOrigin) effect).piece())
+			.map((effect) -> ((TransferEffect.ReadOrigin) effect).chunk())
 			.toList();
 	}
 
@@ -393,7 +394,7 @@
 			.filter(TransferEffect.Request.class::isInstance)
 			.map(TransferEffect.Request.class::cast)
 			.filter((request) -> request.vm().equals(peer.vm()))
-			.map(TransferEffect.Request::piece)
+			.map(TransferEffect.Request::chunk)
 			.toList();
 	}
 
--- a/policy/src/test/java/org/wisteriapost/policy/transfer/UploadsTests.java
+++ b/policy/src/test/java/org/wisteriapost/policy/transfer/UploadQueueTests.java
@@ -7,9 +7,9 @@
 import static org.hamcrest.MatcherAssert.assertThat;
 import static org.hamcrest.Matchers.is;
 
-class UploadsTests {
+class UploadQueueTests {
 
-	private final Uploads<String> uploads = Uploads.create(4, 2);
+	private final UploadQueue<String> uploads = UploadQueue.create(4, 2);
 
 	@Test
 	void peersAreServedInTurn() {
@@ -37,7 +37,7 @@
 			this.uploads.offer(peer, "2");
 		}
 		assertThat(this.uploads.offer("c", "1"), is(false));
-		this.uploads.drop("a");
+		this.uploads.removePeer("a");
 		assertThat(this.uploads.offer("c", "1"), is(true));
 	}
 
--- a/protocol/src/main/java/org/wisteriapost/protocol/http/HttpCall.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/http/HttpCall.java
@@ -13,13 +13,13 @@
  * @param target the absolute URI; its host is an IP address
  * @param headers by name
  * @param body empty for none
- * @param times the timeouts
- * @param mostIdle maximum idle time of a reused connection; empty for no limit
- * @param keptIdle maximum idle time of the connection afterwards; empty for the server's
- * limit
+ * @param timeouts the timeouts
+ * @param maxReuseIdle maximum idle time of a reused connection; empty for no limit
+ * @param maxKeepIdle maximum idle time of the connection afterwards; empty for the
+ * server's limit
  */
-public record HttpCall(String method, URI target, Map<String, String> headers, byte[] body, HttpTimes times,
-		Optional<Duration> mostIdle, Optional<Duration> keptIdle) {
+public record HttpCall(String method, URI target, Map<String, String> headers, byte[] body, HttpTimeouts timeouts,
+		Optional<Duration> maxReuseIdle, Optional<Duration> maxKeepIdle) {
 
 	private static final byte[] NO_BODY = new byte[0];
 
@@ -28,13 +28,13 @@
 	 * @param timeout the timeout for the complete response
 	 */
 	public static HttpCall of(String method, URI target, Duration timeout) {
-		return of(method, target, HttpTimes.whole(timeout));
+		return of(method, target, HttpTimeouts.total(timeout));
 	}
 
 	/**
 	 * Returns a request without a body.
 	 */
-	public static HttpCall of(String method, URI target, HttpTimes times) {
+	public static HttpCall of(String method, URI target, HttpTimeouts times) {
 		return new HttpCall(method, target, Map.of(), NO_BODY, times, Optional.empty(), Optional.empty());
 	}
 
@@ -44,15 +44,16 @@
 	public HttpCall header(String name, String value) {
 		Map<String, String> extended = new LinkedHashMap<>(this.headers);
 		extended.put(name, value);
-		return new HttpCall(this.method, this.target, extended, this.body, this.times, this.mostIdle, this.keptIdle);
+		return new HttpCall(this.method, this.target, extended, this.body, this.timeouts, this.maxReuseIdle,
+				this.maxKeepIdle);
 	}
 
 	/**
 	 * Returns this request with a limit on the idle time of its connection afterwards,
 	 * for a server with many clients and a low connection limit.
 	 */
-	public HttpCall keptIdle(Duration maxIdle) {
-		return new HttpCall(this.method, this.target, this.headers, this.body, this.times, this.mostIdle,
+	public HttpCall maxKeepIdle(Duration maxIdle) {
+		return new HttpCall(this.method, this.target, this.headers, this.body, this.timeouts, this.maxReuseIdle,
 				Optional.of(maxIdle));
 	}
 
@@ -60,7 +61,8 @@
 	 * Returns this request with a body.
 	 */
 	public HttpCall body(byte[] body) {
-		return new HttpCall(this.method, this.target, this.headers, body, this.times, this.mostIdle, this.keptIdle);
+		return new HttpCall(this.method, this.target, this.headers, body, this.timeouts, this.maxReuseIdle,
+				this.maxKeepIdle);
 	}
 
 }
--- a/protocol/src/main/java/org/wisteriapost/protocol/http/HttpReply.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/http/HttpResponse.java
@@ -10,7 +10,7 @@
  * @param headers by lower-case name
  * @param body the complete body
  */
-public record HttpReply(int status, Map<String, String> headers, byte[] body) {
+public record HttpResponse(int status, Map<String, String> headers, byte[] body) {
 
 	/**
 	 * Returns a header by its case-insensitive name.
--- a/protocol/src/main/java/org/wisteriapost/protocol/http/HttpListener.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/http/HttpResponseListener.java
@@ -7,7 +7,7 @@
  * Receives a streamed response, in order, on an I/O thread. Must not block. Exactly one
  * of {@link #onEnd} and {@link #onFailure} is called, last.
  */
-public interface HttpListener {
+public interface HttpResponseListener {
 
 	/**
 	 * Called when a new connection for the call is established, before anything is sent.
--- a/protocol/src/main/java/org/wisteriapost/protocol/http/HttpCaller.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/http/PooledHttpClient.java
@@ -17,7 +17,7 @@
 /**
  * An HTTP client with a connection pool, based on Undertow. A process has one instance.
  */
-public final class HttpCaller implements AutoCloseable {
+public final class PooledHttpClient implements AutoCloseable {
 
 	/** The response was not received completely. */
 	public static final Code HTTP_FAILED = Code.warning("http-call-failed",
@@ -31,7 +31,7 @@
 
 	private final ConnectionPool pool;
 
-	private HttpCaller(XnioWorker worker, ByteBufferPool buffers) {
+	private PooledHttpClient(XnioWorker worker, ByteBufferPool buffers) {
 		this.worker = worker;
 		this.pool = new ConnectionPool(worker, buffers);
 	}
@@ -39,7 +39,7 @@
 	/**
 	 * Creates a client with its own I/O threads.
 	 */
-	public static HttpCaller create(int ioThreads) {
+	public static PooledHttpClient create(int ioThreads) {
 		try {
 			XnioWorker worker = Xnio.getInstance()
 				.createWorker(OptionMap.builder()
@@ -50,7 +50,7 @@
 					.set(Options.TCP_NODELAY, true)
 					.set(Options.WORKER_NAME, "http-call")
 					.getMap());
-			return new HttpCaller(worker, new DefaultByteBufferPool(true, BUFFER_BYTES, -1, 4));
+			return new PooledHttpClient(worker, new DefaultByteBufferPool(true, BUFFER_BYTES, -1, 4));
 		}
 		catch (IOException ex) {
 			throw CodedException.of(HTTP_FAILED, "cannot create I/O threads: " + ex.getMessage(), ex);
@@ -68,8 +68,8 @@
 	 * Sends a request and returns the complete response. A failed future carries
 	 * {@link #HTTP_FAILED} with an {@link HttpCallException} as its cause.
 	 */
-	public CompletableFuture<HttpReply> call(HttpCall call) {
-		CompletableFuture<HttpReply> future = new CompletableFuture<>();
+	public CompletableFuture<HttpResponse> call(HttpCall call) {
+		CompletableFuture<HttpResponse> future = new CompletableFuture<>();
 		HttpExchange exchange = stream(call, new BufferingListener(future, call));
 		future.whenComplete((reply, failure) -> {
 			if (future.isCancelled()) {
@@ -82,7 +82,7 @@
 	/**
 	 * Sends a request and passes the response to a listener as it arrives.
 	 */
-	public HttpExchange stream(HttpCall call, HttpListener listener) {
+	public HttpExchange stream(HttpCall call, HttpResponseListener listener) {
 		PooledHttpExchange exchange = new PooledHttpExchange(call, listener, this.pool);
 		exchange.start();
 		return exchange;
@@ -94,9 +94,9 @@
 		this.worker.shutdownNow();
 	}
 
-	private static final class BufferingListener implements HttpListener {
+	private static final class BufferingListener implements HttpResponseListener {
 
-		private final CompletableFuture<HttpReply> future;
+		private final CompletableFuture<HttpResponse> future;
 
 		private final HttpCall call;
 
@@ -106,7 +106,7 @@
 
 		private Map<String, String> headers = Map.of();
 
-		private BufferingListener(CompletableFuture<HttpReply> future, HttpCall call) {
+		private BufferingListener(CompletableFuture<HttpResponse> future, HttpCall call) {
 			this.future = future;
 			this.call = call;
 		}
@@ -128,7 +128,7 @@
 
 		@Override
 		public void onEnd() {
-			this.future.complete(new HttpReply(this.status, this.headers, this.body.toByteArray()));
+			this.future.complete(new HttpResponse(this.status, this.headers, this.body.toByteArray()));
 		}
 
 		@Override
--- a/protocol/src/main/java/org/wisteriapost/protocol/http/PooledHttpExchange.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/http/PooledHttpExchange.java
@@ -41,7 +41,7 @@
 
 	private final HttpCall call;
 
-	private final HttpListener listener;
+	private final HttpResponseListener listener;
 
 	private final ConnectionPool pool;
 
@@ -69,28 +69,28 @@
 
 	private long maxIdleMillis = ConnectionPool.DEFAULT_MAX_IDLE_MILLIS;
 
-	PooledHttpExchange(HttpCall call, HttpListener listener, ConnectionPool pool) {
+	PooledHttpExchange(HttpCall call, HttpResponseListener listener, ConnectionPool pool) {
 		this.call = call;
 		this.listener = listener;
 		this.pool = pool;
 	}
 
 	void start() {
-		Duration whole = this.call.times().whole();
+		Duration whole = this.call.timeouts().total();
 		this.timer = schedule(whole, () -> fail(new TimeoutException("no complete response in " + whole)));
-		Optional<ClientConnection> pooled = this.pool.acquire(this.call.target(), this.call.mostIdle());
+		Optional<ClientConnection> pooled = this.pool.acquire(this.call.target(), this.call.maxReuseIdle());
 		if (pooled.isPresent()) {
 			ClientConnection reused = pooled.get();
 			reused.getIoThread().execute(() -> send(reused));
 			return;
 		}
-		this.connectTimer = schedule(this.call.times().connect(), this::onConnectTimeout);
+		this.connectTimer = schedule(this.call.timeouts().connect(), this::onConnectTimeout);
 		this.pool.connect(this.call.target(), new Step<>(this::send));
 	}
 
 	private void onConnectTimeout() {
 		if (this.connection == null) {
-			fail(new TimeoutException("no connection in " + this.call.times().connect().toMillis() + " ms"));
+			fail(new TimeoutException("no connection in " + this.call.timeouts().connect().toMillis() + " ms"));
 		}
 	}
 
@@ -101,22 +101,22 @@
 		if (this.done.get()) {
 			return;
 		}
-		HttpTimes times = this.call.times();
+		HttpTimeouts times = this.call.timeouts();
 		long now = System.nanoTime();
-		long remaining = this.sentNanos + times.first().toNanos() - now;
+		long remaining = this.sentNanos + times.responseStart().toNanos() - now;
 		if (this.responseStarted) {
-			remaining = Math.max(remaining, this.lastReadNanos + times.stall().toNanos() - now);
+			remaining = Math.max(remaining, this.lastReadNanos + times.readIdle().toNanos() - now);
 		}
 		if (remaining > 0) {
 			this.progressTimer = schedule(Duration.ofNanos(remaining), this::checkProgress);
 		}
 		else if (this.paused) {
 			// The listener has paused reading.
-			this.progressTimer = schedule(times.stall(), this::checkProgress);
+			this.progressTimer = schedule(times.readIdle(), this::checkProgress);
 		}
 		else {
-			fail(new TimeoutException(
-					this.responseStarted ? "no further data in " + times.stall() : "no response in " + times.first()));
+			fail(new TimeoutException(this.responseStarted ? "no further data in " + times.readIdle()
+					: "no response in " + times.responseStart()));
 		}
 	}
 
@@ -166,7 +166,7 @@
 		}
 		this.sent = true;
 		this.sentNanos = System.nanoTime();
-		if (this.call.times().hasProgressTimeouts()) {
+		if (this.call.timeouts().hasProgressTimeouts()) {
 			checkProgress();
 		}
 		to.sendRequest(request, new Step<>(this::onExchangeStarted));
@@ -277,7 +277,7 @@
 	private void complete() {
 		if (this.done.compareAndSet(false, true)) {
 			stopTimers();
-			long limitMillis = this.call.keptIdle().map(Duration::toMillis).orElse(Long.MAX_VALUE);
+			long limitMillis = this.call.maxKeepIdle().map(Duration::toMillis).orElse(Long.MAX_VALUE);
 			this.pool.release(this.call.target(), this.connection, Math.min(limitMillis, this.maxIdleMillis));
 			this.listener.onEnd();
 		}
--- a/protocol/src/main/java/org/wisteriapost/protocol/outside/Engine.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/outside/Engine.java
@@ -7,7 +7,7 @@
 
 /**
  * The control interface of a model engine: orders and reported state. Callers' requests
- * are sent by {@link org.wisteriapost.protocol.http.HttpCaller}.
+ * are sent by {@link org.wisteriapost.protocol.http.PooledHttpClient}.
  */
 public interface Engine extends AutoCloseable {
 
--- a/protocol/src/main/java/org/wisteriapost/protocol/outside/OutsideProvider.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/outside/ExternalSystemsProvider.java
@@ -2,13 +2,13 @@
 
 import java.net.URI;
 
-import org.wisteriapost.protocol.http.HttpCaller;
+import org.wisteriapost.protocol.http.PooledHttpClient;
 
 /**
  * Creates the adapters for the external systems of a deployment. The setting
  * {@code [outside] provider} selects the provider by name.
  */
-public interface OutsideProvider {
+public interface ExternalSystemsProvider {
 
 	/**
 	 * Returns the name by which the settings select this provider.
@@ -16,18 +16,18 @@
 	String name();
 
 	/** Returns the platform at an address. */
-	Platform platform(HttpCaller caller, URI address);
+	Platform platform(PooledHttpClient caller, URI address);
 
 	/** Returns the VM list at an address. */
-	VmList vmList(HttpCaller caller, URI address);
+	VmList vmList(PooledHttpClient caller, URI address);
 
 	/** Returns the origin at an address. */
-	Origin origin(HttpCaller caller, URI address);
+	Origin origin(PooledHttpClient caller, URI address);
 
 	/** Returns the weight store at an address. */
-	WeightStore weightStore(HttpCaller caller, URI address);
+	WeightStore weightStore(PooledHttpClient caller, URI address);
 
 	/** Returns the engine at an address. */
-	Engine engine(HttpCaller caller, URI address);
+	Engine engine(PooledHttpClient caller, URI address);
 
 }
--- a/protocol/src/main/java/org/wisteriapost/protocol/outside/OutsideProviders.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/outside/ExternalSystemsProviders.java
@@ -15,7 +15,7 @@
 /**
  * Finds the provider that the settings select, and reports an unknown name.
  */
-public final class OutsideProviders implements SettingsSchema {
+public final class ExternalSystemsProviders implements SettingsSchema {
 
 	private static final Code PROVIDER_UNKNOWN = Code.error("provider-unknown",
 			"The settings name adapters for the outside systems that the program does not have.");
@@ -23,7 +23,7 @@
 	/**
 	 * Returns the provider that valid settings select.
 	 */
-	public static OutsideProvider of(Settings settings) {
+	public static ExternalSystemsProvider of(Settings settings) {
 		String name = CommonSettings.PROVIDER.get(settings);
 		return find(name).orElseThrow(() -> CodedException.of(PROVIDER_UNKNOWN, name));
 	}
@@ -43,8 +43,8 @@
 		}
 	}
 
-	private static Optional<OutsideProvider> find(String name) {
-		return Plugins.find(OutsideProvider.class, (one) -> one.name().equals(name));
+	private static Optional<ExternalSystemsProvider> find(String name) {
+		return Plugins.find(ExternalSystemsProvider.class, (one) -> one.name().equals(name));
 	}
 
 }
--- a/protocol/src/main/java/org/wisteriapost/protocol/outside/Platform.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/outside/Platform.java
@@ -36,7 +36,7 @@
 	/**
 	 * Updates a key conditionally.
 	 */
-	CompletableFuture<PutResult> put(String key, byte[] value, Expected expected);
+	CompletableFuture<PutResult> put(String key, byte[] value, Precondition expected);
 
 	/**
 	 * Returns all values under a prefix and their revision.
@@ -74,10 +74,10 @@
 	/**
 	 * The precondition of a write.
 	 */
-	sealed interface Expected {
+	sealed interface Precondition {
 
 		/** The key does not exist. */
-		record Absent() implements Expected {
+		record Absent() implements Precondition {
 		}
 
 		/**
@@ -85,11 +85,11 @@
 		 *
 		 * @param version the version read before
 		 */
-		record Version(long version) implements Expected {
+		record Version(long version) implements Precondition {
 		}
 
 		/** No precondition; only for values that have a single writer. */
-		record Anything() implements Expected {
+		record Anything() implements Precondition {
 		}
 
 	}
--- a/protocol/src/main/java/org/wisteriapost/protocol/outside/WeightStore.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/outside/WeightStore.java
@@ -23,12 +23,12 @@
 	/**
 	 * Returns the indexes of the stored chunks of a file.
 	 */
-	CompletableFuture<BitSet> held(String file);
+	CompletableFuture<BitSet> storedChunks(String file);
 
 	/**
 	 * Deletes a file that no active bundle contains.
 	 */
-	CompletableFuture<Void> drop(String file);
+	CompletableFuture<Void> delete(String file);
 
 	@Override
 	void close();
--- a/protocol/src/main/java/org/wisteriapost/protocol/outside/http/ExternalSystemClient.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/outside/http/ExternalSystemClient.java
@@ -12,8 +12,8 @@
 import org.wisteriapost.kernel.CodedException;
 import org.wisteriapost.protocol.http.HttpCall;
 import org.wisteriapost.protocol.http.HttpCallException;
-import org.wisteriapost.protocol.http.HttpCaller;
-import org.wisteriapost.protocol.http.HttpReply;
+import org.wisteriapost.protocol.http.HttpResponse;
+import org.wisteriapost.protocol.http.PooledHttpClient;
 
 /**
  * Sends calls to an external system and maps failures to codes.
@@ -27,11 +27,11 @@
 
 	private static final int STATUS_OK = 200;
 
-	private final HttpCaller caller;
+	private final PooledHttpClient caller;
 
 	private final String address;
 
-	ExternalSystemClient(HttpCaller caller, URI address) {
+	ExternalSystemClient(PooledHttpClient caller, URI address) {
 		this.caller = caller;
 		String text = address.toString();
 		this.address = text.endsWith("/") ? text.substring(0, text.length() - 1) : text;
@@ -61,9 +61,10 @@
 	 * @param decode throws a coded exception for an unexpected status
 	 * @param failureCode returns the code for a call without a complete response
 	 */
-	<T> CompletableFuture<T> send(HttpCall call, Function<HttpReply, T> decode, Function<Throwable, Code> failureCode) {
+	<T> CompletableFuture<T> send(HttpCall call, Function<HttpResponse, T> decode,
+			Function<Throwable, Code> failureCode) {
 		CompletableFuture<T> result = new CompletableFuture<>();
-		CompletableFuture<HttpReply> reply = this.caller.call(call);
+		CompletableFuture<HttpResponse> reply = this.caller.call(call);
 		reply.whenComplete((response, failure) -> {
 			try {
 				if (failure != null) {
@@ -93,11 +94,11 @@
 	 * Returns a decoder of the body of a 200 response; any other status fails with the
 	 * code.
 	 */
-	static <T> Function<HttpReply, T> body(Class<T> type, Code code) {
+	static <T> Function<HttpResponse, T> body(Class<T> type, Code code) {
 		return (reply) -> Json.read(expect(reply, STATUS_OK, code).body(), type);
 	}
 
-	static HttpReply expect(HttpReply reply, int status, Code code) {
+	static HttpResponse expect(HttpResponse reply, int status, Code code) {
 		if (reply.status() != status) {
 			throw CodedException.of(code, "status " + reply.status());
 		}
--- a/protocol/src/main/java/org/wisteriapost/protocol/outside/http/HttpEngine.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/outside/http/HttpEngine.java
@@ -4,8 +4,8 @@
 import java.util.concurrent.CompletableFuture;
 
 import org.wisteriapost.kernel.CodedException;
-import org.wisteriapost.protocol.http.HttpCaller;
-import org.wisteriapost.protocol.http.HttpReply;
+import org.wisteriapost.protocol.http.HttpResponse;
+import org.wisteriapost.protocol.http.PooledHttpClient;
 import org.wisteriapost.protocol.outside.Engine;
 
 /**
@@ -22,7 +22,7 @@
 	/**
 	 * Returns the engine at an address.
 	 */
-	public static HttpEngine at(HttpCaller caller, URI address) {
+	public static HttpEngine at(PooledHttpClient caller, URI address) {
 		return new HttpEngine(new ExternalSystemClient(caller, address));
 	}
 
@@ -43,7 +43,7 @@
 		// The HTTP client is shared by the process and closed by its owner.
 	}
 
-	private static Void checkAccepted(HttpReply reply) {
+	private static Void checkAccepted(HttpResponse reply) {
 		if (reply.status() == 409) {
 			throw CodedException.of(FENCED, "status 409");
 		}
--- a/protocol/src/main/java/org/wisteriapost/protocol/outside/http/HttpOrigin.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/outside/http/HttpOrigin.java
@@ -6,8 +6,8 @@
 
 import org.wisteriapost.kernel.CodedException;
 import org.wisteriapost.protocol.http.HttpCall;
-import org.wisteriapost.protocol.http.HttpCaller;
-import org.wisteriapost.protocol.http.HttpReply;
+import org.wisteriapost.protocol.http.HttpResponse;
+import org.wisteriapost.protocol.http.PooledHttpClient;
 import org.wisteriapost.protocol.outside.Origin;
 
 /**
@@ -29,7 +29,7 @@
 	/**
 	 * Returns the origin at an address.
 	 */
-	public static HttpOrigin at(HttpCaller caller, URI address) {
+	public static HttpOrigin at(PooledHttpClient caller, URI address) {
 		return new HttpOrigin(new ExternalSystemClient(caller, address));
 	}
 
@@ -52,7 +52,7 @@
 		// The HTTP client is shared by the process and closed by its owner.
 	}
 
-	private static byte[] range(HttpReply reply, String path, String etag, int length) {
+	private static byte[] range(HttpResponse reply, String path, String etag, int length) {
 		if (reply.status() == 412) {
 			throw CodedException.of(CHANGED, path + " is no longer " + etag);
 		}
--- a/protocol/src/main/java/org/wisteriapost/protocol/outside/http/HttpPlatform.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/outside/http/HttpPlatform.java
@@ -8,8 +8,8 @@
 import org.wisteriapost.kernel.Code;
 import org.wisteriapost.kernel.CodedException;
 import org.wisteriapost.protocol.http.HttpCall;
-import org.wisteriapost.protocol.http.HttpCaller;
-import org.wisteriapost.protocol.http.HttpReply;
+import org.wisteriapost.protocol.http.HttpResponse;
+import org.wisteriapost.protocol.http.PooledHttpClient;
 import org.wisteriapost.protocol.outside.Platform;
 
 /**
@@ -28,7 +28,7 @@
 	/**
 	 * Returns the platform at an address.
 	 */
-	public static HttpPlatform at(HttpCaller caller, URI address) {
+	public static HttpPlatform at(PooledHttpClient caller, URI address) {
 		return new HttpPlatform(new ExternalSystemClient(caller, address));
 	}
 
@@ -42,7 +42,7 @@
 	}
 
 	@Override
-	public CompletableFuture<PutResult> put(String key, byte[] value, Expected expected) {
+	public CompletableFuture<PutResult> put(String key, byte[] value, Precondition expected) {
 		HttpCall call = condition(this.client.request("PUT", "/objects/" + key), expected).body(value);
 		return this.client.send(call, (reply) -> switch (reply.status()) {
 			case 200 -> new PutResult.Written(version(reply));
@@ -78,24 +78,24 @@
 		return ExternalSystemClient.sent(failure) ? UNCONFIRMED : UNAVAILABLE;
 	}
 
-	private static HttpCall condition(HttpCall call, Expected expected) {
+	private static HttpCall condition(HttpCall call, Precondition expected) {
 		return switch (expected) {
-			case Expected.Absent() -> call.header("If-None-Match", "*");
-			case Expected.Version(long version) -> call.header("If-Match", "\"" + version + "\"");
-			case Expected.Anything() -> call;
+			case Precondition.Absent() -> call.header("If-None-Match", "*");
+			case Precondition.Version(long version) -> call.header("If-Match", "\"" + version + "\"");
+			case Precondition.Anything() -> call;
 		};
 	}
 
-	private static Optional<Stored> stored(String key, HttpReply reply) {
+	private static Optional<Stored> stored(String key, HttpResponse reply) {
 		return reply.header("ETag").map((etag) -> new Stored(key, reply.body(), version(reply)));
 	}
 
-	private static long version(HttpReply reply) {
+	private static long version(HttpResponse reply) {
 		String etag = reply.header("ETag").orElseThrow(() -> new IllegalArgumentException("response without ETag"));
 		return Long.parseLong(etag.replace("\"", ""));
 	}
 
-	private static CodedException rejected(HttpReply reply) {
+	private static CodedException rejected(HttpResponse reply) {
 		return CodedException.of(UNAVAILABLE, "status " + reply.status());
 	}
 
--- a/protocol/src/main/java/org/wisteriapost/protocol/outside/http/HttpVmList.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/outside/http/HttpVmList.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.CompletableFuture;
 
 import org.wisteriapost.kernel.Code;
-import org.wisteriapost.protocol.http.HttpCaller;
+import org.wisteriapost.protocol.http.PooledHttpClient;
 import org.wisteriapost.protocol.outside.VmList;
 
 /**
@@ -24,7 +24,7 @@
 	/**
 	 * Returns the VM list at an address.
 	 */
-	public static HttpVmList at(HttpCaller caller, URI address) {
+	public static HttpVmList at(PooledHttpClient caller, URI address) {
 		return new HttpVmList(new ExternalSystemClient(caller, address));
 	}
 
--- a/protocol/src/main/java/org/wisteriapost/protocol/outside/http/HttpWeightStore.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/outside/http/HttpWeightStore.java
@@ -8,8 +8,8 @@
 
 import org.wisteriapost.kernel.Code;
 import org.wisteriapost.protocol.http.HttpCall;
-import org.wisteriapost.protocol.http.HttpCaller;
-import org.wisteriapost.protocol.http.HttpReply;
+import org.wisteriapost.protocol.http.HttpResponse;
+import org.wisteriapost.protocol.http.PooledHttpClient;
 import org.wisteriapost.protocol.outside.WeightStore;
 
 /**
@@ -29,7 +29,7 @@
 	/**
 	 * Returns the weight store at an address.
 	 */
-	public static HttpWeightStore at(HttpCaller caller, URI address) {
+	public static HttpWeightStore at(PooledHttpClient caller, URI address) {
 		return new HttpWeightStore(new ExternalSystemClient(caller, address));
 	}
 
@@ -45,14 +45,14 @@
 	}
 
 	@Override
-	public CompletableFuture<BitSet> held(String file) {
+	public CompletableFuture<BitSet> storedChunks(String file) {
 		return this.client.send(this.client.request("GET", "/store/" + file),
 				(reply) -> ExternalSystemClient.body(Held.class, UNAVAILABLE).apply(reply).bits(),
 				(failure) -> UNAVAILABLE);
 	}
 
 	@Override
-	public CompletableFuture<Void> drop(String file) {
+	public CompletableFuture<Void> delete(String file) {
 		return sendExpectingOk(this.client.request("DELETE", "/store/" + file));
 	}
 
@@ -68,7 +68,7 @@
 		}, (failure) -> UNAVAILABLE);
 	}
 
-	private static Optional<byte[]> chunk(HttpReply reply) {
+	private static Optional<byte[]> chunk(HttpResponse reply) {
 		if (reply.status() == 404) {
 			return Optional.empty();
 		}
--- a/protocol/src/main/java/org/wisteriapost/protocol/site/CallDialect.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/site/CallProtocol.java
@@ -8,31 +8,31 @@
  * The site-specific HTTP headers of callers' requests and runners' responses, and the
  * paths and encoding of the directory of entries.
  */
-public interface CallDialect {
+public interface CallProtocol {
 
 	/**
 	 * Parses the headers of a caller's request.
 	 * @param header the first value of a header by name, or null
 	 */
-	CallerFields read(Function<String, String> header);
+	CallerRequestFields parseRequest(Function<String, String> header);
 
 	/**
 	 * Returns whether only the system may set a header; one that a caller sent is
 	 * dropped.
 	 * @param name lower-case
 	 */
-	boolean reserved(String name);
+	boolean isReservedHeader(String name);
 
 	/**
 	 * Returns the headers that the system adds to a request to a runner.
 	 */
-	List<Map.Entry<String, String>> outbound(OutboundCall call);
+	List<Map.Entry<String, String>> runnerHeaders(RunnerRequestFields call);
 
 	/**
 	 * Parses the status and headers of a runner's response.
 	 * @param headers by lower-case name
 	 */
-	RunnerReply reply(int status, Map<String, String> headers);
+	RunnerResponseFields parseResponse(int status, Map<String, String> headers);
 
 	/**
 	 * Returns the name of the response header that carries the attempt id.
@@ -48,7 +48,7 @@
 	 * Returns the query parameter that carries the caller's failure domain in a directory
 	 * request.
 	 */
-	String placeParameter();
+	String failureDomainParameter();
 
 	/**
 	 * Returns the path of an entry's readiness check.
@@ -58,8 +58,8 @@
 	/**
 	 * Returns the body of a directory response.
 	 * @param addresses {@code IP:PORT}
-	 * @param keepSeconds how long callers may cache it
+	 * @param maxAgeSeconds how long callers may cache it
 	 */
-	byte[] directory(List<String> addresses, int keepSeconds);
+	byte[] encodeDirectory(List<String> addresses, int maxAgeSeconds);
 
 }
--- a/protocol/src/main/java/org/wisteriapost/protocol/site/Declared.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/site/DecodedObject.java
@@ -1,21 +1,21 @@
 package org.wisteriapost.protocol.site;
 
 import org.wisteriapost.policy.fleet.EntryInfo;
-import org.wisteriapost.policy.fleet.NamedWeights;
 import org.wisteriapost.policy.fleet.RunnerInfo;
+import org.wisteriapost.policy.fleet.TargetWeights;
 import org.wisteriapost.policy.routing.RouteTable;
 
 /**
  * A decoded object of the site's store.
  */
-public sealed interface Declared {
+public sealed interface DecodedObject {
 
 	/**
 	 * The current declaration of routes.
 	 *
 	 * @param table the complete route table
 	 */
-	record Routes(RouteTable table) implements Declared {
+	record Routes(RouteTable table) implements DecodedObject {
 	}
 
 	/**
@@ -23,15 +23,15 @@
 	 *
 	 * @param info as registered
 	 */
-	record Runner(RunnerInfo info) implements Declared {
+	record Runner(RunnerInfo info) implements DecodedObject {
 	}
 
 	/**
 	 * The target weights version of a model.
 	 *
-	 * @param named the model and its target version
+	 * @param target the model and its target version
 	 */
-	record Weights(NamedWeights named) implements Declared {
+	record Weights(TargetWeights target) implements DecodedObject {
 	}
 
 	/**
@@ -39,7 +39,7 @@
 	 *
 	 * @param info as registered
 	 */
-	record Entry(EntryInfo info) implements Declared {
+	record Entry(EntryInfo info) implements DecodedObject {
 	}
 
 }
--- a/protocol/src/main/java/org/wisteriapost/protocol/site/EngineControl.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/site/EngineControl.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.CompletableFuture;
 
 import org.wisteriapost.kernel.Code;
-import org.wisteriapost.policy.fleet.RunnerStart;
+import org.wisteriapost.policy.fleet.RunnerIncarnation;
 
 /**
  * Controls the engine on an agent's VM.
@@ -25,7 +25,7 @@
 	 * @param sequence the number of orders that the engine must have accepted before this
 	 * one
 	 */
-	CompletableFuture<Reply> take(String model, int version, long sequence);
+	CompletableFuture<Reply> switchTo(String model, int version, long sequence);
 
 	/**
 	 * The state of an engine.
@@ -34,12 +34,12 @@
 	 * loaded
 	 * @param busy whether an order is in progress
 	 * @param sequence number of orders accepted since the engine started
-	 * @param waiting number of queued requests
+	 * @param queued number of queued requests
 	 * @param active number of requests in progress
-	 * @param start the incarnation of the engine
+	 * @param incarnation the incarnation of the engine
 	 */
-	record Report(Map<String, Integer> versions, boolean busy, long sequence, int waiting, int active,
-			RunnerStart start) {
+	record Report(Map<String, Integer> versions, boolean busy, long sequence, int queued, int active,
+			RunnerIncarnation incarnation) {
 	}
 
 	/**
@@ -48,9 +48,9 @@
 	enum Reply {
 
 		/** The engine has started to carry it out. */
-		BEGUN,
+		STARTED,
 		/** The engine already serves the requested version. */
-		IN_FORCE,
+		ALREADY_ACTIVE,
 		/** It conflicts with the engine's state, which must be read again. */
 		CONFLICT,
 		/** The engine rejected it. */
--- a/protocol/src/main/java/org/wisteriapost/protocol/site/Kind.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/site/ObjectKind.java
@@ -10,7 +10,7 @@
  * unnoticed. Its batch delay keeps a burst of changes from costing every process a call
  * for each change.
  */
-public enum Kind {
+public enum ObjectKind {
 
 	/** The declaration of routes; a single object. */
 	ROUTES(WatchWaits.ROUTE_TABLE, Duration.ofMillis(80)),
@@ -28,7 +28,7 @@
 
 	private final Duration batchDelay;
 
-	Kind(Duration wait, Duration gather) {
+	ObjectKind(Duration wait, Duration gather) {
 		this.watchWait = wait;
 		this.batchDelay = gather;
 	}
--- a/protocol/src/main/java/org/wisteriapost/protocol/site/ObjectStore.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/site/ObjectStore.java
@@ -29,13 +29,13 @@
 	 * Returns one page of the current objects of a kind.
 	 * @param after the last name of the previous page; empty for the first page
 	 */
-	CompletableFuture<Page> list(Kind kind, Optional<String> after);
+	CompletableFuture<Page> list(ObjectKind kind, Optional<String> after);
 
 	/**
 	 * Waits for changes after a revision; returns an empty list when there were none
 	 * within the wait.
 	 */
-	CompletableFuture<Changes> watch(Kind kind, long revision, Duration wait);
+	CompletableFuture<Changes> watch(ObjectKind kind, long revision, Duration wait);
 
 	/**
 	 * Writes this process's own entry unconditionally.
@@ -53,7 +53,7 @@
 	 * cannot be decoded.
 	 * @param content the result of {@link Item#content} in that process
 	 */
-	Optional<Item> decode(Kind kind, byte[] content);
+	Optional<Item> decode(ObjectKind kind, byte[] content);
 
 	/**
 	 * An object.
@@ -61,16 +61,16 @@
 	 * @param name unique within its kind
 	 * @param revision the revision of its last change
 	 * @param value the decoded object; empty when it cannot be decoded
-	 * @param source encodes it as in the store; used only for processes that cannot reach
-	 * the store
+	 * @param encoder encodes it as in the store; used only for processes that cannot
+	 * reach the store
 	 */
-	record Item(String name, long revision, Optional<Declared> value, Supplier<byte[]> source) {
+	record Item(String name, long revision, Optional<DecodedObject> value, Supplier<byte[]> encoder) {
 
 		/**
 		 * Returns the object as encoded in the store.
 		 */
 		public byte[] content() {
-			return this.source.get();
+			return this.encoder.get();
 		}
 
 	}
@@ -79,10 +79,10 @@
 	 * A page of the objects of a kind.
 	 *
 	 * @param items ordered by name
-	 * @param more whether there are further pages
-	 * @param at the store's revision
+	 * @param hasMore whether there are further pages
+	 * @param revision the store's revision
 	 */
-	record Page(List<Item> items, boolean more, long at) {
+	record Page(List<Item> items, boolean hasMore, long revision) {
 	}
 
 	/**
@@ -97,10 +97,10 @@
 	/**
 	 * Changes in order.
 	 *
-	 * @param list the changes
-	 * @param at the revision from which to continue
+	 * @param changes the changes
+	 * @param revision the revision from which to continue
 	 */
-	record Changes(List<Change> list, long at) {
+	record Changes(List<Change> changes, long revision) {
 	}
 
 }
--- a/protocol/src/main/java/org/wisteriapost/protocol/site/RunnerReply.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/site/RunnerResponseFields.java
@@ -6,10 +6,11 @@
 /**
  * The fields that the headers of a runner's response carry.
  *
- * @param attempt id of the attempt that it answers
+ * @param attemptId id of the attempt that it answers
  * @param notRun whether the runner guarantees that the request has not run
- * @param otherInstance whether another incarnation of a runner has the address
+ * @param otherIncarnation whether another incarnation of a runner has the address
  * @param weightsVersion the version that served the request
  */
-public record RunnerReply(Optional<String> attempt, boolean notRun, boolean otherInstance, OptionalInt weightsVersion) {
+public record RunnerResponseFields(Optional<String> attemptId, boolean notRun, boolean otherIncarnation,
+		OptionalInt weightsVersion) {
 }
--- a/protocol/src/main/java/org/wisteriapost/protocol/site/SiteProvider.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/site/SiteProvider.java
@@ -5,7 +5,7 @@
 
 import org.wisteriapost.kernel.Code;
 import org.wisteriapost.kernel.CodedException;
-import org.wisteriapost.protocol.http.HttpCaller;
+import org.wisteriapost.protocol.http.PooledHttpClient;
 import org.wisteriapost.protocol.outside.Origin;
 import org.wisteriapost.protocol.outside.WeightStore;
 
@@ -43,19 +43,19 @@
 	}
 
 	/** Returns the site's object store. */
-	ObjectStore store(HttpCaller caller, SiteSettings settings);
+	ObjectStore store(PooledHttpClient caller, SiteSettings settings);
 
 	/** Returns the site's HTTP headers and paths. */
-	CallDialect dialect();
+	CallProtocol callProtocol();
 
 	/** Returns the engine on this process's VM. */
-	EngineControl engine(HttpCaller caller, String address);
+	EngineControl engine(PooledHttpClient caller, String address);
 
 	/** Returns the store on the engine's VM for staged weights of a model. */
-	WeightStore staging(HttpCaller caller, String address, String model);
+	WeightStore staging(PooledHttpClient caller, String address, String model);
 
 	/** Returns the origin of weights. */
-	Origin origin(HttpCaller caller, String address);
+	Origin origin(PooledHttpClient caller, String address);
 
 	/**
 	 * Returns the site's adapter.
--- a/protocol/src/main/java/org/wisteriapost/protocol/site/FollowListener.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/site/StoreListener.java
@@ -3,15 +3,15 @@
 import java.util.List;
 
 /**
- * Receives the objects that a {@link Follower} reads, in order.
+ * Receives the objects that a {@link StoreWatcher} reads, in order.
  */
-public interface FollowListener {
+public interface StoreListener {
 
 	/**
 	 * Called with all objects of the kind; objects that are not included were deleted.
-	 * @param at the store's revision at the start of the listing
+	 * @param revision the store's revision at the start of the listing
 	 */
-	void onAll(List<ObjectStore.Item> items, long at);
+	void onSnapshot(List<ObjectStore.Item> items, long revision);
 
 	/**
 	 * Called for each change.
@@ -21,19 +21,19 @@
 	/**
 	 * Called when the listener has received everything that the store held at a point in
 	 * time.
-	 * @param asOfNanos the confirmed time, by this process's {@link System#nanoTime}
+	 * @param confirmedNanos the confirmed time, by this process's {@link System#nanoTime}
 	 */
-	void onConfirmed(long asOfNanos);
+	void onConfirmed(long confirmedNanos);
 
 	/**
 	 * Called when a watch has failed and the store has not answered since, so the objects
 	 * may be stale. Called only while this process is the leader of others.
 	 */
-	void onDoubt();
+	void onPossiblyStale();
 
 	/**
 	 * Called when the store becomes reachable or unreachable.
 	 */
-	void onReachable(boolean reachable);
+	void onReachabilityChanged(boolean reachable);
 
 }
--- a/protocol/src/main/java/org/wisteriapost/protocol/site/Follower.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/site/StoreWatcher.java
@@ -32,9 +32,9 @@
  * requested at once. All objects are listed again only when the store no longer has those
  * changes, or when they were too large to arrive completely.
  */
-public final class Follower {
+public final class StoreWatcher {
 
-	private static final Logger LOG = System.getLogger(Follower.class.getName());
+	private static final Logger LOG = System.getLogger(StoreWatcher.class.getName());
 
 	private static final long NO_REVISION = -1;
 
@@ -59,11 +59,11 @@
 
 	private final ObjectStore store;
 
-	private final Kind kind;
+	private final ObjectKind kind;
 
 	private final ScheduledExecutorService timer;
 
-	private final FollowListener listener;
+	private final StoreListener listener;
 
 	private final LongSupplier clock;
 
@@ -93,7 +93,7 @@
 	// Last time at which the published objects were confirmed to be current.
 	private long confirmedNanos;
 
-	private Follower(ObjectStore store, Kind kind, ScheduledExecutorService timer, FollowListener listener,
+	private StoreWatcher(ObjectStore store, ObjectKind kind, ScheduledExecutorService timer, StoreListener listener,
 			LongSupplier clock) {
 		this.store = store;
 		this.kind = kind;
@@ -107,14 +107,14 @@
 	 * Starts to read a kind.
 	 * @param timer its single thread calls the listener
 	 */
-	public static Follower start(ObjectStore store, Kind kind, ScheduledExecutorService timer,
-			FollowListener listener) {
+	public static StoreWatcher start(ObjectStore store, ObjectKind kind, ScheduledExecutorService timer,
+			StoreListener listener) {
 		return start(store, kind, timer, listener, System::nanoTime);
 	}
 
-	static Follower start(ObjectStore store, Kind kind, ScheduledExecutorService timer, FollowListener listener,
-			LongSupplier clock) {
-		Follower follower = new Follower(store, kind, timer, listener, clock);
+	static StoreWatcher start(ObjectStore store, ObjectKind kind, ScheduledExecutorService timer,
+			StoreListener listener, LongSupplier clock) {
+		StoreWatcher follower = new StoreWatcher(store, kind, timer, listener, clock);
 		timer.execute(follower::continueReading);
 		return follower;
 	}
@@ -122,7 +122,7 @@
 	/**
 	 * Sets whether this process is the leader of others, which read through it.
 	 */
-	public void reliedOn(boolean leader) {
+	public void setLeader(boolean leader) {
 		this.timer.execute(() -> this.leader = leader);
 	}
 
@@ -142,21 +142,21 @@
 	 * Makes {@link #resume} list all objects again. Called during a pause when the
 	 * listener discarded the last updates.
 	 */
-	public void forget() {
+	public void relistOnResume() {
 		this.timer.execute(() -> this.publishedRevision = NO_REVISION);
 	}
 
 	/**
 	 * Continues after a pause, from the last revision read or received from a peer,
 	 * whichever is later: the store sends every change of an object since that revision.
-	 * @param known up to which revision all changes were received from a peer
+	 * @param peerRevision up to which revision all changes were received from a peer
 	 */
-	public void resume(long known) {
+	public void resume(long peerRevision) {
 		this.timer.execute(() -> {
 			if (this.paused) {
 				this.paused = false;
 				this.publishedRevision = (this.publishedRevision == NO_REVISION) ? NO_REVISION
-						: Math.max(this.publishedRevision, known);
+						: Math.max(this.publishedRevision, peerRevision);
 				this.reachable = Optional.empty();
 				this.backoffMillis = INITIAL_BACKOFF_MILLIS;
 				continueReading();
@@ -194,9 +194,9 @@
 			if (relistIfRolledBack(changes, from)) {
 				return;
 			}
-			latestChanges(changes.list()).forEach(this::publishChange);
+			latestChanges(changes.changes()).forEach(this::publishChange);
 			publishConfirmed(requestNanos);
-			watchAfter(changes, changes.at());
+			watchAfter(changes, changes.revision());
 		}, this.timer);
 	}
 
@@ -222,8 +222,8 @@
 			}
 			setReachable(true);
 			listing.items.addAll(page.items());
-			long from = (listing.from < 0) ? page.at() : listing.from;
-			if (page.more() && !page.items().isEmpty()) {
+			long from = (listing.from < 0) ? page.revision() : listing.from;
+			if (page.hasMore() && !page.items().isEmpty()) {
 				listPage(new Listing(listing.items, from, listing.requestNanos),
 						Optional.of(page.items().getLast().name()));
 				return;
@@ -253,16 +253,16 @@
 				return;
 			}
 			long asOfNanos = confirmedTime(changes, requestNanos, wait);
-			changes.list().forEach(this::publishChange);
+			changes.changes().forEach(this::publishChange);
 			publishConfirmed(asOfNanos);
-			watchAfter(changes, changes.at());
+			watchAfter(changes, changes.revision());
 		}, this.timer);
 	}
 
 	// A store restored at a lower revision would report no changes until it has
 	// passed the requested one.
 	private boolean relistIfRolledBack(ObjectStore.Changes changes, long from) {
-		boolean rolledBack = changes.at() < from;
+		boolean rolledBack = changes.revision() < from;
 		if (rolledBack) {
 			this.publishedRevision = NO_REVISION;
 			continueReading();
@@ -278,7 +278,7 @@
 	// arrives shortly after the end of the wait counts as held.
 	private long confirmedTime(ObjectStore.Changes changes, long requestNanos, Duration wait) {
 		long lateNanos = this.clock.getAsLong() - requestNanos - wait.toNanos();
-		boolean held = changes.list().isEmpty() && lateNanos >= 0 && lateNanos <= MAX_RESPONSE_DELAY_NANOS;
+		boolean held = changes.changes().isEmpty() && lateNanos >= 0 && lateNanos <= MAX_RESPONSE_DELAY_NANOS;
 		return held ? requestNanos + wait.toNanos() : requestNanos;
 	}
 
@@ -295,7 +295,7 @@
 
 	private void watchAfter(ObjectStore.Changes changes, long at) {
 		this.publishedRevision = at;
-		if (changes.list().isEmpty()) {
+		if (changes.changes().isEmpty()) {
 			watch(at);
 			return;
 		}
@@ -319,7 +319,7 @@
 			published.add(item);
 		}
 		this.revisions.keySet().retainAll(names);
-		this.listener.onAll(published, at);
+		this.listener.onSnapshot(published, at);
 	}
 
 	private void publishChange(ObjectStore.Change change) {
@@ -381,7 +381,7 @@
 
 	private void reportPossiblyStale(int watchFailure) {
 		if (watchFailure == this.watchFailures && this.unanswered && this.leader && !this.paused) {
-			this.listener.onDoubt();
+			this.listener.onPossiblyStale();
 		}
 	}
 
@@ -413,7 +413,7 @@
 		if (this.reachable.isEmpty() || this.reachable.get() != now) {
 			this.reachable = Optional.of(now);
 			LOG.log(Level.INFO, (now ? "store-regained: " : "store-lost: ") + this.kind);
-			this.listener.onReachable(now);
+			this.listener.onReachabilityChanged(now);
 		}
 	}
 
--- a/protocol/src/test/java/org/wisteriapost/protocol/http/HttpCallerTests.java
+++ b/protocol/src/test/java/org/wisteriapost/protocol/http/PooledHttpClientTests.java
@@ -36,13 +36,13 @@
 import static org.hamcrest.Matchers.not;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
-class HttpCallerTests {
+class PooledHttpClientTests {
 
 	private static final Duration SHORT = Duration.ofMillis(300);
 
 	private static final Duration LONG = Duration.ofSeconds(20);
 
-	private final HttpCaller caller = HttpCaller.create(1);
+	private final PooledHttpClient caller = PooledHttpClient.create(1);
 
 	private final List<SocketChannel> queued = new ArrayList<>();
 
@@ -53,7 +53,7 @@
 		this.server = Undertow.builder()
 			.addHttpListener(0, "127.0.0.1")
 			.setIoThreads(1)
-			.setHandler(HttpCallerTests::answer)
+			.setHandler(PooledHttpClientTests::answer)
 			.build();
 		this.server.start();
 	}
@@ -69,7 +69,7 @@
 	void connectionIsReusedAfterCompleteResponse() {
 		for (int i = 0; i < 20; i++) {
 			byte[] body = "b".repeat(i * 5000).getBytes(StandardCharsets.UTF_8);
-			HttpReply reply = this.caller.call(HttpCall.of("PUT", at("/echo"), LONG).body(body)).join();
+			HttpResponse reply = this.caller.call(HttpCall.of("PUT", at("/echo"), LONG).body(body)).join();
 			assertThat(reply.status(), is(200));
 			assertThat(reply.body(), is(body));
 		}
@@ -91,7 +91,7 @@
 	@Test
 	void lateResponseIsNotReadByNextCall() {
 		failure(HttpCall.of("GET", at("/slow"), SHORT));
-		HttpReply reply = this.caller.call(HttpCall.of("GET", at("/name"), LONG)).join();
+		HttpResponse reply = this.caller.call(HttpCall.of("GET", at("/name"), LONG)).join();
 		assertThat(new String(reply.body(), StandardCharsets.UTF_8), equalTo("name"));
 	}
 
@@ -101,8 +101,8 @@
 	void expiredIdleConnectionIsClosedByNextCall() throws Exception {
 		try (ServerSocket limited = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
 			URI target = URI.create("http://127.0.0.1:" + limited.getLocalPort() + "/");
-			CompletableFuture<HttpReply> reply = this.caller
-				.call(HttpCall.of("GET", target, LONG).keptIdle(Duration.ofMillis(50)));
+			CompletableFuture<HttpResponse> reply = this.caller
+				.call(HttpCall.of("GET", target, LONG).maxKeepIdle(Duration.ofMillis(50)));
 			try (Socket open = limited.accept()) {
 				open.setSoTimeout((int) LONG.toMillis());
 				open.getOutputStream().write("HTTP/1.1 204 No Content\r\n\r\n".getBytes(StandardCharsets.UTF_8));
@@ -124,7 +124,7 @@
 			unresponsive.setReceiveBufferSize(8 << 10);
 			unresponsive.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
 			URI target = URI.create("http://127.0.0.1:" + unresponsive.getLocalPort() + "/");
-			CompletableFuture<HttpReply> reply = this.caller
+			CompletableFuture<HttpResponse> reply = this.caller
 				.call(HttpCall.of("PUT", target, SHORT).body(new byte[8 << 20]));
 			try (Socket open = unresponsive.accept()) {
 				open.setSoTimeout((int) LONG.toMillis());
@@ -138,8 +138,8 @@
 	@Test
 	void slowResponseThatMakesProgressCompletes() throws Exception {
 		try (ServerSocket slow = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-			HttpTimes times = HttpTimes.whole(LONG).progress(Duration.ofSeconds(2), Duration.ofSeconds(2));
-			CompletableFuture<HttpReply> reply = this.caller.call(HttpCall.of("GET", address(slow), times));
+			HttpTimeouts times = HttpTimeouts.total(LONG).withProgress(Duration.ofSeconds(2), Duration.ofSeconds(2));
+			CompletableFuture<HttpResponse> reply = this.caller.call(HttpCall.of("GET", address(slow), times));
 			try (Socket open = slow.accept()) {
 				write(open, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\n");
 				for (int i = 0; i < 10; i++) {
@@ -158,8 +158,8 @@
 			"'HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nb', no further data in PT0.2S" })
 	void stalledResponseTimesOut(String response, String message) throws Exception {
 		try (ServerSocket silent = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-			HttpTimes times = HttpTimes.whole(LONG).progress(SHORT, Duration.ofMillis(200));
-			CompletableFuture<HttpReply> reply = this.caller.call(HttpCall.of("GET", address(silent), times));
+			HttpTimeouts times = HttpTimeouts.total(LONG).withProgress(SHORT, Duration.ofMillis(200));
+			CompletableFuture<HttpResponse> reply = this.caller.call(HttpCall.of("GET", address(silent), times));
 			try (Socket open = silent.accept()) {
 				write(open, response);
 				CompletionException ex = assertThrows(CompletionException.class, reply::join);
@@ -180,8 +180,8 @@
 				pending.connect(busy.getLocalSocketAddress());
 				this.queued.add(pending);
 			}
-			HttpTimes times = HttpTimes.whole(LONG).connect(LONG);
-			CompletableFuture<HttpReply> reply = this.caller.call(HttpCall.of("GET", address(busy), times));
+			HttpTimeouts times = HttpTimeouts.total(LONG).connect(LONG);
+			CompletableFuture<HttpResponse> reply = this.caller.call(HttpCall.of("GET", address(busy), times));
 			TimeUnit.MILLISECONDS.sleep(600);
 			Thread.ofVirtual().start(() -> answerAll(busy));
 			assertThat(reply.join().status(), is(204));
@@ -230,13 +230,13 @@
 	@Test
 	void newConnectionReplacesIdleOne() throws Exception {
 		try (ServerSocket server = new ServerSocket(0, 2, InetAddress.getLoopbackAddress())) {
-			CompletableFuture<HttpReply> first = this.caller.call(HttpCall.of("GET", address(server), LONG));
+			CompletableFuture<HttpResponse> first = this.caller.call(HttpCall.of("GET", address(server), LONG));
 			try (Socket idle = server.accept()) {
 				write(idle, "HTTP/1.1 204 No Content\r\n\r\n");
 				first.join();
-				HttpCall fresh = new HttpCall("GET", address(server), Map.of(), new byte[0], HttpTimes.whole(LONG),
+				HttpCall fresh = new HttpCall("GET", address(server), Map.of(), new byte[0], HttpTimeouts.total(LONG),
 						Optional.of(Duration.ZERO), Optional.empty());
-				CompletableFuture<HttpReply> reply = this.caller.call(fresh);
+				CompletableFuture<HttpResponse> reply = this.caller.call(fresh);
 				try (Socket created = server.accept()) {
 					write(created, "HTTP/1.1 204 No Content\r\n\r\n");
 					assertThat(reply.join().status(), is(204));
@@ -252,7 +252,7 @@
 		AtomicInteger connections = new AtomicInteger();
 		for (int i = 0; i < 3; i++) {
 			CompletableFuture<Void> end = new CompletableFuture<>();
-			this.caller.stream(HttpCall.of("GET", at("/name"), LONG), new HttpListener() {
+			this.caller.stream(HttpCall.of("GET", at("/name"), LONG), new HttpResponseListener() {
 
 				@Override
 				public void onConnected() {
@@ -287,7 +287,7 @@
 
 	// Returns the client port that the server sees.
 	private String port(Optional<Duration> maxIdle) {
-		HttpCall call = new HttpCall("GET", at("/port"), Map.of(), new byte[0], HttpTimes.whole(LONG), maxIdle,
+		HttpCall call = new HttpCall("GET", at("/port"), Map.of(), new byte[0], HttpTimeouts.total(LONG), maxIdle,
 				Optional.empty());
 		return new String(this.caller.call(call).join().body(), StandardCharsets.UTF_8);
 	}
--- a/protocol/src/test/java/org/wisteriapost/protocol/outside/FakePlatform.java
+++ b/protocol/src/test/java/org/wisteriapost/protocol/outside/FakePlatform.java
@@ -32,7 +32,7 @@
 	/**
 	 * Injects one fault into each of the next calls.
 	 */
-	public void next(Fault... next) {
+	public void failNextCalls(Fault... next) {
 		this.faults.addAll(List.of(next));
 	}
 
@@ -58,7 +58,7 @@
 	}
 
 	@Override
-	public CompletableFuture<PutResult> put(String key, byte[] value, Expected expected) {
+	public CompletableFuture<PutResult> put(String key, byte[] value, Precondition expected) {
 		return switch (fault()) {
 			case NONE -> CompletableFuture.completedFuture(write(key, value, expected));
 			case DOWN -> failed(UNAVAILABLE);
@@ -91,12 +91,13 @@
 	public void close() {
 	}
 
-	private PutResult write(String key, byte[] value, Expected expected) {
+	private PutResult write(String key, byte[] value, Precondition expected) {
 		Optional<Stored> current = Optional.ofNullable(this.values.get(key));
 		boolean matches = switch (expected) {
-			case Expected.Absent absent -> current.isEmpty();
-			case Expected.Version version -> current.filter((one) -> one.version() == version.version()).isPresent();
-			case Expected.Anything anything -> true;
+			case Precondition.Absent absent -> current.isEmpty();
+			case Precondition.Version version ->
+				current.filter((one) -> one.version() == version.version()).isPresent();
+			case Precondition.Anything anything -> true;
 		};
 		if (!matches) {
 			return new PutResult.Conflict(current);
--- a/protocol/src/test/java/org/wisteriapost/protocol/site/ScriptedStore.java
+++ b/protocol/src/test/java/org/wisteriapost/protocol/site/ScriptedStore.java
@@ -46,7 +46,7 @@
 	}
 
 	@Override
-	public synchronized CompletableFuture<Page> list(Kind kind, Optional<String> after) {
+	public synchronized CompletableFuture<Page> list(ObjectKind kind, Optional<String> after) {
 		this.requestNanos.add(System.nanoTime());
 		this.requests.add("list");
 		if (this.unresponsive) {
@@ -60,7 +60,7 @@
 	}
 
 	@Override
-	public synchronized CompletableFuture<Changes> watch(Kind kind, long revision, Duration wait) {
+	public synchronized CompletableFuture<Changes> watch(ObjectKind kind, long revision, Duration wait) {
 		this.requestNanos.add(System.nanoTime());
 		this.waits.add(wait);
 		this.requests.add((wait.isZero() ? "since " : "watch ") + revision);
@@ -83,7 +83,7 @@
 	}
 
 	@Override
-	public Optional<Item> decode(Kind kind, byte[] content) {
+	public Optional<Item> decode(ObjectKind kind, byte[] content) {
 		throw new UnsupportedOperationException();
 	}
 
--- a/protocol/src/test/java/org/wisteriapost/protocol/site/StoreWatcherFixture.java
+++ b/protocol/src/test/java/org/wisteriapost/protocol/site/StoreWatcherFixture.java
@@ -18,7 +18,7 @@
 
 import static org.hamcrest.MatcherAssert.assertThat;
 
-/** Runs a {@link Follower} against a {@link ScriptedStore}. */
+/** Runs a {@link StoreWatcher} against a {@link ScriptedStore}. */
 abstract class StoreWatcherFixture {
 
 	private static final int TIMEOUT_SECONDS = 10;
@@ -82,15 +82,15 @@
 			.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
 	}
 
-	Follower start() {
-		return start(Kind.RUNNERS);
+	StoreWatcher start() {
+		return start(ObjectKind.RUNNERS);
 	}
 
-	Follower start(Kind kind) {
-		return Follower.start(this.store, kind, this.timer, new FollowListener() {
+	StoreWatcher start(ObjectKind kind) {
+		return StoreWatcher.start(this.store, kind, this.timer, new StoreListener() {
 
 			@Override
-			public void onAll(List<Item> items, long at) {
+			public void onSnapshot(List<Item> items, long at) {
 				StoreWatcherFixture.this.events.add("all" + items.stream().map(Item::name).toList());
 			}
 
@@ -107,12 +107,12 @@
 			}
 
 			@Override
-			public void onDoubt() {
+			public void onPossiblyStale() {
 				StoreWatcherFixture.this.events.add("doubt");
 			}
 
 			@Override
-			public void onReachable(boolean reachable) {
+			public void onReachabilityChanged(boolean reachable) {
 				StoreWatcherFixture.this.events.add(reachable ? "back" : "lost");
 			}
 
--- a/protocol/src/test/java/org/wisteriapost/protocol/site/StoreWatcherTests.java
+++ b/protocol/src/test/java/org/wisteriapost/protocol/site/StoreWatcherTests.java
@@ -112,7 +112,7 @@
 	@Test
 	void responseReceivedAfterPauseIsIgnored() throws Exception {
 		this.store.pages.add(new Page(List.of(item("a", 1)), false, 5));
-		Follower watcher = start();
+		StoreWatcher watcher = start();
 		awaitScriptFinished();
 		CountDownLatch busy = new CountDownLatch(1);
 		this.timer.execute(() -> awaitQuietly(busy));
@@ -137,7 +137,7 @@
 	@Test
 	void pauseCancelsCallInProgress() throws Exception {
 		this.store.pages.add(new Page(List.of(item("a", 1)), false, 5));
-		Follower watcher = start();
+		StoreWatcher watcher = start();
 		awaitScriptFinished();
 		watcher.pause();
 		assertThat(events(), Matchers.contains("back", "all[a]"));
@@ -150,7 +150,7 @@
 	void resumeCatchesUpFromLastRevision() throws Exception {
 		this.store.pages.add(new Page(List.of(item("a", 1)), false, 5));
 		this.store.catchUpChanges.add(new Changes(List.of(new Change(item("b", 8), false)), 8));
-		Follower watcher = start();
+		StoreWatcher watcher = start();
 		awaitScriptFinished();
 		watcher.pause();
 		watcher.resume(0);
@@ -164,7 +164,7 @@
 	@Test
 	void resumeSkipsRevisionsReceivedFromPeer() throws Exception {
 		this.store.pages.add(new Page(List.of(item("a", 1)), false, 5));
-		Follower watcher = start();
+		StoreWatcher watcher = start();
 		awaitScriptFinished();
 		watcher.pause();
 		watcher.resume(25);
@@ -178,10 +178,10 @@
 	void discardedUpdatesAreRelistedOnResume() throws Exception {
 		this.store.pages.add(new Page(List.of(item("a", 1)), false, 5));
 		this.store.pages.add(new Page(List.of(item("b", 8)), false, 8));
-		Follower watcher = start();
+		StoreWatcher watcher = start();
 		awaitScriptFinished();
 		watcher.pause();
-		watcher.forget();
+		watcher.relistOnResume();
 		watcher.resume(0);
 		assertThat(eventsAfter(4), Matchers.contains("back", "all[a]", "back", "all[b]"));
 	}
--- a/protocol/src/test/java/org/wisteriapost/protocol/site/StoreWatcherTimingTests.java
+++ b/protocol/src/test/java/org/wisteriapost/protocol/site/StoreWatcherTimingTests.java
@@ -19,7 +19,7 @@
 import static org.hamcrest.MatcherAssert.assertThat;
 
 /**
- * The confirmed times that a {@link Follower} reports, and when it reports that its
+ * The confirmed times that a {@link StoreWatcher} reports, and when it reports that its
  * objects may be stale.
  */
 class StoreWatcherTimingTests extends StoreWatcherFixture {
@@ -29,9 +29,9 @@
 	@Test
 	void leaderReportsUnansweredWatchBeforeCallTimesOut() throws Exception {
 		this.store.pages.add(new Page(List.of(item("a", 1)), false, 5));
-		Follower watcher = start();
+		StoreWatcher watcher = start();
 		awaitScriptFinished();
-		watcher.reliedOn(true);
+		watcher.setLeader(true);
 		events();
 		this.store.unresponsive = true;
 		this.store.pendingWatch.completeExceptionally(CodedException.of(ObjectStore.UNAVAILABLE, "scripted"));
@@ -47,14 +47,14 @@
 	@ParameterizedTest
 	@CsvSource({ "ROUTES,0,1800", "ROUTES,700,1100", "ROUTES,1400,400", "ROUTES,1600,400", "RUNNERS,0,1800",
 			"WEIGHTS,500,1300", "ENTRIES,0,16000", "ENTRIES,15600,400" })
-	void leaderReportsPossibleStalenessOnlyWhenConfirmationIsOverdue(Kind kind, long failedMillis,
+	void leaderReportsPossibleStalenessOnlyWhenConfirmationIsOverdue(ObjectKind kind, long failedMillis,
 			long warningDelayMillis) throws Exception {
 		AtomicLong now = new AtomicLong(this.startedNanos);
 		this.clock = now::get;
 		this.store.pages.add(new Page(List.of(item("a", 1)), false, 5));
-		Follower watcher = start(kind);
+		StoreWatcher watcher = start(kind);
 		awaitScriptFinished();
-		watcher.reliedOn(true);
+		watcher.setLeader(true);
 		events();
 		this.store.unresponsive = true;
 		now.addAndGet(TimeUnit.MILLISECONDS.toNanos(failedMillis));
@@ -70,9 +70,9 @@
 		this.store.pages.add(new Page(List.of(item("a", 1)), false, 5));
 		List<Runnable> warnings = new CopyOnWriteArrayList<>();
 		this.scheduled = warnings::add;
-		Follower watcher = start();
+		StoreWatcher watcher = start();
 		awaitScriptFinished();
-		watcher.reliedOn(true);
+		watcher.setLeader(true);
 		events();
 		this.store.pendingWatch.completeExceptionally(CodedException.of(ObjectStore.UNAVAILABLE, "scripted"));
 		eventsAfter(4);
@@ -123,12 +123,12 @@
 	@ParameterizedTest
 	@CsvSource({ "ENTRIES,0,false", "ROUTES,0,false", "ROUTES,999,false", "ROUTES,1000,true", "ROUTES,1100,true",
 			"ROUTES,1250,true", "ROUTES,1251,false", "ROUTES,1500,false" })
-	void emptyWatchIsConfirmedAsOfItsEndIfHeldForFullWait(Kind kind, long responseMillis, boolean held)
+	void emptyWatchIsConfirmedAsOfItsEndIfHeldForFullWait(ObjectKind kind, long responseMillis, boolean held)
 			throws Exception {
 		AtomicLong now = new AtomicLong(this.startedNanos);
 		this.clock = now::get;
 		this.store.pages.add(new Page(List.of(item("a", 1)), false, 5));
-		Follower watcher = start(kind);
+		StoreWatcher watcher = start(kind);
 		awaitScriptFinished();
 		long waitNanos = this.store.waits.getLast().toNanos();
 		now.addAndGet(TimeUnit.MILLISECONDS.toNanos(responseMillis));
@@ -142,7 +142,7 @@
 	@Test
 	void delayedEmptyWatchIsConfirmedAsOfItsRequest() throws Exception {
 		this.store.pages.add(new Page(List.of(item("a", 1)), false, 5));
-		Follower watcher = start(Kind.ROUTES);
+		StoreWatcher watcher = start(ObjectKind.ROUTES);
 		awaitScriptFinished();
 		long waitNanos = this.store.waits.getLast().toNanos();
 		TimeUnit.NANOSECONDS.sleep(waitNanos + TimeUnit.MILLISECONDS.toNanos(500));
@@ -157,9 +157,9 @@
 	@ParameterizedTest
 	@CsvSource({ "ROUTES,false,1000", "ROUTES,true,800", "RUNNERS,false,2200", "RUNNERS,true,800", "WEIGHTS,true,800",
 			"ENTRIES,false,15000", "ENTRIES,true,15000" })
-	void watchWaitDependsOnKindAndRole(Kind kind, boolean leader, long millis) throws Exception {
+	void watchWaitDependsOnKindAndRole(ObjectKind kind, boolean leader, long millis) throws Exception {
 		this.store.pages.add(new Page(List.of(), false, 5));
-		start(kind).reliedOn(leader);
+		start(kind).setLeader(leader);
 		for (int i = 0; i < 100 && this.store.requests.size() < 2; i++) {
 			TimeUnit.MILLISECONDS.sleep(50);
 		}
--- a/protocol/src/test/java/org/wisteriapost/protocol/site/TruncatedCatchUpTests.java
+++ b/protocol/src/test/java/org/wisteriapost/protocol/site/TruncatedCatchUpTests.java
@@ -19,7 +19,7 @@
 import static org.hamcrest.MatcherAssert.assertThat;
 
 /**
- * A {@link Follower} whose catch-up call fails.
+ * A {@link StoreWatcher} whose catch-up call fails.
  */
 class TruncatedCatchUpTests {
 
@@ -40,19 +40,19 @@
 	// before its response started is repeated.
 	@ParameterizedTest
 	@CsvSource({ "ROUTES,3200,list", "ROUTES,0,since 5", "RUNNERS,2500,since 5" })
-	void truncatedCatchUpIsFollowedByListing(Kind kind, long millis, String next) throws Exception {
+	void truncatedCatchUpIsFollowedByListing(ObjectKind kind, long millis, String next) throws Exception {
 		this.store.failsAfterMillis = millis;
-		Follower.start(this.store, kind, this.timer, new IgnoringListener());
+		StoreWatcher.start(this.store, kind, this.timer, new IgnoringListener());
 		assertThat(this.store.remainingRequests.await(TIMEOUT_SECONDS, TimeUnit.SECONDS), Matchers.is(true));
 		assertThat(List.copyOf(this.store.requests).subList(0, 4),
 				Matchers.contains("list", "watch 5", "since 5", next));
 	}
 
 	/** Ignores all calls. */
-	private static final class IgnoringListener implements FollowListener {
+	private static final class IgnoringListener implements StoreListener {
 
 		@Override
-		public void onAll(List<ObjectStore.Item> items, long at) {
+		public void onSnapshot(List<ObjectStore.Item> items, long at) {
 		}
 
 		@Override
@@ -64,11 +64,11 @@
 		}
 
 		@Override
-		public void onDoubt() {
+		public void onPossiblyStale() {
 		}
 
 		@Override
-		public void onReachable(boolean reachable) {
+		public void onReachabilityChanged(boolean reachable) {
 		}
 
 	}
@@ -88,13 +88,13 @@
 		}
 
 		@Override
-		public CompletableFuture<Page> list(Kind kind, Optional<String> after) {
+		public CompletableFuture<Page> list(ObjectKind kind, Optional<String> after) {
 			requests("list");
 			return CompletableFuture.completedFuture(new Page(List.of(), false, 5));
 		}
 
 		@Override
-		public CompletableFuture<Changes> watch(Kind kind, long revision, Duration wait) {
+		public CompletableFuture<Changes> watch(ObjectKind kind, long revision, Duration wait) {
 			requests((wait.isZero() ? "since " : "watch ") + revision);
 			CompletableFuture<Changes> answer = new CompletableFuture<>();
 			long millis = wait.isZero() ? this.failsAfterMillis : 0;
@@ -104,7 +104,7 @@
 		}
 
 		@Override
-		public Optional<Item> decode(Kind kind, byte[] content) {
+		public Optional<Item> decode(ObjectKind kind, byte[] content) {
 			throw new UnsupportedOperationException();
 		}
 
--- a/standin/src/main/java/org/wisteriapost/standin/BufferedResponse.java
+++ b/standin/src/main/java/org/wisteriapost/standin/BufferedResponse.java
@@ -8,13 +8,13 @@
 import java.util.concurrent.CountDownLatch;
 
 import org.wisteriapost.protocol.http.HttpCall;
-import org.wisteriapost.protocol.http.HttpCaller;
-import org.wisteriapost.protocol.http.HttpListener;
+import org.wisteriapost.protocol.http.HttpResponseListener;
+import org.wisteriapost.protocol.http.PooledHttpClient;
 
 /**
  * Buffers the response to one call, complete or not.
  */
-final class BufferedResponse implements HttpListener {
+final class BufferedResponse implements HttpResponseListener {
 
 	private final CountDownLatch completed = new CountDownLatch(1);
 
@@ -31,7 +31,7 @@
 	/**
 	 * Sends the call and waits until the response has ended or failed.
 	 */
-	static BufferedResponse of(HttpCaller caller, HttpCall call) throws InterruptedException {
+	static BufferedResponse of(PooledHttpClient caller, HttpCall call) throws InterruptedException {
 		BufferedResponse response = new BufferedResponse();
 		caller.stream(call, response);
 		response.completed.await();
--- a/standin/src/main/java/org/wisteriapost/standin/EntryAddressCache.java
+++ b/standin/src/main/java/org/wisteriapost/standin/EntryAddressCache.java
@@ -8,8 +8,8 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import org.wisteriapost.protocol.http.HttpCall;
-import org.wisteriapost.protocol.http.HttpCaller;
-import org.wisteriapost.protocol.http.HttpReply;
+import org.wisteriapost.protocol.http.HttpResponse;
+import org.wisteriapost.protocol.http.PooledHttpClient;
 
 /**
  * Caches the advertised entry addresses as a well-behaved client does: fetched from any
@@ -20,7 +20,7 @@
 
 	private static final Duration TIMEOUT = Duration.ofSeconds(2);
 
-	private final HttpCaller caller;
+	private final PooledHttpClient caller;
 
 	private final String token;
 
@@ -32,7 +32,7 @@
 
 	private long expiresAtNanos;
 
-	EntryAddressCache(HttpCaller caller, String token, List<URI> seeds, long seed) {
+	EntryAddressCache(PooledHttpClient caller, String token, List<URI> seeds, long seed) {
 		this.caller = caller;
 		this.token = token;
 		this.seeds = List.copyOf(seeds);
@@ -61,7 +61,7 @@
 			try {
 				HttpCall call = HttpCall.of("GET", address.resolve("/v1/entries"), TIMEOUT)
 					.header("Authorization", "Bearer " + this.token);
-				HttpReply reply = this.caller.call(call).join();
+				HttpResponse reply = this.caller.call(call).join();
 				if (reply.status() == 200 && update(Json.tree(reply.body()))) {
 					return;
 				}
--- a/standin/src/main/java/org/wisteriapost/standin/Traffic.java
+++ b/standin/src/main/java/org/wisteriapost/standin/Traffic.java
@@ -18,7 +18,7 @@
 import org.wisteriapost.policy.bundle.Bundle;
 import org.wisteriapost.policy.bundle.BundleCodec;
 import org.wisteriapost.protocol.http.HttpCall;
-import org.wisteriapost.protocol.http.HttpCaller;
+import org.wisteriapost.protocol.http.PooledHttpClient;
 import org.wisteriapost.protocol.outside.Platform;
 import org.wisteriapost.protocol.outside.http.HttpPlatform;
 import org.wisteriapost.standin.TrafficRecorder.Count;
@@ -41,7 +41,7 @@
 
 	private final CommandLine line;
 
-	private final HttpCaller http = HttpCaller.create(2);
+	private final PooledHttpClient http = PooledHttpClient.create(2);
 
 	private final TrafficRecorder recorder = new TrafficRecorder();
 
--- a/standin/src/main/java/org/wisteriapost/standin/TrafficClient.java
+++ b/standin/src/main/java/org/wisteriapost/standin/TrafficClient.java
@@ -8,7 +8,7 @@
 
 import org.wisteriapost.protocol.CallerHeaders;
 import org.wisteriapost.protocol.http.HttpCall;
-import org.wisteriapost.protocol.http.HttpCaller;
+import org.wisteriapost.protocol.http.PooledHttpClient;
 import org.wisteriapost.standin.TrafficRecorder.Count;
 
 /**
@@ -32,7 +32,7 @@
 
 	private final String name;
 
-	private final HttpCaller http;
+	private final PooledHttpClient http;
 
 	private final EntryAddressCache entries;
 
@@ -46,7 +46,7 @@
 
 	private String lastAttempt = "none";
 
-	TrafficClient(String name, HttpCaller http, EntryAddressCache entries, String token, TrafficRecorder recorder,
+	TrafficClient(String name, PooledHttpClient http, EntryAddressCache entries, String token, TrafficRecorder recorder,
 			long seed) {
 		this.name = name;
 		this.http = http;
--- a/standin/src/main/java/org/wisteriapost/standin/bench/ClaimBench.java
+++ b/standin/src/main/java/org/wisteriapost/standin/bench/ClaimBench.java
@@ -16,7 +16,7 @@
 import org.apache.commons.cli.Option;
 import org.apache.commons.cli.Options;
 import org.apache.commons.cli.ParseException;
-import org.wisteriapost.protocol.http.HttpCaller;
+import org.wisteriapost.protocol.http.PooledHttpClient;
 import org.wisteriapost.protocol.outside.Platform;
 import org.wisteriapost.protocol.outside.http.HttpPlatform;
 import org.wisteriapost.standin.PlatformServer;
@@ -66,7 +66,7 @@
 		LongAdder refused = new LongAdder();
 		ConcurrentHistogram latency = new ConcurrentHistogram(3);
 		try (PlatformServer server = PlatformServer.start("127.0.0.1", 0, 2000, load.limit);
-				HttpCaller caller = HttpCaller.create(2)) {
+				PooledHttpClient caller = PooledHttpClient.create(2)) {
 			Platform platform = HttpPlatform.at(caller, URI.create("http://127.0.0.1:" + server.port()));
 			List<ClaimLoadGenerator> entries = new ArrayList<>();
 			for (int i = 0; i < load.entries; i++) {
--- a/standin/src/main/java/org/wisteriapost/standin/bench/ClaimLoadGenerator.java
+++ b/standin/src/main/java/org/wisteriapost/standin/bench/ClaimLoadGenerator.java
@@ -16,10 +16,10 @@
 import org.wisteriapost.entry.claim.ClaimStore;
 import org.wisteriapost.policy.claim.ClaimEffect;
 import org.wisteriapost.policy.claim.ClaimKey;
-import org.wisteriapost.policy.claim.ClaimRecord.KeptAnswer;
 import org.wisteriapost.policy.claim.ClaimRecord.State;
+import org.wisteriapost.policy.claim.ClaimRecord.StoredAnswer;
+import org.wisteriapost.policy.claim.ClaimResult;
 import org.wisteriapost.policy.claim.ClaimTable;
-import org.wisteriapost.policy.claim.ClaimVerdict;
 import org.wisteriapost.protocol.outside.Platform;
 
 /**
@@ -30,7 +30,7 @@
 
 	private static final long TICK_MILLIS = 20;
 
-	private static final KeptAnswer ANSWER = new KeptAnswer(200, List.of("Content-Type", "application/json"),
+	private static final StoredAnswer ANSWER = new StoredAnswer(200, List.of("Content-Type", "application/json"),
 			new byte[100]);
 
 	private final ScheduledExecutorService loop = Executors.newSingleThreadScheduledExecutor();
@@ -78,9 +78,9 @@
 		long now = System.nanoTime();
 		executeEffects(switch (reply) {
 			case ClaimReply.Found found ->
-				this.table.read(found.object(), found.value(), found.version(), found.conflict(), now);
-			case ClaimReply.Written written -> this.table.written(written.object(), written.version(), now);
-			case ClaimReply.Failed failed -> this.table.failed(failed.object(), failed.unconfirmed(), now);
+				this.table.onRead(found.object(), found.value(), found.version(), found.conflict(), now);
+			case ClaimReply.Written written -> this.table.onWritten(written.object(), written.version(), now);
+			case ClaimReply.Failed failed -> this.table.onFailure(failed.object(), failed.unconfirmed(), now);
 		});
 	}
 
@@ -89,14 +89,14 @@
 			switch (effect) {
 				case ClaimEffect.Read read -> this.store.read(read);
 				case ClaimEffect.Write write -> this.store.write(write);
-				case ClaimEffect.Tell tell -> complete(tell.verdict());
+				case ClaimEffect.Complete tell -> complete(tell.result());
 			}
 		}
 	}
 
-	private void complete(ClaimVerdict verdict) {
+	private void complete(ClaimResult verdict) {
 		PendingClaim claim = this.pending.remove(verdict.id());
-		if (verdict instanceof ClaimVerdict.Claimed) {
+		if (verdict instanceof ClaimResult.Claimed) {
 			this.latency.recordValue(System.nanoTime() - claim.atNanos);
 			executeEffects(this.table.settle(claim.key, claim.nonce, State.ANSWERED, ANSWER, System.nanoTime()));
 			return;
--- a/standin/src/main/java/org/wisteriapost/standin/bench/DecisionBench.java
+++ b/standin/src/main/java/org/wisteriapost/standin/bench/DecisionBench.java
@@ -9,8 +9,8 @@
 import org.wisteriapost.policy.request.Priority;
 import org.wisteriapost.policy.request.Request;
 import org.wisteriapost.policy.request.RequestEvent;
-import org.wisteriapost.policy.request.RequestMachine;
-import org.wisteriapost.policy.request.RunnerView;
+import org.wisteriapost.policy.request.RequestStateMachine;
+import org.wisteriapost.policy.request.RunnerStatus;
 
 /**
  * Measures the processor time of all decisions for one request, from arrival to end, by
@@ -46,11 +46,11 @@
 
 	/** Keeps half of all slots occupied. */
 	private static long measure(int runners) {
-		RequestMachine machine = RequestMachine.create();
-		machine.apply(new RequestEvent.HeadSeen(1, Map.of(SERVICE, Set.of("d"))), 0);
+		RequestStateMachine machine = RequestStateMachine.create();
+		machine.apply(new RequestEvent.HeadRead(1, Map.of(SERVICE, Set.of("d"))), 0);
 		for (int i = 0; i < runners; i++) {
-			RunnerView view = new RunnerView("runner-" + i, "p", SERVICE, true, "d", 1, 0, 0, 8, Set.of());
-			machine.apply(new RequestEvent.RunnerSeen(view), 0);
+			RunnerStatus view = new RunnerStatus("runner-" + i, "p", SERVICE, true, "d", 1, 0, 0, 8, Set.of());
+			machine.apply(new RequestEvent.RunnerReported(view), 0);
 		}
 		long inFlight = runners * 4L;
 		long step = UNIT_NANOS / inFlight;
@@ -58,7 +58,7 @@
 		for (long id = 1; id <= REQUESTS; id++) {
 			long now = id * step;
 			machine.apply(new RequestEvent.Arrived(request(id, now)), now);
-			machine.apply(new RequestEvent.Ended(id - inFlight), now);
+			machine.apply(new RequestEvent.AnswerCompleted(id - inFlight), now);
 		}
 		return (System.nanoTime() - startNanos) / REQUESTS;
 	}
--- a/standin/src/main/java/org/wisteriapost/standin/bench/LoadBench.java
+++ b/standin/src/main/java/org/wisteriapost/standin/bench/LoadBench.java
@@ -17,16 +17,16 @@
 import org.wisteriapost.standin.sim.LoadProfile;
 import org.wisteriapost.standin.sim.LoadResult;
 import org.wisteriapost.standin.sim.LoadSim;
-import org.wisteriapost.standin.sim.MachinePolicy;
-import org.wisteriapost.standin.sim.NaivePolicy;
+import org.wisteriapost.standin.sim.RoundRobinPolicy;
+import org.wisteriapost.standin.sim.StateMachinePolicy;
 
 /**
  * Compares policies under the same load in virtual time.
  */
 public final class LoadBench implements BenchCommand {
 
-	private static final Map<String, EntryPolicy.Factory> POLICIES = Map.of("naive", NaivePolicy::create, "machine",
-			MachinePolicy::create);
+	private static final Map<String, EntryPolicy.Factory> POLICIES = Map.of("naive", RoundRobinPolicy::create,
+			"machine", StateMachinePolicy::create);
 
 	private static final int EXIT_USAGE = 2;
 
@@ -61,7 +61,7 @@
 			}
 			int entries = Integer.parseInt(line.getOptionValue("entries", "6"));
 			int queue = Integer.parseInt(line.getOptionValue("gate-queue", "0"));
-			return compare(profile.get().across(entries).gateQueue(queue), policies, seed, out);
+			return compare(profile.get().withEntries(entries).gateQueue(queue), policies, seed, out);
 		}
 		catch (ParseException | NumberFormatException ex) {
 			System.err.println(ex.getMessage() + "; " + summary());
@@ -86,8 +86,8 @@
 		line.put("seed", seed);
 		line.put("goodput", round(result.goodput()));
 		line.putAll(group(result.all()));
-		line.put("refusalP99Millis", round(result.refusals().getValueAtPercentile(99) / 1000.0));
-		line.put("refusedAtOnce", round(result.refusals().getPercentileAtOrBelowValue(5000) / 100));
+		line.put("refusalP99Millis", round(result.refusalLatencies().getValueAtPercentile(99) / 1000.0));
+		line.put("refusedAtOnce", round(result.refusalLatencies().getPercentileAtOrBelowValue(5000) / 100));
 		line.put("retries", result.retries());
 		line.put("gateRefusals", result.gateRefusals());
 		line.put("codes", result.codes());
@@ -105,13 +105,13 @@
 
 	private static Map<String, Object> group(LoadResult.Group group) {
 		Map<String, Object> figures = new LinkedHashMap<>();
-		figures.put("requests", group.asked());
-		figures.put("inTime", round(group.shareInTime()));
+		figures.put("requests", group.requests());
+		figures.put("inTime", round(group.inTimeShare()));
 		figures.put("refused", group.refused());
 		figures.put("failed", group.failed());
-		figures.put("p50Millis", round(group.millis(50)));
-		figures.put("p95Millis", round(group.millis(95)));
-		figures.put("p99Millis", round(group.millis(99)));
+		figures.put("p50Millis", round(group.latencyMillis(50)));
+		figures.put("p95Millis", round(group.latencyMillis(95)));
+		figures.put("p99Millis", round(group.latencyMillis(99)));
 		return figures;
 	}
 
--- a/standin/src/main/java/org/wisteriapost/standin/bench/weights/LoopbackStore.java
+++ b/standin/src/main/java/org/wisteriapost/standin/bench/weights/LoopbackStore.java
@@ -66,12 +66,12 @@
 	}
 
 	@Override
-	public synchronized CompletableFuture<BitSet> held(String file) {
+	public synchronized CompletableFuture<BitSet> storedChunks(String file) {
 		return CompletableFuture.completedFuture((BitSet) this.held.clone());
 	}
 
 	@Override
-	public synchronized CompletableFuture<Void> drop(String file) {
+	public synchronized CompletableFuture<Void> delete(String file) {
 		this.held.clear();
 		return CompletableFuture.completedFuture(null);
 	}
--- a/standin/src/main/java/org/wisteriapost/standin/bench/weights/LoopbackVm.java
+++ b/standin/src/main/java/org/wisteriapost/standin/bench/weights/LoopbackVm.java
@@ -7,7 +7,7 @@
 
 import com.google.protobuf.ByteString;
 import io.micrometer.core.instrument.simple.SimpleMeterRegistry;
-import org.wisteriapost.agent.transfer.PeerTransfers;
+import org.wisteriapost.agent.transfer.PeerTransferProvider;
 import org.wisteriapost.agent.transfer.Transfer;
 import org.wisteriapost.agent.transfer.TransferContext;
 import org.wisteriapost.agent.transfer.TransferOptions;
@@ -65,8 +65,8 @@
 		this.chunkBytes = chunkBytes;
 		this.store = store;
 		Hello hello = Hello.newBuilder().setVm(name).setPlace(failureDomain).setRole(Role.AGENT).build();
-		this.transfer = PeerTransfers.create(new TransferContext(Settings.parse("bench", ""), name, failureDomain,
-				this.links, () -> hello, Frame::newBuilder, (link, frame) -> {
+		this.transfer = PeerTransferProvider.create(new TransferContext(Settings.parse("bench", ""), name,
+				failureDomain, this.links, () -> hello, Frame::newBuilder, (link, frame) -> {
 				}, origin, store, timer, this.metrics), options);
 		this.server = this.links.listen(new InetSocketAddress(HOST, 0), this);
 	}
@@ -77,7 +77,7 @@
 	}
 
 	void fetch(List<VmList.Vm> all, WeightFile file) {
-		this.transfer.peers(all);
+		this.transfer.setPeers(all);
 		CompletableFuture<Void> fetch = this.transfer.fetch(List.of(file));
 		fetch.whenComplete((none, failure) -> {
 			this.failed = failure != null;
--- a/standin/src/main/java/org/wisteriapost/standin/bench/weights/SimulatedVm.java
+++ b/standin/src/main/java/org/wisteriapost/standin/bench/weights/SimulatedVm.java
@@ -6,8 +6,8 @@
 
 import org.wisteriapost.policy.transfer.Peer;
 import org.wisteriapost.policy.transfer.TransferEffect;
-import org.wisteriapost.policy.transfer.TransferMachine;
-import org.wisteriapost.policy.transfer.Uploads;
+import org.wisteriapost.policy.transfer.TransferStateMachine;
+import org.wisteriapost.policy.transfer.UploadQueue;
 
 /**
  * One VM of a simulation: its transfer state machine, its links and the faults that
@@ -21,9 +21,9 @@
 
 	final Peer peer;
 
-	final TransferMachine transfer;
+	final TransferStateMachine transfer;
 
-	final Uploads<Upload> uploads = Uploads.create(MAX_QUEUED_UPLOADS, MAX_UPLOADS_PER_PEER);
+	final UploadQueue<Upload> uploads = UploadQueue.create(MAX_QUEUED_UPLOADS, MAX_UPLOADS_PER_PEER);
 
 	final Set<SimulatedVm> subscribers = new LinkedHashSet<>();
 
@@ -53,7 +53,7 @@
 
 	long received;
 
-	SimulatedVm(Peer peer, TransferMachine transfer) {
+	SimulatedVm(Peer peer, TransferStateMachine transfer) {
 		this.peer = peer;
 		this.transfer = transfer;
 	}
--- a/standin/src/main/java/org/wisteriapost/standin/bench/weights/Simulation.java
+++ b/standin/src/main/java/org/wisteriapost/standin/bench/weights/Simulation.java
@@ -12,12 +12,12 @@
 import org.apache.commons.rng.simple.RandomSource;
 import org.wisteriapost.kernel.Invariants;
 import org.wisteriapost.policy.bundle.WeightFile;
+import org.wisteriapost.policy.transfer.ChunkIndex;
 import org.wisteriapost.policy.transfer.Peer;
-import org.wisteriapost.policy.transfer.Pieces;
 import org.wisteriapost.policy.transfer.TransferEffect;
 import org.wisteriapost.policy.transfer.TransferEvent;
 import org.wisteriapost.policy.transfer.TransferLimits;
-import org.wisteriapost.policy.transfer.TransferMachine;
+import org.wisteriapost.policy.transfer.TransferStateMachine;
 
 /**
  * A rollout to N VMs in virtual time, reproducible from its seed.
@@ -66,7 +66,7 @@
 
 	private final List<SimulatedVm> order = new ArrayList<>();
 
-	private final Pieces chunks;
+	private final ChunkIndex chunks;
 
 	private long now;
 
@@ -87,7 +87,7 @@
 		this.random = RandomSource.XO_RO_SHI_RO_128_PP.create(plan.seed());
 		int chunkBytes = plan.chunkBytes();
 		List<String> hashes = IntStream.range(0, plan.chunks()).mapToObj((index) -> "chunk-" + index).toList();
-		this.chunks = Pieces.of(List
+		this.chunks = ChunkIndex.of(List
 			.of(new WeightFile("model", "1", "model", "etag", (long) chunkBytes * plan.chunks(), chunkBytes, hashes)));
 	}
 
@@ -105,7 +105,7 @@
 	private void createVms() {
 		for (int i = 0; i < this.plan.vms(); i++) {
 			Peer peer = new Peer("vm-" + i, "place-" + i % this.plan.failureDomains());
-			TransferMachine transfer = TransferMachine.create(this.chunks, peer, this.plan.limits(),
+			TransferStateMachine transfer = TransferStateMachine.create(this.chunks, peer, this.plan.limits(),
 					RandomSource.XO_RO_SHI_RO_128_PP.create(this.random.nextLong()), this.invariants);
 			SimulatedVm vm = new SimulatedVm(peer, transfer);
 			this.vms.put(peer.vm(), vm);
@@ -138,8 +138,8 @@
 	private void start(SimulatedVm vm) {
 		List<Peer> others = this.order.stream().filter((other) -> other != vm).map((other) -> other.peer).toList();
 		apply(vm, new TransferEvent.RateSet(this.plan.linkBytesPerSecond()));
-		apply(vm, new TransferEvent.PeersSeen(others));
-		apply(vm, new TransferEvent.Held(new BitSet()));
+		apply(vm, new TransferEvent.PeersChanged(others));
+		apply(vm, new TransferEvent.StoreScanned(new BitSet()));
 		tick(vm);
 	}
 
@@ -222,14 +222,14 @@
 				vm.controlBytes += FRAME_BYTES;
 				schedule(LATENCY_NANOS, () -> request(vm, this.vms.get(request.vm()), request));
 			}
-			case TransferEffect.Drop drop -> {
+			case TransferEffect.DiscardParts drop -> {
 			}
-			case TransferEffect.ReadOrigin read -> readOrigin(vm, read.piece());
-			case TransferEffect.Store store -> schedule(STORE_NANOS, () -> stored(vm, store.piece()));
+			case TransferEffect.ReadOrigin read -> readOrigin(vm, read.chunk());
+			case TransferEffect.Store store -> schedule(STORE_NANOS, () -> stored(vm, store.chunk()));
 			case TransferEffect.Copy copy -> schedule(STORE_NANOS, () -> stored(vm, copy.to()));
-			case TransferEffect.Announce announce -> announce(vm, announce.pieces());
+			case TransferEffect.Announce announce -> announce(vm, announce.chunks());
 			case TransferEffect.Complete complete -> finish(vm);
-			case TransferEffect.Changed changed -> fail(vm);
+			case TransferEffect.VersionChanged changed -> fail(vm);
 			case TransferEffect.Fail fail -> fail(vm);
 			case TransferEffect.Notice notice -> {
 			}
@@ -250,10 +250,10 @@
 		to.subscribers.add(from);
 		to.controlBytes += 2 * FRAME_BYTES + this.chunks.count() / 8;
 		if (to.idle) {
-			schedule(LATENCY_NANOS, () -> apply(from, new TransferEvent.PeerIdle(to.peer.vm())));
+			schedule(LATENCY_NANOS, () -> apply(from, new TransferEvent.PeerNotFetching(to.peer.vm())));
 			return;
 		}
-		BitSet held = to.transfer.held();
+		BitSet held = to.transfer.heldChunks();
 		schedule(LATENCY_NANOS, () -> apply(from, new TransferEvent.PeerHolds(to.peer.vm(), held)));
 	}
 
@@ -265,7 +265,7 @@
 	}
 
 	private void request(SimulatedVm from, SimulatedVm to, TransferEffect.Request request) {
-		int chunk = request.piece();
+		int chunk = request.chunk();
 		if (to.isUnavailable()) {
 			return;
 		}
@@ -284,7 +284,7 @@
 		}
 		vm.uploads.next().ifPresent((upload) -> {
 			if (this.now - upload.queuedAt() > MAX_QUEUE_NANOS) {
-				int chunk = upload.request().piece();
+				int chunk = upload.request().chunk();
 				schedule(LATENCY_NANOS, () -> apply(upload.to(), new TransferEvent.Refused(chunk, vm.peer.vm(), true)));
 				startNextUpload(vm);
 				return;
@@ -301,18 +301,18 @@
 	private void deliver(SimulatedVm from, SimulatedVm.Upload upload) {
 		SimulatedVm to = upload.to();
 		boolean last = upload.request().length() == 0;
-		this.remoteChunks += (last && !from.peer.place().equals(to.peer.place())) ? 1 : 0;
+		this.remoteChunks += (last && !from.peer.failureDomain().equals(to.peer.failureDomain())) ? 1 : 0;
 		if (from.isUnavailable() || to.isUnavailable() || !to.links.contains(from.peer.vm())) {
 			return;
 		}
 		to.receiveFreeAt = Math.max(this.now, to.receiveFreeAt + partNanos(upload) * to.slowdownFactor);
 		schedule(to.receiveFreeAt - this.now + LATENCY_NANOS, () -> {
 			if (last) {
-				arrive(to, upload.request().piece(), from.peer.vm(), from.corrupt);
+				arrive(to, upload.request().chunk(), from.peer.vm(), from.corrupt);
 				return;
 			}
 			int end = upload.request().offset() + upload.request().length();
-			apply(to, new TransferEvent.PartCame(upload.request().piece(), from.peer.vm(), end));
+			apply(to, new TransferEvent.PartReceived(upload.request().chunk(), from.peer.vm(), end));
 		});
 	}
 
@@ -323,11 +323,11 @@
 
 	private void readOrigin(SimulatedVm vm, int chunk) {
 		if (this.originChanged) {
-			schedule(2 * LATENCY_NANOS, () -> apply(vm, new TransferEvent.OriginFailed(chunk, true)));
+			schedule(2 * LATENCY_NANOS, () -> apply(vm, new TransferEvent.OriginReadFailed(chunk, true)));
 			return;
 		}
 		if (originUnreachable()) {
-			schedule(CONNECT_TIMEOUT_NANOS, () -> apply(vm, new TransferEvent.OriginFailed(chunk, false)));
+			schedule(CONNECT_TIMEOUT_NANOS, () -> apply(vm, new TransferEvent.OriginReadFailed(chunk, false)));
 			return;
 		}
 		this.originChunks++;
@@ -342,7 +342,8 @@
 
 	private void deliverFromOrigin(SimulatedVm vm, int chunk) {
 		vm.receiveFreeAt = Math.max(this.now + originNanos(), vm.receiveFreeAt + chunkNanos() * vm.slowdownFactor);
-		schedule(vm.receiveFreeAt - this.now + LATENCY_NANOS, () -> arrive(vm, chunk, TransferMachine.ORIGIN, false));
+		schedule(vm.receiveFreeAt - this.now + LATENCY_NANOS,
+				() -> arrive(vm, chunk, TransferStateMachine.ORIGIN, false));
 	}
 
 	private void stored(SimulatedVm vm, int chunk) {
--- a/standin/src/main/java/org/wisteriapost/standin/bench/weights/TransferVariants.java
+++ b/standin/src/main/java/org/wisteriapost/standin/bench/weights/TransferVariants.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 
 import org.wisteriapost.policy.transfer.TransferLimits;
-import org.wisteriapost.policy.transfer.TransferLimits.Design;
+import org.wisteriapost.policy.transfer.TransferLimits.Distribution;
 
 /**
  * Parses names of transfer designs and their variants.
@@ -29,8 +29,8 @@
 	private static TransferLimits baseLimits(String name) {
 		TransferLimits base = TransferLimits.standard();
 		return switch (name) {
-			case "naive" -> new Builder(base).design(Design.NAIVE).originCopies(Integer.MAX_VALUE).build();
-			case "chain" -> new Builder(base).design(Design.CHAIN).originReads(8).perPeer(8).build();
+			case "naive" -> new Builder(base).design(Distribution.NAIVE).originCopies(Integer.MAX_VALUE).build();
+			case "chain" -> new Builder(base).design(Distribution.CHAIN).originReads(8).perPeer(8).build();
 			case "swarm", "peers" -> base;
 			default -> throw new IllegalArgumentException("unknown design: " + name);
 		};
@@ -64,38 +64,38 @@
 			this.limits = limits;
 		}
 
-		Builder design(Design design) {
-			return set(design, this.limits.originCopies(), this.limits.originReads(), this.limits.neighbours(),
-					this.limits.outstanding(), this.limits.perPeer());
+		Builder design(Distribution design) {
+			return set(design, this.limits.originReadersPerChunk(), this.limits.maxOriginReads(),
+					this.limits.maxPeers(), this.limits.maxChunksInProgress(), this.limits.maxChunksPerPeer());
 		}
 
 		Builder originCopies(int copies) {
-			return set(this.limits.design(), copies, this.limits.originReads(), this.limits.neighbours(),
-					this.limits.outstanding(), this.limits.perPeer());
+			return set(this.limits.distribution(), copies, this.limits.maxOriginReads(), this.limits.maxPeers(),
+					this.limits.maxChunksInProgress(), this.limits.maxChunksPerPeer());
 		}
 
 		Builder originReads(int reads) {
-			return set(this.limits.design(), this.limits.originCopies(), reads, this.limits.neighbours(),
-					this.limits.outstanding(), this.limits.perPeer());
+			return set(this.limits.distribution(), this.limits.originReadersPerChunk(), reads, this.limits.maxPeers(),
+					this.limits.maxChunksInProgress(), this.limits.maxChunksPerPeer());
 		}
 
 		Builder neighbours(int neighbours) {
-			return set(this.limits.design(), this.limits.originCopies(), this.limits.originReads(), neighbours,
-					this.limits.outstanding(), this.limits.perPeer());
+			return set(this.limits.distribution(), this.limits.originReadersPerChunk(), this.limits.maxOriginReads(),
+					neighbours, this.limits.maxChunksInProgress(), this.limits.maxChunksPerPeer());
 		}
 
 		Builder outstanding(int outstanding) {
-			return set(this.limits.design(), this.limits.originCopies(), this.limits.originReads(),
-					this.limits.neighbours(), outstanding, this.limits.perPeer());
+			return set(this.limits.distribution(), this.limits.originReadersPerChunk(), this.limits.maxOriginReads(),
+					this.limits.maxPeers(), outstanding, this.limits.maxChunksPerPeer());
 		}
 
 		Builder perPeer(int perPeer) {
-			return set(this.limits.design(), this.limits.originCopies(), this.limits.originReads(),
-					this.limits.neighbours(), this.limits.outstanding(), perPeer);
+			return set(this.limits.distribution(), this.limits.originReadersPerChunk(), this.limits.maxOriginReads(),
+					this.limits.maxPeers(), this.limits.maxChunksInProgress(), perPeer);
 		}
 
 		Builder announce(Duration interval) {
-			return times(this.limits.progressDeadline(), interval);
+			return times(this.limits.minTimeout(), interval);
 		}
 
 		Builder deadline(Duration deadline) {
@@ -103,41 +103,41 @@
 		}
 
 		Builder rarestOf(int value) {
-			return flags(value, this.limits.samePlaceFirst(), this.limits.placeReaders());
+			return flags(value, this.limits.preferSameFailureDomain(), this.limits.oneFetcherPerFailureDomain());
 		}
 
 		Builder samePlaceFirst(boolean value) {
-			return flags(this.limits.rarestOf(), value, this.limits.placeReaders());
+			return flags(this.limits.rarestSampleSize(), value, this.limits.oneFetcherPerFailureDomain());
 		}
 
 		Builder placeReaders() {
-			return flags(this.limits.rarestOf(), this.limits.samePlaceFirst(), true);
+			return flags(this.limits.rarestSampleSize(), this.limits.preferSameFailureDomain(), true);
 		}
 
 		TransferLimits build() {
 			return this.limits;
 		}
 
-		private Builder set(Design design, int copies, int reads, int neighbours, int outstanding, int perPeer) {
+		private Builder set(Distribution design, int copies, int reads, int neighbours, int outstanding, int perPeer) {
 			this.limits = new TransferLimits(design, copies, reads, neighbours, outstanding, perPeer,
-					this.limits.progressDeadline(), this.limits.announceInterval(), this.limits.rarestOf(),
-					this.limits.samePlaceFirst(), this.limits.placeReaders());
+					this.limits.minTimeout(), this.limits.announceInterval(), this.limits.rarestSampleSize(),
+					this.limits.preferSameFailureDomain(), this.limits.oneFetcherPerFailureDomain());
 			return this;
 		}
 
 		private Builder times(Duration deadline, Duration announce) {
 			TransferLimits old = this.limits;
-			this.limits = new TransferLimits(old.design(), old.originCopies(), old.originReads(), old.neighbours(),
-					old.outstanding(), old.perPeer(), deadline, announce, old.rarestOf(), old.samePlaceFirst(),
-					old.placeReaders());
+			this.limits = new TransferLimits(old.distribution(), old.originReadersPerChunk(), old.maxOriginReads(),
+					old.maxPeers(), old.maxChunksInProgress(), old.maxChunksPerPeer(), deadline, announce,
+					old.rarestSampleSize(), old.preferSameFailureDomain(), old.oneFetcherPerFailureDomain());
 			return this;
 		}
 
 		private Builder flags(int rarest, boolean localFirst, boolean leaders) {
 			TransferLimits old = this.limits;
-			this.limits = new TransferLimits(old.design(), old.originCopies(), old.originReads(), old.neighbours(),
-					old.outstanding(), old.perPeer(), old.progressDeadline(), old.announceInterval(), rarest,
-					localFirst, leaders);
+			this.limits = new TransferLimits(old.distribution(), old.originReadersPerChunk(), old.maxOriginReads(),
+					old.maxPeers(), old.maxChunksInProgress(), old.maxChunksPerPeer(), old.minTimeout(),
+					old.announceInterval(), rarest, localFirst, leaders);
 			return this;
 		}
 
--- a/standin/src/main/java/org/wisteriapost/standin/sim/LoadProfile.java
+++ b/standin/src/main/java/org/wisteriapost/standin/sim/LoadProfile.java
@@ -91,7 +91,7 @@
 	/**
 	 * Returns this profile with another number of entries.
 	 */
-	public LoadProfile across(int otherEntries) {
+	public LoadProfile withEntries(int otherEntries) {
 		return new LoadProfile(this.name, otherEntries, this.runners, this.slots, this.gateQueue, this.unitDuration,
 				this.duration, this.streams, this.faults);
 	}
--- a/standin/src/main/java/org/wisteriapost/standin/sim/LoadResult.java
+++ b/standin/src/main/java/org/wisteriapost/standin/sim/LoadResult.java
@@ -17,7 +17,7 @@
 
 	private final Group all = new Group();
 
-	private final Histogram refusals = new Histogram(MAX_MICROS, 3);
+	private final Histogram refusalLatencies = new Histogram(MAX_MICROS, 3);
 
 	private final Map<String, Long> codes = new TreeMap<>();
 
@@ -56,8 +56,8 @@
 	/**
 	 * Returns the latency of refusals, in microseconds.
 	 */
-	public Histogram refusals() {
-		return this.refusals;
+	public Histogram refusalLatencies() {
+		return this.refusalLatencies;
 	}
 
 	/**
@@ -125,7 +125,7 @@
 
 		private final Histogram answerLatencies = new Histogram(MAX_MICROS, 3);
 
-		private long asked;
+		private long requests;
 
 		private long dispatched;
 
@@ -143,7 +143,7 @@
 		}
 
 		void recordRequest(int cost) {
-			this.asked++;
+			this.requests++;
 			this.requestedCost += cost;
 		}
 
@@ -170,8 +170,8 @@
 		/**
 		 * Returns the number of requests.
 		 */
-		public long asked() {
-			return this.asked;
+		public long requests() {
+			return this.requests;
 		}
 
 		/**
@@ -185,8 +185,8 @@
 		 * Returns the share of requests that were answered completely before the
 		 * deadline.
 		 */
-		public double shareInTime() {
-			return (this.asked > 0) ? (double) this.inTime / this.asked : 1;
+		public double inTimeShare() {
+			return (this.requests > 0) ? (double) this.inTime / this.requests : 1;
 		}
 
 		/**
@@ -206,7 +206,7 @@
 		/**
 		 * Returns a percentile of the latency of complete answers, in milliseconds.
 		 */
-		public double millis(double percentile) {
+		public double latencyMillis(double percentile) {
 			return this.answerLatencies.getValueAtPercentile(percentile) / 1000.0;
 		}
 
--- a/standin/src/main/java/org/wisteriapost/standin/sim/LoadSim.java
+++ b/standin/src/main/java/org/wisteriapost/standin/sim/LoadSim.java
@@ -108,7 +108,7 @@
 
 	private void start() {
 		for (int entry = 0; entry < this.entries.size(); entry++) {
-			apply(entry, new RequestEvent.HeadSeen(1, Map.of(SERVICE, Set.of(DIGEST))));
+			apply(entry, new RequestEvent.HeadRead(1, Map.of(SERVICE, Set.of(DIGEST))));
 			int entryIndex = entry;
 			schedule(TICK_NANOS * entry / this.entries.size(), () -> tick(entryIndex));
 		}
@@ -139,7 +139,7 @@
 	}
 
 	private void publishReport(SimulatedRunner runner) {
-		RequestEvent seen = new RequestEvent.RunnerSeen(runner.view());
+		RequestEvent seen = new RequestEvent.RunnerReported(runner.view());
 		long lag = (this.nowNanos == 0) ? 0 : (long) (REPORT_LAG_NANOS * this.random.nextDouble());
 		for (int entry = 0; entry < this.entries.size(); entry++) {
 			int entryIndex = entry;
@@ -160,7 +160,7 @@
 			runner.running.clear();
 			runner.waiting.clear();
 			for (int entry = 0; entry < this.entries.size(); entry++) {
-				apply(entry, new RequestEvent.RunnerLost(runner.name));
+				apply(entry, new RequestEvent.RunnerDisconnected(runner.name));
 			}
 			calls.sort(Comparator.comparingLong(SimulatedRunner.Call::sequence));
 			calls.forEach((call) -> reportFailure(call, runner, false, "link-lost", 0));
@@ -201,7 +201,7 @@
 					schedule(CLAIM_NANOS, () -> apply(entry, new RequestEvent.Claimed(claim.id())));
 				case RequestEffect.Dispatch dispatch -> dispatch(caller, this.runners.get(dispatch.runner()));
 				case RequestEffect.Refuse refuse -> refuse(caller, refuse.code());
-				case RequestEffect.GiveUp giveUp -> abandon(caller, giveUp.code());
+				case RequestEffect.AnswerUnknown giveUp -> abandon(caller, giveUp.code());
 				case RequestEffect.Cancel cancel -> {
 					SimulatedRunner runner = this.runners.get(cancel.runner());
 					schedule(LINK_NANOS, () -> cancel(runner, cancel.id()));
@@ -272,7 +272,7 @@
 		long id = call.caller().request.id();
 		if (!complete) {
 			if (runner.running.get(id) == call) {
-				apply(call.caller().entry, new RequestEvent.Started(id));
+				apply(call.caller().entry, new RequestEvent.AnswerStarted(id));
 			}
 			return;
 		}
@@ -285,13 +285,13 @@
 			caller.group.recordAnswer(cost, micros, inTime);
 			this.result.all().recordAnswer(cost, micros, inTime);
 		}
-		apply(call.caller().entry, new RequestEvent.Ended(id));
+		apply(call.caller().entry, new RequestEvent.AnswerCompleted(id));
 	}
 
 	private void reportFailure(SimulatedRunner.Call call, SimulatedRunner runner, boolean notRun, String code,
 			long retryMillis) {
 		schedule(LINK_NANOS, () -> apply(call.caller().entry,
-				new RequestEvent.Failed(call.caller().request.id(), runner.name, notRun, code, retryMillis)));
+				new RequestEvent.DispatchFailed(call.caller().request.id(), runner.name, notRun, code, retryMillis)));
 	}
 
 	private void cancel(SimulatedRunner runner, long id) {
@@ -320,7 +320,7 @@
 		caller.group.recordRefusal();
 		this.result.all().recordRefusal();
 		this.result.countCode(code);
-		this.result.refusals().recordValue((this.nowNanos - caller.arrivedNanos) / 1000);
+		this.result.refusalLatencies().recordValue((this.nowNanos - caller.arrivedNanos) / 1000);
 	}
 
 	private void abandon(Caller caller, String code) {
--- a/standin/src/main/java/org/wisteriapost/standin/sim/NaivePolicy.java
+++ b/standin/src/main/java/org/wisteriapost/standin/sim/RoundRobinPolicy.java
@@ -10,13 +10,13 @@
  * A baseline for comparison: round robin over the connected runners, without admission
  * control, queueing, retries or cancellation.
  */
-public final class NaivePolicy implements EntryPolicy {
+public final class RoundRobinPolicy implements EntryPolicy {
 
 	private final List<String> runners = new ArrayList<>();
 
 	private int nextIndex;
 
-	private NaivePolicy(int firstIndex) {
+	private RoundRobinPolicy(int firstIndex) {
 		this.nextIndex = firstIndex;
 	}
 
@@ -25,24 +25,25 @@
 	 * send to the same runner at once.
 	 */
 	public static EntryPolicy create(LoadProfile profile, long seed) {
-		return new NaivePolicy((int) Math.floorMod(seed, (long) profile.runners()));
+		return new RoundRobinPolicy((int) Math.floorMod(seed, (long) profile.runners()));
 	}
 
 	@Override
 	public List<RequestEffect> apply(RequestEvent event, long nowNanos) {
 		return switch (event) {
-			case RequestEvent.RunnerSeen seen -> {
-				if (!this.runners.contains(seen.view().runner())) {
-					this.runners.add(seen.view().runner());
+			case RequestEvent.RunnerReported seen -> {
+				if (!this.runners.contains(seen.status().runner())) {
+					this.runners.add(seen.status().runner());
 				}
 				yield List.of();
 			}
-			case RequestEvent.RunnerLost lost -> {
+			case RequestEvent.RunnerDisconnected lost -> {
 				this.runners.remove(lost.runner());
 				yield List.of();
 			}
 			case RequestEvent.Arrived arrived -> List.of(dispatch(arrived.request().id()));
-			case RequestEvent.Failed failed -> List.of(new RequestEffect.GiveUp(failed.id(), failed.code()));
+			case RequestEvent.DispatchFailed failed ->
+				List.of(new RequestEffect.AnswerUnknown(failed.id(), failed.code()));
 			default -> List.of();
 		};
 	}
--- a/standin/src/main/java/org/wisteriapost/standin/sim/SimulatedRunner.java
+++ b/standin/src/main/java/org/wisteriapost/standin/sim/SimulatedRunner.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.Set;
 
-import org.wisteriapost.policy.request.RunnerView;
+import org.wisteriapost.policy.request.RunnerStatus;
 
 /**
  * A simulated runner. Continuous batching is modelled as slots of equal speed; calls
@@ -69,8 +69,8 @@
 		return (this.state == LoadProfile.Fault.Kind.SLOW) ? 10 : 1;
 	}
 
-	RunnerView view() {
-		return new RunnerView(this.name, this.failureDomain, LoadSim.SERVICE, true, LoadSim.DIGEST, 1,
+	RunnerStatus view() {
+		return new RunnerStatus(this.name, this.failureDomain, LoadSim.SERVICE, true, LoadSim.DIGEST, 1,
 				this.running.size(), this.waiting.size(), this.slots, Set.of());
 	}
 
--- a/standin/src/main/java/org/wisteriapost/standin/sim/MachinePolicy.java
+++ b/standin/src/main/java/org/wisteriapost/standin/sim/StateMachinePolicy.java
@@ -5,17 +5,17 @@
 
 import org.wisteriapost.policy.request.RequestEffect;
 import org.wisteriapost.policy.request.RequestEvent;
-import org.wisteriapost.policy.request.RequestMachine;
 import org.wisteriapost.policy.request.RequestPolicySettings;
+import org.wisteriapost.policy.request.RequestStateMachine;
 
 /**
  * The production request handling of an entry.
  */
-public final class MachinePolicy implements EntryPolicy {
+public final class StateMachinePolicy implements EntryPolicy {
 
-	private final RequestMachine stateMachine;
+	private final RequestStateMachine stateMachine;
 
-	private MachinePolicy(RequestMachine machine) {
+	private StateMachinePolicy(RequestStateMachine machine) {
 		this.stateMachine = machine;
 	}
 
@@ -23,7 +23,7 @@
 	 * Creates the production request handling with default settings.
 	 */
 	public static EntryPolicy create(LoadProfile profile, long seed) {
-		return new MachinePolicy(RequestMachine.create(RequestPolicySettings.defaults(), seed));
+		return new StateMachinePolicy(RequestStateMachine.create(RequestPolicySettings.defaults(), seed));
 	}
 
 	@Override
--- a/standin/src/main/java/org/wisteriapost/standin/soak/SoakCallers.java
+++ b/standin/src/main/java/org/wisteriapost/standin/soak/SoakCallers.java
@@ -4,8 +4,8 @@
 import java.util.List;
 import java.util.Optional;
 
-import org.wisteriapost.entry.caller.CallKey;
 import org.wisteriapost.entry.caller.CallerCall;
+import org.wisteriapost.entry.caller.IdempotencyKey;
 import org.wisteriapost.entry.caller.Outcome;
 import org.wisteriapost.policy.request.Priority;
 import org.wisteriapost.policy.request.Request;
@@ -78,7 +78,8 @@
 		byte[] body = call.key.getBytes(StandardCharsets.UTF_8);
 		CallerCall attempt = new CallerCall(request, requestId, call.key.isEmpty() ? "GET" : "POST", "/x", List.of(),
 				body, !call.plain && this.time.chance(0.5),
-				call.key.isEmpty() ? Optional.empty() : Optional.of(new CallKey(call.key, call.issuedMillis)), answer);
+				call.key.isEmpty() ? Optional.empty() : Optional.of(new IdempotencyKey(call.key, call.issuedMillis)),
+				answer);
 		entry.call(attempt, answer);
 		expectAnswer(entry, answer, requestId);
 		if (call.key.isEmpty() && this.time.chance(0.02)) {
--- a/standin/src/main/java/org/wisteriapost/standin/soak/SoakEntry.java
+++ b/standin/src/main/java/org/wisteriapost/standin/soak/SoakEntry.java
@@ -10,22 +10,22 @@
 import io.micrometer.core.instrument.simple.SimpleMeterRegistry;
 import org.apache.commons.rng.simple.RandomSource;
 import org.wisteriapost.entry.caller.CallerCall;
-import org.wisteriapost.entry.caller.ServiceView;
+import org.wisteriapost.entry.caller.EntryView;
 import org.wisteriapost.entry.claim.ClaimStore;
 import org.wisteriapost.entry.link.PeerLink;
 import org.wisteriapost.entry.platform.BundleContent;
 import org.wisteriapost.entry.process.EntryEvent;
+import org.wisteriapost.entry.process.EntryIdentity;
 import org.wisteriapost.entry.process.EntryMetrics;
 import org.wisteriapost.entry.process.EntryOutput;
 import org.wisteriapost.entry.process.EntryState;
 import org.wisteriapost.entry.process.EntryWiring;
-import org.wisteriapost.entry.process.Identity;
 import org.wisteriapost.policy.bundle.BundleCodec;
 import org.wisteriapost.policy.bundle.Head;
 import org.wisteriapost.policy.claim.ClaimTable;
 import org.wisteriapost.policy.membership.Member;
-import org.wisteriapost.policy.request.RequestMachine;
 import org.wisteriapost.policy.request.RequestPolicySettings;
+import org.wisteriapost.policy.request.RequestStateMachine;
 import org.wisteriapost.protocol.outside.Platform;
 import org.wisteriapost.protocol.wire.Role;
 
@@ -55,7 +55,7 @@
 
 	private final Set<SoakResponse> pendingResponses = new LinkedHashSet<>();
 
-	private ServiceView view = ServiceView.EMPTY;
+	private EntryView view = EntryView.EMPTY;
 
 	SoakEntry(SoakFleet fleet, String name, String failureDomain) {
 		super(name, failureDomain);
@@ -63,20 +63,20 @@
 		this.time = fleet.time();
 		long seed = this.time.random().nextLong();
 		ClaimStore store = ClaimStore.of(fleet.platform(),
-				(reply) -> this.time.after(0, () -> apply(new EntryEvent.ClaimAnswered(reply))));
+				(reply) -> this.time.after(0, () -> apply(new EntryEvent.ClaimReplied(reply))));
 		EntryWiring wiring = new EntryWiring(
-				RequestMachine.create(RequestPolicySettings.defaults(), seed, fleet.invariants()),
+				RequestStateMachine.create(RequestPolicySettings.defaults(), seed, fleet.invariants()),
 				ClaimTable.create(CLAIM_WRITES_PER_SECOND, RandomSource.SPLIT_MIX_64.create(seed),
 						this.time.nowNanos()),
 				store, EntryMetrics.of(new SimpleMeterRegistry()), fleet.invariants(), this.time::nowNanos,
 				this.time::wallMillis, MAX_BUFFERED_BYTES);
-		this.state = EntryState.create(new Identity(name, failureDomain, 1), this, wiring);
+		this.state = EntryState.create(new EntryIdentity(name, failureDomain, 1), this, wiring);
 		this.loop = LockstepLoop.start(name, this.state::apply, fleet.invariants());
 		tick();
 		readHeadAndVms();
 	}
 
-	ServiceView view() {
+	EntryView view() {
 		return this.view;
 	}
 
@@ -86,7 +86,7 @@
 	}
 
 	void disconnectCaller(long id) {
-		apply(new EntryEvent.CallerLeft(id));
+		apply(new EntryEvent.CallerDisconnected(id));
 	}
 
 	boolean pending(SoakResponse answer) {
@@ -100,7 +100,7 @@
 	@Override
 	void leave() {
 		super.leave();
-		apply(new EntryEvent.DrainAsked());
+		apply(new EntryEvent.DrainRequested());
 	}
 
 	@Override
@@ -128,7 +128,7 @@
 	}
 
 	@Override
-	public void keepLinks(List<Member> members) {
+	public void reconcileLinks(List<Member> members) {
 		Set<String> wanted = members.stream().map(Member::vm).collect(Collectors.toSet());
 		this.time.after(0, () -> {
 			this.linksByVm.forEach((vm, link) -> {
@@ -142,7 +142,7 @@
 	}
 
 	@Override
-	public void publish(ServiceView next) {
+	public void publish(EntryView next) {
 		this.view = next;
 	}
 
@@ -166,7 +166,7 @@
 	 */
 	void accept(SoakLink link) {
 		addLink(link);
-		linkUp(link.acceptor(), PeerLink.from(link.acceptor()));
+		linkUp(link.acceptor(), PeerLink.incoming(link.acceptor()));
 	}
 
 	private void connect(Member member) {
@@ -175,12 +175,12 @@
 		}
 		this.fleet.vm(member.vm()).ifPresent((vm) -> {
 			SoakLink link = link(member);
-			linkUp(link.dialer(), PeerLink.to(link.dialer(), member.vm(), Role.AGENT));
+			linkUp(link.dialer(), PeerLink.outgoing(link.dialer(), member.vm(), Role.AGENT));
 			vm.accept(link);
 		});
 		this.fleet.entry(member.vm()).filter((other) -> other != this).ifPresent((other) -> {
 			SoakLink link = link(member);
-			linkUp(link.dialer(), PeerLink.to(link.dialer(), member.vm(), Role.ENTRY));
+			linkUp(link.dialer(), PeerLink.outgoing(link.dialer(), member.vm(), Role.ENTRY));
 			other.accept(link);
 		});
 	}
@@ -219,7 +219,7 @@
 			this.time.after(0, () -> apply(new EntryEvent.HeadRead(head, requestedNanos)));
 		});
 		List<Member> members = this.fleet.members();
-		this.time.after(VirtualTime.SECOND, () -> apply(new EntryEvent.VmsRead(members)));
+		this.time.after(VirtualTime.SECOND, () -> apply(new EntryEvent.VmListRead(members)));
 		this.time.after(READ_INTERVAL_NANOS, this::readHeadAndVms);
 	}
 
--- a/standin/src/main/java/org/wisteriapost/standin/soak/SoakFleet.java
+++ b/standin/src/main/java/org/wisteriapost/standin/soak/SoakFleet.java
@@ -211,7 +211,7 @@
 		SoakVm vm = vms().get(this.time.random().nextInt(this.vms.size()));
 		vm.end();
 		this.vms.put(vm.name(), new SoakVm(this, vm.name(), vm.failureDomain(), vm.identity().service(),
-				vm.identity().plain(), vm.runner()));
+				vm.identity().plainService(), vm.runner()));
 	}
 
 	/**
@@ -226,7 +226,7 @@
 
 	void agentEnded(SoakVm vm) {
 		if (this.vms.remove(vm.name(), vm)) {
-			startVm(vm.failureDomain(), vm.identity().plain());
+			startVm(vm.failureDomain(), vm.identity().plainService());
 		}
 	}
 
@@ -256,11 +256,11 @@
 	private void checkHeadActiveEverywhere() {
 		Head head = BundleCodec.head(this.platform.getDirectly("head").orElseThrow().value());
 		for (SoakVm vm : this.vms.values()) {
-			boolean active = vm.view().generation() == head.generation() && vm.view().admitting()
-					&& (vm.identity().plain() || vm.runner().weightsDigest().equals(weights(head)));
+			boolean active = vm.view().bundleGeneration() == head.generation() && vm.view().admitting()
+					&& (vm.identity().plainService() || vm.runner().weightsDigest().equals(weights(head)));
 			this.invariants.holds(active, "in-force-everywhere",
-					vm.name() + " " + vm.view().generation() + " of " + head.generation() + " " + vm.view() + " runner "
-							+ vm.runner().view() + " weights " + weights(head));
+					vm.name() + " " + vm.view().bundleGeneration() + " of " + head.generation() + " " + vm.view()
+							+ " runner " + vm.runner().view() + " weights " + weights(head));
 		}
 		for (SoakEntry entry : this.entries.values()) {
 			this.invariants.holds(entry.view().generation() == head.generation(), "in-force-everywhere",
--- a/standin/src/main/java/org/wisteriapost/standin/soak/SoakOperators.java
+++ b/standin/src/main/java/org/wisteriapost/standin/soak/SoakOperators.java
@@ -10,7 +10,7 @@
 import java.util.Optional;
 
 import org.wisteriapost.policy.agent.AgentEvent;
-import org.wisteriapost.policy.agent.OperatorKeys;
+import org.wisteriapost.policy.agent.ApprovalPolicy;
 import org.wisteriapost.policy.bundle.Approvals;
 import org.wisteriapost.policy.bundle.Bundle;
 import org.wisteriapost.policy.bundle.BundleCodec;
@@ -45,10 +45,10 @@
 		OPERATORS.forEach((name) -> this.keyPairs.put(name, generateKeyPair()));
 	}
 
-	OperatorKeys keys() {
+	ApprovalPolicy keys() {
 		Map<String, String> keys = new HashMap<>();
 		this.keyPairs.forEach((name, pair) -> keys.put(name, BASE64.encodeToString(pair.getPublic().getEncoded())));
-		return new OperatorKeys(keys, OPERATORS.size());
+		return new ApprovalPolicy(keys, OPERATORS.size());
 	}
 
 	/**
@@ -67,13 +67,13 @@
 
 	AgentEvent bundleEvent(String digest, Optional<Platform.Stored> content, Platform.Listing approvals) {
 		if (content.isEmpty()) {
-			return new AgentEvent.BundleMissing(digest);
+			return new AgentEvent.BundleUnavailable(digest);
 		}
 		Map<String, byte[]> signatures = new HashMap<>();
 		approvals.items()
 			.forEach((stored) -> signatures.put(stored.key().substring(stored.key().lastIndexOf('/') + 1),
 					stored.value()));
-		return new AgentEvent.BundleArrived(digest, content.get().value(), signatures);
+		return new AgentEvent.BundleReceived(digest, content.get().value(), signatures);
 	}
 
 	// Bundles and approvals are content-addressed, so concurrent writes cannot conflict.
@@ -107,9 +107,9 @@
 				.next(current, current.generation(), digest, operator, this.fleet.time().wallMillis(),
 						operator + "-" + this.nextRollout++)
 				.orElseThrow();
-			Platform.Expected expected = stored.<Platform.Expected>map(
-					(one) -> new Platform.Expected.Version(one.version()))
-				.orElseGet(Platform.Expected.Absent::new);
+			Platform.Precondition expected = stored.<Platform.Precondition>map(
+					(one) -> new Platform.Precondition.Version(one.version()))
+				.orElseGet(Platform.Precondition.Absent::new);
 			record(current, () -> write(bundle, next, expected));
 		});
 	}
@@ -120,7 +120,7 @@
 			return;
 		}
 		this.fleet.platform()
-			.put(key(head.generation()), BundleCodec.encode(head), new Platform.Expected.Absent())
+			.put(key(head.generation()), BundleCodec.encode(head), new Platform.Precondition.Absent())
 			.whenComplete((result, failure) -> {
 				if (failure == null) {
 					next.run();
@@ -131,7 +131,7 @@
 			});
 	}
 
-	private void write(Bundle bundle, Head next, Platform.Expected expected) {
+	private void write(Bundle bundle, Head next, Platform.Precondition expected) {
 		this.fleet.platform().put("head", BundleCodec.encode(next), expected).whenComplete((result, failure) -> {
 			if (result instanceof Platform.PutResult.Written) {
 				committed(bundle, next);
@@ -145,15 +145,15 @@
 		});
 	}
 
-	private void resolve(Bundle bundle, Head written, Platform.Expected expected) {
+	private void resolve(Bundle bundle, Head written, Platform.Precondition expected) {
 		Platform platform = this.fleet.platform();
 		platform.get("head")
 			.thenCombine(platform.get(key(written.generation())),
-					(head, recorded) -> HeadMove.fate(written,
+					(head, recorded) -> HeadMove.outcome(written,
 							head.map((one) -> BundleCodec.head(one.value())).orElse(Head.NONE),
 							recorded.map((one) -> BundleCodec.head(one.value()))))
 			.whenComplete((result, failure) -> {
-				if (failure != null || result == HeadMove.Fate.UNDECIDED) {
+				if (failure != null || result == HeadMove.Outcome.UNDECIDED) {
 					this.fleet.time().after(VirtualTime.SECOND / 4, () -> resolve(bundle, written, expected));
 					return;
 				}
--- a/standin/src/main/java/org/wisteriapost/standin/soak/SoakPlatform.java
+++ b/standin/src/main/java/org/wisteriapost/standin/soak/SoakPlatform.java
@@ -78,7 +78,7 @@
 	 * Stores an object without latency or faults.
 	 */
 	void putDirectly(String key, byte[] value) {
-		write(key, value, new Expected.Anything());
+		write(key, value, new Precondition.Anything());
 	}
 
 	@Override
@@ -98,7 +98,7 @@
 	}
 
 	@Override
-	public CompletableFuture<PutResult> put(String key, byte[] value, Expected expected) {
+	public CompletableFuture<PutResult> put(String key, byte[] value, Precondition expected) {
 		CompletableFuture<PutResult> future = new CompletableFuture<>();
 		this.writes++;
 		this.time.after(latencyNanos(), () -> {
@@ -145,12 +145,13 @@
 		return future;
 	}
 
-	private PutResult write(String key, byte[] value, Expected expected) {
+	private PutResult write(String key, byte[] value, Precondition expected) {
 		Optional<Stored> current = Optional.ofNullable(this.values.get(key));
 		boolean matches = switch (expected) {
-			case Expected.Absent absent -> current.isEmpty();
-			case Expected.Version version -> current.filter((one) -> one.version() == version.version()).isPresent();
-			case Expected.Anything anything -> true;
+			case Precondition.Absent absent -> current.isEmpty();
+			case Precondition.Version version ->
+				current.filter((one) -> one.version() == version.version()).isPresent();
+			case Precondition.Anything anything -> true;
 		};
 		if (!matches) {
 			return new PutResult.Conflict(current);
--- a/standin/src/main/java/org/wisteriapost/standin/soak/SoakResponse.java
+++ b/standin/src/main/java/org/wisteriapost/standin/soak/SoakResponse.java
@@ -72,7 +72,7 @@
 	}
 
 	@Override
-	public void whole(int status, List<Map.Entry<String, String>> headers, String digest, byte[] content) {
+	public void complete(int status, List<Map.Entry<String, String>> headers, String digest, byte[] content) {
 		this.weightsDigest = digest;
 		this.body.append(new String(content, StandardCharsets.UTF_8));
 		end(Outcome.RAN);
@@ -85,7 +85,7 @@
 	}
 
 	@Override
-	public boolean data(byte[] data) {
+	public boolean write(byte[] data) {
 		this.body.append(new String(data, StandardCharsets.UTF_8));
 		return true;
 	}
--- a/standin/src/main/java/org/wisteriapost/standin/soak/SoakRunner.java
+++ b/standin/src/main/java/org/wisteriapost/standin/soak/SoakRunner.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 
 import org.wisteriapost.policy.agent.AgentEffect;
-import org.wisteriapost.policy.agent.EngineView;
+import org.wisteriapost.policy.agent.LocalEngineStatus;
 
 /**
  * The runner of an endpoint VM: a model engine or a plain service. It keeps running when
@@ -48,10 +48,10 @@
 		return this.weightsDigest;
 	}
 
-	EngineView view() {
+	LocalEngineStatus view() {
 		long generation = this.acceptedOrders.isEmpty() ? 0 : this.acceptedOrders.getLast().generation();
 		long epoch = this.acceptedOrders.isEmpty() ? 0 : this.acceptedOrders.getLast().epoch();
-		return new EngineView(this.weightsDigest, this.loading, this.running.size(), 0, MAX_CONCURRENT_CALLS,
+		return new LocalEngineStatus(this.weightsDigest, this.loading, this.running.size(), 0, MAX_CONCURRENT_CALLS,
 				generation, epoch);
 	}
 
--- a/standin/src/main/java/org/wisteriapost/standin/soak/SoakVm.java
+++ b/standin/src/main/java/org/wisteriapost/standin/soak/SoakVm.java
@@ -13,9 +13,9 @@
 import org.wisteriapost.policy.agent.AgentEvent;
 import org.wisteriapost.policy.agent.AgentIdentity;
 import org.wisteriapost.policy.agent.AgentLimits;
-import org.wisteriapost.policy.agent.AgentMachine;
-import org.wisteriapost.policy.agent.AgentView;
-import org.wisteriapost.policy.agent.EngineView;
+import org.wisteriapost.policy.agent.AgentStateMachine;
+import org.wisteriapost.policy.agent.AgentStatus;
+import org.wisteriapost.policy.agent.LocalEngineStatus;
 import org.wisteriapost.policy.agent.StoredObject;
 import org.wisteriapost.policy.request.Priority;
 import org.wisteriapost.protocol.outside.Platform;
@@ -50,7 +50,7 @@
 
 	private final LockstepLoop<AgentEvent> loop;
 
-	private final AgentMachine stateMachine;
+	private final AgentStateMachine stateMachine;
 
 	private final Map<Long, SoakCall> calls = new LinkedHashMap<>();
 
@@ -67,8 +67,8 @@
 		this.runner = runner;
 		this.identity = new AgentIdentity(name, failureDomain, service, plain,
 				"nonce-" + this.time.random().nextLong());
-		this.stateMachine = AgentMachine.create(this.identity, LIMITS, fleet.operators().keys(), fleet.invariants(),
-				RandomSource.XO_RO_SHI_RO_128_PP.create(this.time.random().nextLong()));
+		this.stateMachine = AgentStateMachine.create(this.identity, LIMITS, fleet.operators().keys(),
+				fleet.invariants(), RandomSource.XO_RO_SHI_RO_128_PP.create(this.time.random().nextLong()));
 		this.loop = LockstepLoop.start(name,
 				(event) -> this.stateMachine.apply(event, this.time.nowNanos()).forEach(this::execute),
 				fleet.invariants());
@@ -83,8 +83,8 @@
 		return this.runner;
 	}
 
-	AgentView view() {
-		return this.stateMachine.view();
+	AgentStatus view() {
+		return this.stateMachine.status();
 	}
 
 	@Override
@@ -100,7 +100,7 @@
 		// A paused process handles the signal when it resumes.
 		step(() -> {
 			this.leavingSince = this.time.nowNanos();
-			this.loop.apply(new AgentEvent.LeaveAsked());
+			this.loop.apply(new AgentEvent.LeaveRequested());
 		});
 	}
 
@@ -158,7 +158,7 @@
 				frame.getBundleReply()
 					.getApprovalsList()
 					.forEach((one) -> signatures.put(one.getOperator(), one.getSignature().toByteArray()));
-				apply(new AgentEvent.BundleArrived(frame.getBundleReply().getDigest(),
+				apply(new AgentEvent.BundleReceived(frame.getBundleReply().getDigest(),
 						frame.getBundleReply().getBundle().toByteArray(), signatures));
 			}
 			case CALL -> call(linkEnd, frame.getCall());
@@ -173,7 +173,7 @@
 	}
 
 	private void head(Head head) {
-		apply(new AgentEvent.HeadHeard(head.getGeneration(), head.getDigest(), head.getConfirmed(),
+		apply(new AgentEvent.HeadReceived(head.getGeneration(), head.getDigest(), head.getConfirmed(),
 				head.getConfirmedAgeMillis()));
 	}
 
@@ -210,19 +210,19 @@
 	}
 
 	private Report currentReport() {
-		AgentView view = view();
+		AgentStatus view = view();
 		return Report.newBuilder()
 			.setVm(name())
 			.setPlace(failureDomain())
 			.setService(this.identity.service())
-			.setPlain(this.identity.plain())
+			.setPlain(this.identity.plainService())
 			.setAdmitting(view.admitting())
 			.setLeaving(view.leaving())
 			.setWeightsDigest(view.weightsDigest())
-			.setBundleGeneration(view.generation())
-			.setRunning(view.running())
+			.setBundleGeneration(view.bundleGeneration())
+			.setRunning(view.runningCalls())
 			.setCapacity(view.capacity())
-			.setQueued(view.queued())
+			.setQueued(view.queuedCalls())
 			.setEpoch(view.epoch())
 			.build();
 	}
@@ -232,14 +232,15 @@
 	// would deadlock the lockstep loop.
 	private void execute(AgentEffect effect) {
 		switch (effect) {
-			case AgentEffect.Wake wake -> this.time.after(wake.delayNanos(), () -> apply(new AgentEvent.Tick()));
+			case AgentEffect.ScheduleTick wake ->
+				this.time.after(wake.delayNanos(), () -> apply(new AgentEvent.Tick()));
 			case AgentEffect.ReadObject read -> read(read.key());
 			case AgentEffect.WriteObject write -> write(write);
 			case AgentEffect.FetchBundle bundle -> this.time.after(0, () -> fetchBundle(bundle.digest()));
 			case AgentEffect.FetchWeights weights -> fetchWeights(weights);
 			case AgentEffect.ReadEngine read -> this.time.afterNetworkDelay(() -> {
-				EngineView engine = this.runner.view();
-				this.time.afterNetworkDelay(() -> apply(new AgentEvent.EngineRead(engine)));
+				LocalEngineStatus engine = this.runner.view();
+				this.time.afterNetworkDelay(() -> apply(new AgentEvent.EngineStatusRead(engine)));
 			});
 			case AgentEffect.SendOrder order -> this.time.after(0, () -> step(() -> order(order)));
 			case AgentEffect.StartCall start -> this.time.after(0, () -> step(() -> start(start.call())));
@@ -247,11 +248,11 @@
 				this.time.after(0, () -> Optional.ofNullable(this.calls.remove(refuse.call()))
 					.ifPresent((call) -> call.refuse(refuse.code(), refuse.retryAfterMillis())));
 			case AgentEffect.CancelCall cancel -> this.time.after(0, () -> this.runner.cancel(cancel.call()));
-			case AgentEffect.ReportNow report -> this.time.after(0, () -> step(this::report));
-			case AgentEffect.SayLeaving leaving -> this.time.after(0, () -> step(this::sendLeaving));
-			case AgentEffect.DropWeights drop -> {
+			case AgentEffect.SendReport report -> this.time.after(0, () -> step(this::report));
+			case AgentEffect.AnnounceLeaving leaving -> this.time.after(0, () -> step(this::sendLeaving));
+			case AgentEffect.DeleteWeights drop -> {
 			}
-			case AgentEffect.SlowTransfer slow -> {
+			case AgentEffect.ThrottleTransfer slow -> {
 			}
 			case AgentEffect.Stop stop -> this.time.after(0, () -> stopped(stop.code()));
 		}
@@ -290,13 +291,13 @@
 	}
 
 	void answerStarted(long number) {
-		apply(new AgentEvent.CallAnswered(number));
+		apply(new AgentEvent.ResponseStarted(number));
 	}
 
 	void callEnded(long number, boolean wrongWeights) {
 		this.calls.remove(number);
 		if (wrongWeights) {
-			apply(new AgentEvent.WrongWeightsAnswered());
+			apply(new AgentEvent.WrongWeightsDetected());
 		}
 		apply(new AgentEvent.CallEnded(number));
 	}
@@ -307,13 +308,13 @@
 
 	private void order(AgentEffect.SendOrder order) {
 		if (this.time.nowNanos() > order.notAfterNanos()) {
-			apply(new AgentEvent.OrderLapsed());
+			apply(new AgentEvent.OrderLeaseExpired());
 			return;
 		}
 		this.time.afterNetworkDelay(() -> {
 			boolean accepted = this.runner.order(order);
 			boolean confirmationLost = this.time.chance(0.05);
-			AgentEvent answer = accepted ? new AgentEvent.OrderTaken() : new AgentEvent.OrderFenced();
+			AgentEvent answer = accepted ? new AgentEvent.OrderAccepted() : new AgentEvent.OrderFenced();
 			this.time.afterNetworkDelay(() -> apply(confirmationLost ? new AgentEvent.OrderUnconfirmed() : answer));
 		});
 	}
@@ -321,7 +322,7 @@
 	private void fetchWeights(AgentEffect.FetchWeights weights) {
 		long delayNanos = this.time.randomBetween(VirtualTime.SECOND / 2, 5 * VirtualTime.SECOND);
 		String digest = weights.weightsDigest();
-		AgentEvent result = this.time.chance(0.05) ? new AgentEvent.WeightsFailed(digest, "origin-unavailable")
+		AgentEvent result = this.time.chance(0.05) ? new AgentEvent.WeightsFetchFailed(digest, "origin-unavailable")
 				: new AgentEvent.WeightsFetched(digest);
 		this.time.after(delayNanos, () -> apply(result));
 	}
@@ -330,14 +331,14 @@
 		List<SoakLink.LinkEnd> linkEnds = this.helloReceived.keySet().stream().toList();
 		if (!linkEnds.isEmpty() && this.time.chance(0.7)) {
 			linkEnds.getFirst().send(frame().setBundleRequest(BundleRequest.newBuilder().setDigest(digest)).build());
-			this.time.after(VirtualTime.SECOND, () -> apply(new AgentEvent.BundleMissing(digest)));
+			this.time.after(VirtualTime.SECOND, () -> apply(new AgentEvent.BundleUnavailable(digest)));
 			return;
 		}
 		Platform platform = this.fleet.platform();
 		platform.get("bundles/" + digest)
 			.thenCombine(platform.list("approvals/" + digest + "/"),
 					(content, approvals) -> this.fleet.operators().bundleEvent(digest, content, approvals))
-			.exceptionally((failure) -> new AgentEvent.BundleMissing(digest))
+			.exceptionally((failure) -> new AgentEvent.BundleUnavailable(digest))
 			.thenAccept(this::apply);
 	}
 
@@ -345,7 +346,7 @@
 		long sent = this.time.nowNanos();
 		this.fleet.platform().get(key).whenComplete((stored, failure) -> {
 			if (failure != null) {
-				apply(new AgentEvent.ObjectUnread(key));
+				apply(new AgentEvent.ObjectReadFailed(key));
 				return;
 			}
 			apply(new AgentEvent.ObjectRead(key, stored.map((one) -> new StoredObject(one.value(), one.version())),
@@ -354,27 +355,27 @@
 	}
 
 	private void write(AgentEffect.WriteObject write) {
-		Platform.Expected expected = expected(write.version());
+		Platform.Precondition expected = expected(write.expectedVersion());
 		this.fleet.platform().put(write.key(), write.value(), expected).whenComplete((result, failure) -> {
 			if (failure instanceof CodedException) {
-				apply(new AgentEvent.ObjectUnconfirmed(write.key()));
+				apply(new AgentEvent.ObjectWriteUnconfirmed(write.key()));
 				return;
 			}
 			apply(switch (result) {
 				case Platform.PutResult.Written written -> new AgentEvent.ObjectWritten(write.key(), written.version());
-				case Platform.PutResult.Conflict conflict -> new AgentEvent.ObjectConflict(write.key());
+				case Platform.PutResult.Conflict conflict -> new AgentEvent.ObjectWriteConflict(write.key());
 			});
 		});
 	}
 
-	private static Platform.Expected expected(long version) {
-		if (version == AgentEffect.WriteObject.ANYTHING) {
-			return new Platform.Expected.Anything();
+	private static Platform.Precondition expected(long version) {
+		if (version == AgentEffect.WriteObject.ANY_VERSION) {
+			return new Platform.Precondition.Anything();
 		}
 		if (version == AgentEffect.WriteObject.ABSENT) {
-			return new Platform.Expected.Absent();
+			return new Platform.Precondition.Absent();
 		}
-		return new Platform.Expected.Version(version);
+		return new Platform.Precondition.Version(version);
 	}
 
 }
--- a/standin/src/test/java/org/wisteriapost/standin/EngineServerTests.java
+++ b/standin/src/test/java/org/wisteriapost/standin/EngineServerTests.java
@@ -18,8 +18,8 @@
 import org.wisteriapost.policy.bundle.WeightFile;
 import org.wisteriapost.protocol.CallerHeaders;
 import org.wisteriapost.protocol.http.HttpCall;
-import org.wisteriapost.protocol.http.HttpCaller;
-import org.wisteriapost.protocol.http.HttpReply;
+import org.wisteriapost.protocol.http.HttpResponse;
+import org.wisteriapost.protocol.http.PooledHttpClient;
 import org.wisteriapost.protocol.outside.Engine;
 import org.wisteriapost.protocol.outside.WeightStore;
 import org.wisteriapost.protocol.outside.http.HttpEngine;
@@ -36,7 +36,7 @@
 
 	private static final Duration LIMIT = Duration.ofSeconds(LIMIT_SECONDS);
 
-	private final HttpCaller caller = HttpCaller.create(1);
+	private final PooledHttpClient caller = PooledHttpClient.create(1);
 
 	private final List<EngineServer> servers = new ArrayList<>();
 
@@ -52,9 +52,9 @@
 		done(store.put("f", 3, bytes("three")));
 		assertThat(done(store.get("f", 3)).orElseThrow(), is(bytes("three")));
 		assertThat(done(store.get("f", 2)), is(Optional.empty()));
-		assertThat(done(store.held("f")).toString(), is("{3}"));
-		done(store.drop("f"));
-		assertThat(done(store.held("f")).cardinality(), is(0));
+		assertThat(done(store.storedChunks("f")).toString(), is("{3}"));
+		done(store.delete("f"));
+		assertThat(done(store.storedChunks("f")).cardinality(), is(0));
 	}
 
 	@Test
@@ -94,7 +94,7 @@
 		EngineServer server = start(EngineOptions.quick());
 		assertThat(complete(server, "r1", "hello", false).status(), is(503));
 		load(server, "w1");
-		HttpReply reply = complete(server, "r2", "hello", false);
+		HttpResponse reply = complete(server, "r2", "hello", false);
 		assertThat(reply.status(), is(200));
 		assertThat(reply.header(CallerHeaders.WEIGHTS), is(Optional.of("w1")));
 		assertThat(text(reply), containsString(EngineTokens.answer("w1", "hello", 5)));
@@ -106,7 +106,7 @@
 		EngineServer server = start(EngineOptions.quick());
 		load(server, "w1");
 		for (int i = 0; i < 3; i++) {
-			HttpReply reply = complete(server, "r" + i, "prompt " + i, true);
+			HttpResponse reply = complete(server, "r" + i, "prompt " + i, true);
 			assertThat(ChatCompletion.ofEvents(text(reply)),
 					is(new ChatCompletion(EngineTokens.answer("w1", "prompt " + i, 5), true)));
 			assertThat(text(reply), endsWith("data: [DONE]\n\n"));
@@ -122,7 +122,7 @@
 				Duration.ZERO, true);
 		EngineServer server = start(slow);
 		load(server, "w1");
-		CompletableFuture<HttpReply> disconnected = this.caller.call(call(server, "gone", "p", stream, 1_000_000));
+		CompletableFuture<HttpResponse> disconnected = this.caller.call(call(server, "gone", "p", stream, 1_000_000));
 		await(() -> server.executed().containsKey("gone"));
 		disconnected.cancel(true);
 		assertThat(complete(server, "next", "q", stream).status(), is(200));
@@ -135,12 +135,12 @@
 		EngineServer server = start(slow);
 		load(server, "w1");
 		Engine engine = HttpEngine.at(this.caller, address(server));
-		CompletableFuture<HttpReply> first = this.caller.call(call(server, "first", "p", false, 5));
+		CompletableFuture<HttpResponse> first = this.caller.call(call(server, "first", "p", false, 5));
 		await(() -> server.executed().containsKey("first"));
-		CompletableFuture<HttpReply> bulk = this.caller
+		CompletableFuture<HttpResponse> bulk = this.caller
 			.call(call(server, "bulk", "p", false, 5).header(CallerHeaders.PRIORITY, "bulk"));
 		await(() -> engine.state().join().queued() == 1);
-		CompletableFuture<HttpReply> urgent = this.caller
+		CompletableFuture<HttpResponse> urgent = this.caller
 			.call(call(server, "urgent", "p", false, 1).header(CallerHeaders.PRIORITY, "urgent"));
 		done(urgent);
 		assertThat(bulk.isDone(), is(false));
@@ -168,7 +168,7 @@
 		return done(engine.state());
 	}
 
-	private HttpReply complete(EngineServer server, String id, String prompt, boolean stream) throws Exception {
+	private HttpResponse complete(EngineServer server, String id, String prompt, boolean stream) throws Exception {
 		return done(this.caller.call(call(server, id, prompt, stream, 5)));
 	}
 
@@ -193,7 +193,7 @@
 		return text.getBytes(StandardCharsets.UTF_8);
 	}
 
-	private static String text(HttpReply reply) {
+	private static String text(HttpResponse reply) {
 		return new String(reply.body(), StandardCharsets.UTF_8);
 	}
 
--- a/standin/src/test/java/org/wisteriapost/standin/HttpOriginTests.java
+++ b/standin/src/test/java/org/wisteriapost/standin/HttpOriginTests.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.wisteriapost.policy.bundle.Digests;
-import org.wisteriapost.protocol.http.HttpCaller;
+import org.wisteriapost.protocol.http.PooledHttpClient;
 import org.wisteriapost.protocol.outside.Origin;
 import org.wisteriapost.protocol.outside.http.HttpOrigin;
 
@@ -25,7 +25,7 @@
 
 	private static final long SIZE = 250_001;
 
-	private final HttpCaller caller = HttpCaller.create(1);
+	private final PooledHttpClient caller = PooledHttpClient.create(1);
 
 	private final OriginServer server = OriginServer.start("127.0.0.1", 0);
 
--- a/standin/src/test/java/org/wisteriapost/standin/HttpPlatformTests.java
+++ b/standin/src/test/java/org/wisteriapost/standin/HttpPlatformTests.java
@@ -14,10 +14,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.wisteriapost.kernel.CodedException;
 import org.wisteriapost.kernel.Plugins;
-import org.wisteriapost.protocol.http.HttpCaller;
-import org.wisteriapost.protocol.outside.OutsideProvider;
+import org.wisteriapost.protocol.http.PooledHttpClient;
+import org.wisteriapost.protocol.outside.ExternalSystemsProvider;
 import org.wisteriapost.protocol.outside.Platform;
-import org.wisteriapost.protocol.outside.Platform.Expected;
+import org.wisteriapost.protocol.outside.Platform.Precondition;
 import org.wisteriapost.protocol.outside.Platform.PutResult;
 
 import static org.hamcrest.MatcherAssert.assertThat;
@@ -32,11 +32,11 @@
 
 	private static final long LIMIT_SECONDS = 20;
 
-	private final HttpCaller caller = HttpCaller.create(1);
+	private final PooledHttpClient caller = PooledHttpClient.create(1);
 
 	private final PlatformServer server = PlatformServer.start("127.0.0.1", 0);
 
-	private final Platform platform = Plugins.find(OutsideProvider.class, (one) -> one.name().equals("http"))
+	private final Platform platform = Plugins.find(ExternalSystemsProvider.class, (one) -> one.name().equals("http"))
 		.orElseThrow()
 		.platform(this.caller, URI.create("http://127.0.0.1:" + this.server.port()));
 
@@ -50,8 +50,8 @@
 	void writtenValueIsReadBackWithItsVersion() throws Exception {
 		byte[] value = { 0, -1, 34, 10 };
 		assertThat(get("vms/a b%ü"), is(Optional.empty()));
-		assertThat(put("vms/a b%ü", value, new Expected.Absent()), is(new PutResult.Written(1)));
-		assertThat(put("vms/a b%ü", value, new Expected.Version(1)), is(new PutResult.Written(2)));
+		assertThat(put("vms/a b%ü", value, new Precondition.Absent()), is(new PutResult.Written(1)));
+		assertThat(put("vms/a b%ü", value, new Precondition.Version(1)), is(new PutResult.Written(2)));
 		Platform.Stored stored = get("vms/a b%ü").orElseThrow();
 		assertThat(stored.value(), is(value));
 		assertThat(stored.version(), is(2L));
@@ -59,10 +59,10 @@
 
 	@Test
 	void failedPreconditionReturnsTheCurrentValue() throws Exception {
-		put("head", bytes("one"), new Expected.Anything());
-		PutResult.Conflict absent = (PutResult.Conflict) put("head", bytes("two"), new Expected.Absent());
-		PutResult.Conflict version = (PutResult.Conflict) put("head", bytes("two"), new Expected.Version(7));
-		PutResult.Conflict missing = (PutResult.Conflict) put("other", bytes("two"), new Expected.Version(1));
+		put("head", bytes("one"), new Precondition.Anything());
+		PutResult.Conflict absent = (PutResult.Conflict) put("head", bytes("two"), new Precondition.Absent());
+		PutResult.Conflict version = (PutResult.Conflict) put("head", bytes("two"), new Precondition.Version(7));
+		PutResult.Conflict missing = (PutResult.Conflict) put("other", bytes("two"), new Precondition.Version(1));
 		assertThat(absent.current().orElseThrow().value(), is(bytes("one")));
 		assertThat(version.current().orElseThrow().version(), is(1L));
 		assertThat(missing.current(), is(Optional.empty()));
@@ -70,12 +70,12 @@
 
 	@Test
 	void watchReturnsOnlyChangesUnderItsPrefix() throws Exception {
-		put("bundles/a", bytes("1"), new Expected.Absent());
+		put("bundles/a", bytes("1"), new Precondition.Absent());
 		Platform.Listing before = this.platform.list("bundles/").get(LIMIT_SECONDS, TimeUnit.SECONDS);
 		CompletableFuture<Platform.Listing> watch = this.platform.watch("bundles/", before.revision(),
 				Duration.ofSeconds(LIMIT_SECONDS));
-		put("status/a", bytes("2"), new Expected.Absent());
-		put("bundles/b", bytes("3"), new Expected.Absent());
+		put("status/a", bytes("2"), new Precondition.Absent());
+		put("bundles/b", bytes("3"), new Precondition.Absent());
 		Platform.Listing after = watch.get(LIMIT_SECONDS, TimeUnit.SECONDS);
 		assertThat(before.items(), hasSize(1));
 		assertThat(after.items().stream().map(Platform.Stored::key).toList(), contains("bundles/b"));
@@ -84,7 +84,7 @@
 
 	@Test
 	void watchWithoutAChangeEndsEmpty() throws Exception {
-		put("head", bytes("1"), new Expected.Absent());
+		put("head", bytes("1"), new Precondition.Absent());
 		Platform.Listing listing = this.platform.watch("head", 1, Duration.ofMillis(50))
 			.get(LIMIT_SECONDS, TimeUnit.SECONDS);
 		assertThat(listing.items(), is(empty()));
@@ -97,10 +97,10 @@
 	@CsvSource({ "LOSE_ANSWERS, platform-unconfirmed, true", "CUT, platform-unconfirmed, false",
 			"REFUSE, platform-unconfirmed, false", "DOWN, platform-unavailable, false" })
 	void failedWriteReportsWhetherItMayHaveTakenEffect(Fault.Kind kind, String code, boolean written) throws Exception {
-		put("head", bytes("old"), new Expected.Absent());
+		put("head", bytes("old"), new Precondition.Absent());
 		this.server.fault(new Fault(kind, "", 0, 1));
 		// Only the response to a conflict has a body that can be truncated.
-		Expected expected = (kind == Fault.Kind.CUT) ? new Expected.Version(9) : new Expected.Version(1);
+		Precondition expected = (kind == Fault.Kind.CUT) ? new Precondition.Version(9) : new Precondition.Version(1);
 		assertThat(code(this.platform.put("head", bytes("new"), expected)), is(code));
 		boolean changed = get("head").orElseThrow().version() == 2;
 		assertThat(changed, is(written));
@@ -109,7 +109,7 @@
 	@ParameterizedTest
 	@CsvSource({ "LOSE_ANSWERS", "CUT", "REFUSE", "DOWN" })
 	void failedReadIsUnavailable(Fault.Kind kind) throws Exception {
-		put("head", bytes("value"), new Expected.Absent());
+		put("head", bytes("value"), new Precondition.Absent());
 		this.server.fault(new Fault(kind, "", 0, 1));
 		assertThat(code(this.platform.get("head")), is("platform-unavailable"));
 		this.server.fault(new Fault(kind, "", 0, 1));
@@ -122,18 +122,19 @@
 	@Test
 	void writeToAClosedPortHadNoEffect() throws Exception {
 		this.server.close();
-		assertThat(code(this.platform.put("head", bytes("1"), new Expected.Absent())), is("platform-unavailable"));
+		assertThat(code(this.platform.put("head", bytes("1"), new Precondition.Absent())), is("platform-unavailable"));
 	}
 
 	@Test
 	void callsOverTheLimitAreUnavailable() throws Exception {
 		try (PlatformServer limited = PlatformServer.start("127.0.0.1", 0, 1, 1)) {
-			Platform small = Plugins.find(OutsideProvider.class, (one) -> true)
+			Platform small = Plugins.find(ExternalSystemsProvider.class, (one) -> true)
 				.orElseThrow()
 				.platform(this.caller, URI.create("http://127.0.0.1:" + limited.port()));
-			PutResult first = small.put("a", bytes("1"), new Expected.Absent()).get(LIMIT_SECONDS, TimeUnit.SECONDS);
+			PutResult first = small.put("a", bytes("1"), new Precondition.Absent())
+				.get(LIMIT_SECONDS, TimeUnit.SECONDS);
 			assertThat(first, is(instanceOf(PutResult.Written.class)));
-			assertThat(code(small.put("b", bytes("1"), new Expected.Absent())), is("platform-unavailable"));
+			assertThat(code(small.put("b", bytes("1"), new Precondition.Absent())), is("platform-unavailable"));
 			assertThat(limited.counts().get("refused"), is(1L));
 		}
 	}
@@ -142,7 +143,7 @@
 		return this.platform.get(key).get(LIMIT_SECONDS, TimeUnit.SECONDS);
 	}
 
-	private PutResult put(String key, byte[] value, Expected expected) throws Exception {
+	private PutResult put(String key, byte[] value, Precondition expected) throws Exception {
 		return this.platform.put(key, value, expected).get(LIMIT_SECONDS, TimeUnit.SECONDS);
 	}
 
--- a/standin/src/test/java/org/wisteriapost/standin/TestFleet.java
+++ b/standin/src/test/java/org/wisteriapost/standin/TestFleet.java
@@ -19,7 +19,7 @@
 import org.wisteriapost.kernel.command.Command;
 import org.wisteriapost.policy.bundle.Bundle;
 import org.wisteriapost.policy.bundle.BundleCodec;
-import org.wisteriapost.protocol.http.HttpCaller;
+import org.wisteriapost.protocol.http.PooledHttpClient;
 import org.wisteriapost.protocol.outside.VmList;
 import org.wisteriapost.protocol.outside.http.HttpEngine;
 import org.wisteriapost.protocol.outside.http.HttpPlatform;
@@ -47,7 +47,7 @@
 
 	final PlainServer plain = PlainServer.start(HOST, 0, Duration.ofMillis(20));
 
-	final HttpCaller caller = HttpCaller.create(2);
+	final PooledHttpClient caller = PooledHttpClient.create(2);
 
 	private final VmListServer vmList = VmListServer.start(HOST, 0, 200);
 
--- a/standin/src/test/java/org/wisteriapost/standin/VmListServerTests.java
+++ b/standin/src/test/java/org/wisteriapost/standin/VmListServerTests.java
@@ -7,8 +7,8 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.wisteriapost.protocol.http.HttpCall;
-import org.wisteriapost.protocol.http.HttpCaller;
-import org.wisteriapost.protocol.http.HttpReply;
+import org.wisteriapost.protocol.http.HttpResponse;
+import org.wisteriapost.protocol.http.PooledHttpClient;
 import org.wisteriapost.protocol.outside.VmList;
 import org.wisteriapost.protocol.outside.http.HttpVmList;
 
@@ -24,7 +24,7 @@
 	private static final VmList.Vm VM = new VmList.Vm("lm-1", "oban-a", "isles", "agent", "galley", "127.0.3.1", 7000,
 			0, false);
 
-	private final HttpCaller caller = HttpCaller.create(1);
+	private final PooledHttpClient caller = PooledHttpClient.create(1);
 
 	@AfterEach
 	void stop() {
@@ -81,7 +81,7 @@
 		}
 	}
 
-	private HttpReply send(VmListServer server, String method, String path, byte[] body) {
+	private HttpResponse send(VmListServer server, String method, String path, byte[] body) {
 		return this.caller.call(HttpCall.of(method, address(server).resolve(path), LIMIT).body(body)).join();
 	}
 
--- a/standin/src/test/java/org/wisteriapost/standin/bench/weights/SimulationTests.java
+++ b/standin/src/test/java/org/wisteriapost/standin/bench/weights/SimulationTests.java
@@ -88,7 +88,7 @@
 	// read from the origin must be read by others too, which would otherwise wait for
 	// links at a fifteenth of the bandwidth.
 	@Test
-	void whoseLinkIsNarrowHoldsUpOthersLittle() {
+	void throttledLinksDelayOtherVmsLittle() {
 		assertThat(meanThrottledRatio(32 << 10), is(lessThanOrEqualTo(2.5)));
 	}
 
--- a/standin/src/test/java/org/wisteriapost/standin/sim/LoadSimTests.java
+++ b/standin/src/test/java/org/wisteriapost/standin/sim/LoadSimTests.java
@@ -34,7 +34,7 @@
 		LoadResult result = run(profile("burst"));
 		assertThat(result.goodput(), greaterThan(0.9));
 		assertThat(result.all().failed(), lessThan(5L));
-		assertThat(result.refusals().getPercentileAtOrBelowValue(5000), greaterThan(85.0));
+		assertThat(result.refusalLatencies().getPercentileAtOrBelowValue(5000), greaterThan(85.0));
 	}
 
 	@ParameterizedTest
@@ -43,16 +43,16 @@
 		LoadResult result = run(profile(name));
 		for (int each = 1; each < 10; each++) {
 			LoadResult.Group other = result.group("org-" + each, Priority.NORMAL);
-			assertThat(other.shareInTime(), is(1.0));
-			assertThat(other.millis(99), lessThan(500.0));
+			assertThat(other.inTimeShare(), is(1.0));
+			assertThat(other.latencyMillis(99), lessThan(500.0));
 		}
-		assertThat(result.group("org-0", Priority.NORMAL).shareInTime(), greaterThan(0.2));
+		assertThat(result.group("org-0", Priority.NORMAL).inTimeShare(), greaterThan(0.2));
 	}
 
 	@Test
 	void overloadAffectsOtherOrganisationsWithoutAdmissionControl() {
-		LoadResult result = LoadSim.run(profile("skew"), NaivePolicy::create, SEED);
-		assertThat(result.group("org-5", Priority.NORMAL).shareInTime(), lessThan(0.3));
+		LoadResult result = LoadSim.run(profile("skew"), RoundRobinPolicy::create, SEED);
+		assertThat(result.group("org-5", Priority.NORMAL).inTimeShare(), lessThan(0.3));
 	}
 
 	@Test
@@ -60,8 +60,8 @@
 		LoadProfile slow = profile("slow-endpoint");
 		LoadResult healthy = run(slow.withFaults(List.of()));
 		LoadResult result = run(slow);
-		assertThat(result.all().millis(99), closeTo(healthy.all().millis(99), 25));
-		assertThat(result.all().shareInTime(), greaterThan(0.999));
+		assertThat(result.all().latencyMillis(99), closeTo(healthy.all().latencyMillis(99), 25));
+		assertThat(result.all().inTimeShare(), greaterThan(0.999));
 	}
 
 	@Test
@@ -69,10 +69,10 @@
 		LoadResult result = run(profile("mixed"));
 		for (int each = 2; each < 10; each++) {
 			LoadResult.Group group = result.group("org-" + each, Priority.NORMAL);
-			assertThat(group.millis(99), lessThan(1000.0));
-			assertThat(group.shareInTime(), greaterThan(0.999));
+			assertThat(group.latencyMillis(99), lessThan(1000.0));
+			assertThat(group.inTimeShare(), greaterThan(0.999));
 		}
-		assertThat(result.group("org-0", Priority.NORMAL).shareInTime(), greaterThan(0.95));
+		assertThat(result.group("org-0", Priority.NORMAL).inTimeShare(), greaterThan(0.95));
 	}
 
 	@Test
@@ -81,16 +81,16 @@
 		assertThat(result.goodput(), greaterThan(0.95));
 		for (int each = 0; each < 10; each++) {
 			String organisation = "org-" + each;
-			assertThat(result.group(organisation, Priority.URGENT).shareInTime(), greaterThan(0.999));
-			assertThat(result.group(organisation, Priority.NORMAL).shareInTime(), greaterThan(0.35));
-			assertThat(result.group(organisation, Priority.BULK).shareInTime(), lessThan(0.1));
+			assertThat(result.group(organisation, Priority.URGENT).inTimeShare(), greaterThan(0.999));
+			assertThat(result.group(organisation, Priority.NORMAL).inTimeShare(), greaterThan(0.35));
+			assertThat(result.group(organisation, Priority.BULK).inTimeShare(), lessThan(0.1));
 		}
 	}
 
 	@Test
 	void saturationRunsAlmostNoRequestsThatMissTheirDeadline() {
 		LoadResult result = run(profile("saturation"));
-		assertThat(result.all().failed(), lessThan(result.all().asked() / 1000));
+		assertThat(result.all().failed(), lessThan(result.all().requests() / 1000));
 	}
 
 	/**
@@ -107,14 +107,15 @@
 		LoadResult result = run(LoadProfile.of("broken", streams)
 			.withFaults(List.of(new LoadProfile.Fault(Duration.ofSeconds(5), FAULTY_RUNNER, kind),
 					new LoadProfile.Fault(Duration.ofSeconds(15), FAULTY_RUNNER, LoadProfile.Fault.Kind.HEALTHY))));
-		assertThat(result.all().shareInTime(), greaterThan(0.995));
+		assertThat(result.all().inTimeShare(), greaterThan(0.995));
 		assertThat(result.all().refused(), is(0L));
 	}
 
 	@ParameterizedTest
 	@ValueSource(ints = { 1, 2, 6 })
 	void goodputAtTwiceTheCapacityHoldsForAnyNumberOfEntries(int entries) {
-		assertThat(run(LoadProfile.of("twice", LoadProfile.evenLoad(2)).across(entries)).goodput(), greaterThan(0.95));
+		assertThat(run(LoadProfile.of("twice", LoadProfile.evenLoad(2)).withEntries(entries)).goodput(),
+				greaterThan(0.95));
 	}
 
 	@Test
@@ -124,8 +125,8 @@
 	}
 
 	private static Map<String, Object> figures(LoadResult result) {
-		return Map.of("goodput", result.goodput(), "p99", result.all().millis(99), "asked", result.all().asked(),
-				"refused", result.all().refused(), "gate", result.gateRefusals());
+		return Map.of("goodput", result.goodput(), "p99", result.all().latencyMillis(99), "asked",
+				result.all().requests(), "refused", result.all().refused(), "gate", result.gateRefusals());
 	}
 
 	private static LoadProfile profile(String name) {
@@ -133,7 +134,7 @@
 	}
 
 	private static LoadResult run(LoadProfile profile) {
-		LoadResult result = LoadSim.run(profile, MachinePolicy::create, SEED);
+		LoadResult result = LoadSim.run(profile, StateMachinePolicy::create, SEED);
 		assertThat(result.violations(), is(Map.of()));
 		return result;
 	}
--- a/standin/src/test/java/org/wisteriapost/standin/soak/SoakTests.java
+++ b/standin/src/test/java/org/wisteriapost/standin/soak/SoakTests.java
@@ -24,7 +24,7 @@
 	}
 
 	@Test
-	void sameSeedIsTheSameRun() {
+	void sameSeedGivesIdenticalRuns() {
 		assertThat(Soak.run(5, 20), is(Soak.run(5, 20)));
 	}
 
