--- a/standin/src/main/java/org/wisteriapost/standin/bench/weights/Simulation.java
+++ b/standin/src/main/java/org/wisteriapost/standin/bench/weights/Simulation.java
@@ -20,11 +20,8 @@
 import org.wisteriapost.policy.transfer.TransferStateMachine;
 
 /**
- * A rollout to N VMs in virtual time, reproducible from its seed.
- *
- * The link of each VM carries {@code linkBytesPerSecond} in each direction, the link of
- * the origin a multiple of that. Parts of chunks are sent one after another on a link.
- * Queueing on links is modelled; processor time is not.
+ * A rollout to N VMs in virtual time, reproducible from its seed. A link sends parts of
+ * chunks one after another. Queueing on links is modelled; processor time is not.
  */
 final class Simulation {
 
@@ -203,8 +200,7 @@
 	}
 
 	private void apply(SimulatedVm vm, TransferEvent event) {
-		// A completed transfer only serves chunks; its state machine receives no more
-		// events.
+		// A completed transfer only serves chunks; its state machine gets no events.
 		if (vm.isUnavailable() || vm.finishedAt >= 0) {
 			return;
 		}
@@ -215,8 +211,7 @@
 
 	private void execute(SimulatedVm vm, TransferEffect effect) {
 		switch (effect) {
-			case TransferEffect.Connect connect ->
-				schedule(2 * LATENCY_NANOS, () -> connect(vm, this.vms.get(connect.vm())));
+			case TransferEffect.Connect to -> schedule(2 * LATENCY_NANOS, () -> connect(vm, this.vms.get(to.vm())));
 			case TransferEffect.Disconnect disconnect -> vm.links.remove(disconnect.vm());
 			case TransferEffect.Request request -> {
 				vm.controlBytes += FRAME_BYTES;
@@ -396,11 +391,10 @@
 		double last = healthy.stream().mapToLong((vm) -> vm.finishedAt).max().orElse(0) / bound;
 		double mean = healthy.stream().mapToLong((vm) -> vm.finishedAt).average().orElse(0) / bound;
 		double control = healthy.stream().mapToLong((vm) -> vm.controlBytes).average().orElse(0);
-		double duplicates = healthy.stream().mapToLong((vm) -> vm.received).average().orElse(0) / this.chunks.count()
-				- 1;
+		double repeats = healthy.stream().mapToLong((vm) -> vm.received).average().orElse(0) / this.chunks.count() - 1;
 		return new Result(healthy.size(), (int) finished, (int) healthy.stream().filter((vm) -> vm.failed).count(),
 				last, mean, (double) this.originChunks / this.chunks.count(), control, control / (this.now / 1e9),
-				duplicates, (double) this.remoteChunks / this.chunks.count() / this.plan.failureDomains(),
+				repeats, (double) this.remoteChunks / this.chunks.count() / this.plan.failureDomains(),
 				this.invariants.violations());
 	}
 
@@ -432,8 +426,7 @@
 	}
 
 	/**
-	 * Results of a simulated rollout. The bound is the time that the weights take over
-	 * one link.
+	 * Results of a rollout. The bound is the time that the weights take over one link.
 	 *
 	 * @param healthy VMs not affected by a fault
 	 * @param finished healthy VMs that received all weights
