--- a/agent/src/main/java/org/wisteriapost/agent/site/RolloutExecutor.java
+++ b/agent/src/main/java/org/wisteriapost/agent/site/RolloutExecutor.java
@@ -301,8 +301,8 @@
 					(failure != null) ? failure.getMessage() : reply);
 			// An order without a reply may have been accepted; the next report shows
 			// that.
-			boolean accepted = failure != null || reply == EngineControl.Reply.STARTED
-					|| reply == EngineControl.Reply.ALREADY_ACTIVE;
+			boolean accepted = failure != null || reply == EngineControl.Reply.BEGUN
+					|| reply == EngineControl.Reply.IN_FORCE;
 			this.rollout.orderAnswered(accepted, System.nanoTime());
 		}));
 	}
--- a/protocol/src/main/java/org/wisteriapost/protocol/site/EngineControl.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/site/EngineControl.java
@@ -48,9 +48,9 @@
 	enum Reply {
 
 		/** The engine has started to carry it out. */
-		STARTED,
+		BEGUN,
 		/** The engine already serves the requested version. */
-		ALREADY_ACTIVE,
+		IN_FORCE,
 		/** It conflicts with the engine's state, which must be read again. */
 		CONFLICT,
 		/** The engine rejected it. */
