--- a/agent/src/main/java/org/wisteriapost/agent/AgentProcess.java
+++ b/agent/src/main/java/org/wisteriapost/agent/AgentProcess.java
@@ -210,7 +210,7 @@
 	}
 
 	private void deleteWeights(String file) {
-		this.externalSystems.store().drop(file).exceptionally((failure) -> {
+		this.externalSystems.store().delete(file).exceptionally((failure) -> {
 			LOG.log(Level.WARNING, "weights-not-dropped: " + file + ": " + failure.getMessage());
 			return null;
 		});
--- a/agent/src/main/java/org/wisteriapost/agent/AgentSettings.java
+++ b/agent/src/main/java/org/wisteriapost/agent/AgentSettings.java
@@ -107,7 +107,7 @@
 		.orElse("2000");
 
 	/** Required settings, reported as missing even if their whole section is. */
-	private static final List<Setting<?>> REQUIRED = List.of(CommonSettings.VM, CommonSettings.PLACE,
+	private static final List<Setting<?>> REQUIRED = List.of(CommonSettings.VM, CommonSettings.FAILURE_DOMAIN,
 			CommonSettings.PLATFORM, CommonSettings.VM_LIST, CommonSettings.ORIGIN, SERVICE, LINK_HOST, RUNNER);
 
 	@Override
@@ -139,7 +139,7 @@
 	}
 
 	static AgentIdentity identity(Settings settings, String nonce) {
-		return new AgentIdentity(CommonSettings.VM.get(settings), CommonSettings.PLACE.get(settings),
+		return new AgentIdentity(CommonSettings.VM.get(settings), CommonSettings.FAILURE_DOMAIN.get(settings),
 				SERVICE.get(settings), PLAIN_SERVICE.get(settings), nonce);
 	}
 
@@ -150,7 +150,7 @@
 	}
 
 	static ApprovalPolicy approvalPolicy(Settings settings) {
-		Map<String, String> keys = settings.named("operator")
+		Map<String, String> keys = settings.sectionsOfKind("operator")
 			.stream()
 			.collect(Collectors.toMap((name) -> name,
 					(name) -> CommonSettings.OPERATOR_KEY.get(settings, "operator " + name)));
--- a/agent/src/main/java/org/wisteriapost/agent/PlatformClient.java
+++ b/agent/src/main/java/org/wisteriapost/agent/PlatformClient.java
@@ -5,7 +5,7 @@
 import org.wisteriapost.policy.agent.AgentEvent;
 import org.wisteriapost.policy.agent.StoredObject;
 import org.wisteriapost.protocol.outside.Platform;
-import org.wisteriapost.protocol.outside.Platform.Expected;
+import org.wisteriapost.protocol.outside.Platform.Precondition;
 import org.wisteriapost.protocol.outside.Platform.PutResult;
 
 /**
@@ -48,12 +48,12 @@
 			});
 	}
 
-	private static Expected expected(long version) {
+	private static Precondition expected(long version) {
 		if (version == AgentEffect.WriteObject.ABSENT) {
-			return new Expected.Absent();
+			return new Precondition.Absent();
 		}
-		return (version == AgentEffect.WriteObject.ANY_VERSION) ? new Expected.Anything()
-				: new Expected.Version(version);
+		return (version == AgentEffect.WriteObject.ANY_VERSION) ? new Precondition.Anything()
+				: new Precondition.Version(version);
 	}
 
 	static boolean hasCode(Throwable failure, org.wisteriapost.kernel.Code code) {
--- a/agent/src/main/java/org/wisteriapost/agent/RunnerCall.java
+++ b/agent/src/main/java/org/wisteriapost/agent/RunnerCall.java
@@ -11,7 +11,7 @@
 import org.wisteriapost.policy.agent.AgentEvent;
 import org.wisteriapost.protocol.CallerHeaders;
 import org.wisteriapost.protocol.http.HttpExchange;
-import org.wisteriapost.protocol.http.HttpListener;
+import org.wisteriapost.protocol.http.HttpResponseListener;
 import org.wisteriapost.protocol.link.Link;
 import org.wisteriapost.protocol.wire.Call;
 import org.wisteriapost.protocol.wire.CallData;
@@ -23,7 +23,7 @@
 /**
  * A call at the runner, whose response is streamed to the entry.
  */
-final class RunnerCall implements HttpListener {
+final class RunnerCall implements HttpResponseListener {
 
 	private static final Code NOT_REACHED = Code.warning("runner-not-reached",
 			"No connection to the runner could be made; not a byte of the call was sent.");
--- a/agent/src/main/java/org/wisteriapost/agent/site/RolloutExecutor.java
+++ b/agent/src/main/java/org/wisteriapost/agent/site/RolloutExecutor.java
@@ -28,13 +28,13 @@
 import org.wisteriapost.policy.rollout.RolloutEffect;
 import org.wisteriapost.policy.transfer.LinkShare;
 import org.wisteriapost.policy.transfer.TransferLimits;
-import org.wisteriapost.protocol.http.HttpCaller;
+import org.wisteriapost.protocol.http.PooledHttpClient;
 import org.wisteriapost.protocol.link.Link;
 import org.wisteriapost.protocol.link.Links;
 import org.wisteriapost.protocol.outside.Origin;
 import org.wisteriapost.protocol.outside.VmList;
 import org.wisteriapost.protocol.site.EngineControl;
-import org.wisteriapost.protocol.site.EngineFrames;
+import org.wisteriapost.protocol.site.EngineStatusCodec;
 import org.wisteriapost.protocol.site.SiteProvider;
 import org.wisteriapost.protocol.site.SiteSettings;
 import org.wisteriapost.protocol.wire.Frame;
@@ -85,7 +85,7 @@
 
 	private final SiteProvider site;
 
-	private final HttpCaller caller;
+	private final PooledHttpClient caller;
 
 	private final Links links;
 
@@ -113,7 +113,7 @@
 
 	private Optional<CompletableFuture<Void>> currentFetch = Optional.empty();
 
-	RolloutExecutor(SiteSettings settings, SiteProvider site, HttpCaller caller, Links links,
+	RolloutExecutor(SiteSettings settings, SiteProvider site, PooledHttpClient caller, Links links,
 			ScheduledExecutorService timer, Consumer<Runnable> executor, DecisionLog log) {
 		this.settings = settings;
 		this.site = site;
@@ -123,7 +123,7 @@
 		this.executor = executor;
 		this.log = log;
 		this.engine = site.engine(caller, settings.runner().orElseThrow());
-		this.rollout = Rollout.create(settings.bounds().weightsInForce());
+		this.rollout = Rollout.create(settings.guarantees().weightsActivationDelay());
 	}
 
 	void onFrame(Link link, Frame frame) {
@@ -184,11 +184,11 @@
 		LinkShare share = new LinkShare(this.settings.linkBytesPerSecond(), LINK_SHARE, LINK_SHARE_WHILE_LATE);
 		Hello hello = Hello.newBuilder()
 			.setVm(this.settings.host())
-			.setPlace(this.settings.place())
+			.setPlace(this.settings.failureDomain())
 			.setRole(Role.AGENT)
 			.build();
 		TransferContext context = new TransferContext(Settings.parse("site", ""), this.settings.host(),
-				this.settings.place(), this.links, () -> hello, Frame::newBuilder, (link, frame) -> {
+				this.settings.failureDomain(), this.links, () -> hello, Frame::newBuilder, (link, frame) -> {
 				}, origin, this.site.staging(this.caller, address, message.getModel()), this.timer,
 				new SimpleMeterRegistry());
 		Transfer transfer = PeerTransferProvider.create(context,
@@ -249,7 +249,7 @@
 			Integer version = this.modelTransfer.map((active) -> report.versions().get(active.model)).orElse(null);
 			updateIdle(report);
 			this.rollout.reportReceived((version != null) ? OptionalInt.of(version) : OptionalInt.empty(),
-					report.busy(), report.sequence(), report.start(), System.nanoTime());
+					report.busy(), report.sequence(), report.incarnation(), System.nanoTime());
 		}));
 	}
 
@@ -296,7 +296,7 @@
 
 	private void sendOrder(int version, long sequence) {
 		ModelTransfer active = this.modelTransfer.orElseThrow();
-		this.engine.take(active.model, version, sequence).whenComplete((reply, failure) -> runOnLoop(() -> {
+		this.engine.switchTo(active.model, version, sequence).whenComplete((reply, failure) -> runOnLoop(() -> {
 			this.log.decision("ordered", "version", version, "sequence", sequence, "reply",
 					(failure != null) ? failure.getMessage() : reply);
 			// An order without a reply may have been accepted; the next report shows
@@ -316,7 +316,9 @@
 
 	private Frame engineStateFrame(RolloutEffect.PublishStatus status) {
 		String address = this.settings.runner().orElseThrow();
-		return Frame.newBuilder().setEngineState(EngineFrames.of(address, status.status(), System.nanoTime())).build();
+		return Frame.newBuilder()
+			.setEngineState(EngineStatusCodec.encode(address, status.status(), System.nanoTime()))
+			.build();
 	}
 
 	@Override
--- a/agent/src/main/java/org/wisteriapost/agent/transfer/OriginTransfer.java
+++ b/agent/src/main/java/org/wisteriapost/agent/transfer/OriginTransfer.java
@@ -63,7 +63,7 @@
 			return;
 		}
 		WeightFile file = files.get(index);
-		this.context.store().held(file.digest()).whenComplete((held, failure) -> {
+		this.context.store().storedChunks(file.digest()).whenComplete((held, failure) -> {
 			if (failure != null) {
 				retryUnlessChanged(result, failure, () -> fetchFile(files, index, result));
 				return;
--- a/agent/src/main/java/org/wisteriapost/agent/transfer/StoreScanner.java
+++ b/agent/src/main/java/org/wisteriapost/agent/transfer/StoreScanner.java
@@ -42,7 +42,7 @@
 		for (int fileNumber = 0; fileNumber < this.chunks.files().size(); fileNumber++) {
 			int firstChunk = this.chunks.firstChunkOf(fileNumber);
 			int chunkCount = this.chunks.files().get(fileNumber).chunks().size();
-			CompletableFuture<BitSet> listedInFile = this.store.held(this.chunks.digestOfFile(fileNumber))
+			CompletableFuture<BitSet> listedInFile = this.store.storedChunks(this.chunks.digestOfFile(fileNumber))
 				.exceptionally((failure) -> new BitSet());
 			listed = listed.thenCombine(listedInFile, (all, some) -> {
 				some.stream().filter((index) -> index < chunkCount).forEach((index) -> all.set(firstChunk + index));
--- a/agent/src/test/java/org/wisteriapost/agent/AgentProcessTests.java
+++ b/agent/src/test/java/org/wisteriapost/agent/AgentProcessTests.java
@@ -21,7 +21,7 @@
 import org.wisteriapost.policy.bundle.Head;
 import org.wisteriapost.policy.bundle.ServiceSpec;
 import org.wisteriapost.policy.bundle.WeightFile;
-import org.wisteriapost.protocol.http.HttpCaller;
+import org.wisteriapost.protocol.http.PooledHttpClient;
 import org.wisteriapost.protocol.link.Links;
 import org.wisteriapost.protocol.outside.VmList;
 import org.wisteriapost.protocol.wire.CallEnd;
@@ -227,8 +227,8 @@
 				// Nothing to close.
 			}
 		};
-		AgentProcess agent = AgentProcess.start(settings,
-				new ExternalSystems(HttpCaller.create(1), this.platform, none, this.origin, this.store, this.engine));
+		AgentProcess agent = AgentProcess.start(settings, new ExternalSystems(PooledHttpClient.create(1), this.platform,
+				none, this.origin, this.store, this.engine));
 		this.agents.add(agent);
 		return agent;
 	}
--- a/entry/src/main/java/org/wisteriapost/entry/caller/OrganisationTokens.java
+++ b/entry/src/main/java/org/wisteriapost/entry/caller/OrganisationTokens.java
@@ -47,7 +47,7 @@
 		this.settings = settings;
 		this.clock = clock;
 		this.wallMillis = wallMillis;
-		this.hasTokenFiles = settings.named(EntrySettings.ORGANISATION)
+		this.hasTokenFiles = settings.sectionsOfKind(EntrySettings.ORGANISATION)
 			.stream()
 			.anyMatch((name) -> settings.text(EntrySettings.ORGANISATION + " " + name, EntrySettings.TOKEN_FILE.key())
 				.isPresent());
@@ -117,7 +117,7 @@
 	// Returns whether all files could be read.
 	private boolean read(Map<String, String> byHash) {
 		boolean complete = true;
-		for (String name : this.settings.named(EntrySettings.ORGANISATION)) {
+		for (String name : this.settings.sectionsOfKind(EntrySettings.ORGANISATION)) {
 			String section = EntrySettings.ORGANISATION + " " + name;
 			Optional<String> file = this.settings.text(section, EntrySettings.TOKEN_FILE.key());
 			if (file.isEmpty()) {
--- a/entry/src/main/java/org/wisteriapost/entry/direct/DirectEvent.java
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/DirectEvent.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 import org.wisteriapost.policy.dispatch.DispatchOutcome;
-import org.wisteriapost.protocol.site.Kind;
+import org.wisteriapost.protocol.site.ObjectKind;
 import org.wisteriapost.protocol.site.ObjectStore;
 import org.wisteriapost.protocol.wire.EngineState;
 import org.wisteriapost.protocol.wire.LoadReport;
@@ -68,7 +68,7 @@
 	 * @param items the complete listing
 	 * @param revision the store's revision when the listing began
 	 */
-	record ObjectsListed(Kind kind, List<ObjectStore.Item> items, long revision) implements DirectEvent {
+	record ObjectsListed(ObjectKind kind, List<ObjectStore.Item> items, long revision) implements DirectEvent {
 	}
 
 	/**
@@ -77,7 +77,7 @@
 	 * @param kind the kind of the object
 	 * @param change the change
 	 */
-	record ObjectChanged(Kind kind, ObjectStore.Change change) implements DirectEvent {
+	record ObjectChanged(ObjectKind kind, ObjectStore.Change change) implements DirectEvent {
 	}
 
 	/**
@@ -86,7 +86,7 @@
 	 * @param kind the kind of objects that were requested
 	 * @param reachable whether the store answers
 	 */
-	record StoreReachability(Kind kind, boolean reachable) implements DirectEvent {
+	record StoreReachability(ObjectKind kind, boolean reachable) implements DirectEvent {
 	}
 
 	/**
@@ -95,7 +95,7 @@
 	 * @param kind the kind
 	 * @param asOfNanos the confirmed time, on this process's {@link System#nanoTime}
 	 */
-	record StoreConfirmed(Kind kind, long asOfNanos) implements DirectEvent {
+	record StoreConfirmed(ObjectKind kind, long asOfNanos) implements DirectEvent {
 	}
 
 	/**
--- a/entry/src/main/java/org/wisteriapost/entry/direct/DirectOutput.java
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/DirectOutput.java
@@ -15,10 +15,10 @@
 import org.wisteriapost.policy.dispatch.Job;
 import org.wisteriapost.policy.routing.Organisation;
 import org.wisteriapost.protocol.http.HttpCall;
-import org.wisteriapost.protocol.http.HttpCaller;
-import org.wisteriapost.protocol.http.HttpTimes;
-import org.wisteriapost.protocol.site.CallDialect;
-import org.wisteriapost.protocol.site.OutboundCall;
+import org.wisteriapost.protocol.http.HttpTimeouts;
+import org.wisteriapost.protocol.http.PooledHttpClient;
+import org.wisteriapost.protocol.site.CallProtocol;
+import org.wisteriapost.protocol.site.RunnerRequestFields;
 
 /**
  * Performs the state thread's decisions on the I/O thread, in order.
@@ -47,13 +47,13 @@
 
 	private static final long MAX_PROBE_TIMEOUT_MILLIS = 400;
 
-	private final HttpCaller caller;
+	private final PooledHttpClient caller;
 
-	private final CallDialect dialect;
+	private final CallProtocol dialect;
 
 	private final Consumer<DirectEvent> events;
 
-	DirectOutput(HttpCaller caller, CallDialect dialect, Consumer<DirectEvent> events) {
+	DirectOutput(PooledHttpClient caller, CallProtocol dialect, Consumer<DirectEvent> events) {
 		this.caller = caller;
 		this.dialect = dialect;
 		this.events = events;
@@ -118,11 +118,11 @@
 		Job job = call.job();
 		long remaining = Math.max(1, TimeUnit.NANOSECONDS.toMillis(job.deadlineNanos() - System.nanoTime()));
 		Map<String, String> headers = new LinkedHashMap<>(request.headers());
-		OutboundCall headerFields = new OutboundCall(remaining, send.runner().id(),
+		RunnerRequestFields headerFields = new RunnerRequestFields(remaining, send.runner().id(),
 				job.organisation().map(Organisation::name), send.rank(), send.weightsVersion(), job.lastEvent());
-		this.dialect.outbound(headerFields).forEach((header) -> headers.put(header.getKey(), header.getValue()));
+		this.dialect.runnerHeaders(headerFields).forEach((header) -> headers.put(header.getKey(), header.getValue()));
 		URI target = URI.create("http://" + send.runner().address() + request.target());
-		HttpTimes timeouts = HttpTimes.whole(Duration.ofMillis(remaining).plus(RESPONSE_TIMEOUT_MARGIN));
+		HttpTimeouts timeouts = HttpTimeouts.total(Duration.ofMillis(remaining).plus(RESPONSE_TIMEOUT_MARGIN));
 		return new HttpCall(request.method(), target, headers, request.body(),
 				send.requiresNewConnection() ? timeouts.connect(probeTimeout(job.route().targetLatency())) : timeouts,
 				maxConnectionIdle(send), Optional.empty());
--- a/entry/src/main/java/org/wisteriapost/entry/direct/DirectState.java
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/DirectState.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.TimeUnit;
 
 import org.apache.commons.rng.UniformRandomProvider;
-import org.wisteriapost.kernel.SuspensionWatch;
+import org.wisteriapost.kernel.SuspensionDetector;
 import org.wisteriapost.kernel.log.DecisionLog;
 import org.wisteriapost.policy.dispatch.DispatchEffect;
 import org.wisteriapost.policy.dispatch.DispatchOutcome;
@@ -19,8 +19,8 @@
 import org.wisteriapost.policy.fleet.StoreRole;
 import org.wisteriapost.policy.fleet.UpstreamSelector;
 import org.wisteriapost.policy.routing.RouteTable;
-import org.wisteriapost.protocol.site.EngineFrames;
-import org.wisteriapost.protocol.site.Kind;
+import org.wisteriapost.protocol.site.EngineStatusCodec;
+import org.wisteriapost.protocol.site.ObjectKind;
 import org.wisteriapost.protocol.site.ObjectStore;
 import org.wisteriapost.protocol.site.SiteSettings;
 import org.wisteriapost.protocol.wire.EchoRequest;
@@ -66,7 +66,7 @@
 
 	private final RequestAdmission admission;
 
-	private final SuspensionWatch suspension;
+	private final SuspensionDetector suspension;
 
 	private final Map<Long, DirectCall> calls = new HashMap<>();
 
@@ -94,16 +94,16 @@
 		this.log = log;
 		this.metrics = metrics;
 		this.clocks = clocks;
-		this.activationDelay = settings.bounds().declaredInForce();
+		this.activationDelay = settings.guarantees().declarationActivationDelay();
 		this.roster = new EntryRegistry(self);
 		this.announcer = new PeerNotifier(settings, self, this.roster, dispatcher);
 		this.localView = new SiteView(dispatcher, this.roster, this.announcer, log,
-				settings.bounds().declaredInForce());
+				settings.guarantees().declarationActivationDelay());
 		this.view = view;
-		this.shutdown = new GracefulShutdown(settings.bounds().grace());
+		this.shutdown = new GracefulShutdown(settings.guarantees().shutdownGrace());
 		this.admission = new RequestAdmission(this.localView, this.shutdown, output, log, metrics, random,
 				this::isFollower);
-		this.suspension = SuspensionWatch.start(now(), clocks.wallMillis().getAsLong());
+		this.suspension = SuspensionDetector.start(now(), clocks.wallMillis().getAsLong());
 	}
 
 	/**
@@ -126,7 +126,7 @@
 
 	void apply(DirectEvent event) {
 		long now = now();
-		if (this.suspension.woke(now, this.clocks.wallMillis().getAsLong())) {
+		if (this.suspension.detectSuspension(now, this.clocks.wallMillis().getAsLong())) {
 			resumed(now);
 		}
 		switch (event) {
@@ -234,7 +234,7 @@
 		this.localView.replaceAll(listed.kind(), listed.items(), now);
 	}
 
-	private void objectChanged(Kind kind, ObjectStore.Change change, long now) {
+	private void objectChanged(ObjectKind kind, ObjectStore.Change change, long now) {
 		if (isFollower()) {
 			discarded(kind);
 		}
@@ -243,7 +243,7 @@
 		}
 	}
 
-	private void discarded(Kind kind) {
+	private void discarded(ObjectKind kind) {
 		this.storeReading.ifPresent((reading) -> reading.readDiscarded(kind));
 	}
 
@@ -253,7 +253,7 @@
 
 	private void storeReachable(DirectEvent.StoreReachability reachable, long now) {
 		this.log.decision("store", "kind", reachable.kind(), "reachable", reachable.reachable());
-		if (reachable.kind() == Kind.RUNNERS) {
+		if (reachable.kind() == ObjectKind.RUNNERS) {
 			this.dispatcher.updateStoreReachable(reachable.reachable(), now);
 			this.updates.ifPresent((updates) -> updates.storeReachable(reachable.reachable()));
 		}
@@ -262,7 +262,7 @@
 	// A follower discards what its own store connection delivers, so that confirms
 	// nothing.
 	private void storeConfirmed(DirectEvent.StoreConfirmed confirmed) {
-		if (confirmed.kind() == Kind.ROUTES && !isFollower()) {
+		if (confirmed.kind() == ObjectKind.ROUTES && !isFollower()) {
 			this.localView.routesConfirmed(confirmed.asOfNanos());
 			this.updates.ifPresent((updates) -> updates.routesConfirmed(confirmed.asOfNanos()));
 		}
@@ -318,7 +318,7 @@
 	private void engineStatus(EngineState status, long now) {
 		this.log.decision("agent-says", "address", status.getAddress(), "version", status.getVersion(), "switching",
 				status.getSwitching(), "closesInMs", status.getClosesInMillis());
-		this.dispatcher.updateEngineStatus(status.getAddress(), EngineFrames.read(status, now), now);
+		this.dispatcher.updateEngineStatus(status.getAddress(), EngineStatusCodec.decode(status, now), now);
 	}
 
 	private void tick(long now) {
--- a/entry/src/main/java/org/wisteriapost/entry/direct/FailureDomainRelay.java
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/FailureDomainRelay.java
@@ -13,7 +13,7 @@
 import org.wisteriapost.policy.dispatch.RunnerLoad;
 import org.wisteriapost.policy.fleet.EntryInfo;
 import org.wisteriapost.policy.fleet.RunnerIncarnation;
-import org.wisteriapost.protocol.site.EngineFrames;
+import org.wisteriapost.protocol.site.EngineStatusCodec;
 import org.wisteriapost.protocol.wire.EngineState;
 import org.wisteriapost.protocol.wire.Frame;
 import org.wisteriapost.protocol.wire.PlaceState;
@@ -118,7 +118,7 @@
 		}
 		this.dispatcher.fleetView().engineStatuses().forEach((address, status) -> {
 			if (!status.equals(this.reportedStatuses.put(address, status)) || full) {
-				state.addEngines(EngineFrames.of(address, status, nowNanos));
+				state.addEngines(EngineStatusCodec.encode(address, status, nowNanos));
 			}
 		});
 		return state.build();
--- a/entry/src/main/java/org/wisteriapost/entry/direct/LoadReportCodec.java
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/LoadReportCodec.java
@@ -6,7 +6,7 @@
 import org.wisteriapost.policy.dispatch.RefusedRequest;
 import org.wisteriapost.policy.dispatch.RunnerLoad;
 import org.wisteriapost.policy.fleet.RunnerIncarnation;
-import org.wisteriapost.protocol.site.EngineFrames;
+import org.wisteriapost.protocol.site.EngineStatusCodec;
 
 /**
  * Converts load reports between their wire form and the policy types.
@@ -31,7 +31,7 @@
 
 	static RunnerLoad decode(org.wisteriapost.protocol.wire.RunnerLoad message) {
 		InFlightLoad load = new InFlightLoad(message.getActive(), message.getWaiting(), message.getWaitingPrompt());
-		return new RunnerLoad(message.getRunner(), EngineFrames.start(message.getStartedMillis()), load);
+		return new RunnerLoad(message.getRunner(), EngineStatusCodec.incarnation(message.getStartedMillis()), load);
 	}
 
 	static org.wisteriapost.protocol.wire.RefusedRequest encode(RefusedRequest refusal, long nowNanos) {
--- a/entry/src/main/java/org/wisteriapost/entry/direct/RequestAdmission.java
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/RequestAdmission.java
@@ -98,15 +98,15 @@
 		long remaining = request.fields().remainingMillis().isPresent()
 				? TimeUnit.MILLISECONDS.toNanos(request.fields().remainingMillis().getAsLong()) : timeout;
 		Job.Size size = new Job.Size(request.fields().promptTokens(), request.fields().maxAnswerTokens(),
-				request.fields().likelyAnswerTokens());
-		Job.Attempt attempt = new Job.Attempt(request.fields().attempt().orElseThrow(),
-				RequestFingerprint.of(route, organisation, request.fields()), request.fields().lastEvent());
+				request.fields().expectedAnswerTokens());
+		Job.Attempt attempt = new Job.Attempt(request.fields().attemptId().orElseThrow(),
+				RequestFingerprint.of(route, organisation, request.fields()), request.fields().lastEventId());
 		return Job.create(request.id(), attempt, route, route.selectService(this.random.nextDouble()), organisation,
 				size, request.arrivedNanos(), request.arrivedNanos() + Math.min(timeout, remaining));
 	}
 
 	private Optional<Job> refuse(IncomingRequest request, Code code, long retryAfterMillis, long now) {
-		this.log.failure("refused", "attempt", request.fields().attempt().orElse(""), "code", code.name(), "table",
+		this.log.failure("refused", "attempt", request.fields().attemptId().orElse(""), "code", code.name(), "table",
 				this.localView.routeTableVersion(), "tableAgeMs",
 				this.localView.routeTableStalenessMillis(now).orElse(-1));
 		this.metrics.answered("refused", code.name());
@@ -118,7 +118,7 @@
 		if (!this.localView.mayReject(now)) {
 			return refuse(request, TABLE_DOUBTFUL, SHORT_RETRY_MILLIS, now);
 		}
-		this.log.failure("rejected", "attempt", request.fields().attempt().orElse(""), "code", code.name(), "host",
+		this.log.failure("rejected", "attempt", request.fields().attemptId().orElse(""), "code", code.name(), "host",
 				request.host(), "path", request.path(), "table", this.localView.routeTableVersion(), "tableAgeMs",
 				this.localView.routeTableStalenessMillis(now).orElse(-1), "rests", this.follower.getAsBoolean());
 		this.metrics.answered("rejected", code.name());
--- a/entry/src/main/java/org/wisteriapost/entry/direct/ResponseForwarder.java
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/ResponseForwarder.java
@@ -9,9 +9,9 @@
 
 import org.wisteriapost.policy.dispatch.DispatchOutcome;
 import org.wisteriapost.protocol.http.HttpExchange;
-import org.wisteriapost.protocol.http.HttpListener;
-import org.wisteriapost.protocol.site.CallDialect;
-import org.wisteriapost.protocol.site.RunnerReply;
+import org.wisteriapost.protocol.http.HttpResponseListener;
+import org.wisteriapost.protocol.site.CallProtocol;
+import org.wisteriapost.protocol.site.RunnerResponseFields;
 
 /**
  * Forwards a runner's response to the caller. Runs on the I/O thread.
@@ -20,7 +20,7 @@
  * on another runner if the response breaks off. The complete events of a stream are
  * forwarded as they arrive.
  */
-final class ResponseForwarder implements HttpListener {
+final class ResponseForwarder implements HttpResponseListener {
 
 	private static final int SUCCESS = 200;
 
@@ -32,7 +32,7 @@
 
 	private final int dispatch;
 
-	private final CallDialect dialect;
+	private final CallProtocol dialect;
 
 	private final Consumer<DirectEvent> events;
 
@@ -52,7 +52,7 @@
 
 	private boolean firstEventReported;
 
-	ResponseForwarder(DirectCall call, int dispatch, CallDialect dialect, Consumer<DirectEvent> events) {
+	ResponseForwarder(DirectCall call, int dispatch, CallProtocol dialect, Consumer<DirectEvent> events) {
 		this.call = call;
 		this.dispatch = dispatch;
 		this.dialect = dialect;
@@ -90,18 +90,18 @@
 		if (this.finished) {
 			return;
 		}
-		RunnerReply reply = this.dialect.reply(code, first);
+		RunnerResponseFields reply = this.dialect.parseResponse(code, first);
 		// On a reused connection a surplus response to an earlier request can arrive
 		// first.
-		if (reply.attempt().isEmpty() || !reply.attempt().get().equals(this.call.job().attemptId())) {
+		if (reply.attemptId().isEmpty() || !reply.attemptId().get().equals(this.call.job().attemptId())) {
 			end(DispatchOutcome.BROKEN,
-					"answer of another attempt: " + reply.attempt().orElse("none") + " status " + code);
+					"answer of another attempt: " + reply.attemptId().orElse("none") + " status " + code);
 			cancel();
 			return;
 		}
 		this.status = code;
-		if (reply.otherInstance() || reply.notRun()) {
-			end(reply.otherInstance() ? DispatchOutcome.MISDIRECTED : DispatchOutcome.FULL, "status " + code);
+		if (reply.otherIncarnation() || reply.notRun()) {
+			end(reply.otherIncarnation() ? DispatchOutcome.MISDIRECTED : DispatchOutcome.FULL, "status " + code);
 			return;
 		}
 		this.headers = endToEndHeaders(all);
--- a/entry/src/main/java/org/wisteriapost/entry/direct/SiteView.java
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/SiteView.java
@@ -16,8 +16,8 @@
 import org.wisteriapost.policy.routing.RejectionGuard;
 import org.wisteriapost.policy.routing.RejectionPermit;
 import org.wisteriapost.policy.routing.RouteTable;
-import org.wisteriapost.protocol.site.Declared;
-import org.wisteriapost.protocol.site.Kind;
+import org.wisteriapost.protocol.site.DecodedObject;
+import org.wisteriapost.protocol.site.ObjectKind;
 import org.wisteriapost.protocol.site.ObjectStore;
 
 /**
@@ -34,7 +34,7 @@
 
 	private final DecisionLog log;
 
-	private final Set<Kind> knownKinds = EnumSet.noneOf(Kind.class);
+	private final Set<ObjectKind> knownKinds = EnumSet.noneOf(ObjectKind.class);
 
 	private final RejectionGuard rejectionGuard;
 
@@ -109,20 +109,20 @@
 	 * Returns whether enough is known to serve callers.
 	 */
 	boolean isReady() {
-		return this.routeTable.isPresent() && this.knownKinds.contains(Kind.RUNNERS);
+		return this.routeTable.isPresent() && this.knownKinds.contains(ObjectKind.RUNNERS);
 	}
 
 	/**
 	 * Returns whether all kinds were read.
 	 */
 	boolean allKindsKnown() {
-		return this.knownKinds.size() == Kind.values().length;
+		return this.knownKinds.size() == ObjectKind.values().length;
 	}
 
 	/**
 	 * Replaces all objects of a kind.
 	 */
-	void replaceAll(Kind kind, List<ObjectStore.Item> items, long now) {
+	void replaceAll(ObjectKind kind, List<ObjectStore.Item> items, long now) {
 		boolean first = this.knownKinds.add(kind);
 		switch (kind) {
 			case ROUTES, WEIGHTS ->
@@ -146,8 +146,8 @@
 	private void applyRunners(List<ObjectStore.Item> items, long now) {
 		List<RunnerInfo> infos = items.stream()
 			.flatMap((item) -> item.value().stream())
-			.filter(Declared.Runner.class::isInstance)
-			.map((value) -> ((Declared.Runner) value).info())
+			.filter(DecodedObject.Runner.class::isInstance)
+			.map((value) -> ((DecodedObject.Runner) value).info())
 			.toList();
 		this.dispatcher.replaceRunners(infos, now);
 		this.log.decision("runners-read", "count", infos.size());
@@ -156,18 +156,18 @@
 	/**
 	 * Applies a change of one object.
 	 */
-	void applyChange(Kind kind, ObjectStore.Change change, long now) {
+	void applyChange(ObjectKind kind, ObjectStore.Change change, long now) {
 		if (change.deleted()) {
 			applyRemoval(kind, change.item().name(), now);
 			return;
 		}
-		if (kind == Kind.ENTRIES) {
+		if (kind == ObjectKind.ENTRIES) {
 			applyEntry(change.item(), now);
 			this.notifier.peersChanged();
 			return;
 		}
 		change.item().value().ifPresent((value) -> applyDeclared(value, false, now));
-		if (kind == Kind.RUNNERS && change.item().value().isEmpty()) {
+		if (kind == ObjectKind.RUNNERS && change.item().value().isEmpty()) {
 			// Overwritten by another writer: no runner until the runner registers
 			// again.
 			this.log.decision("runner-unreadable", "runner", change.item().name());
@@ -176,7 +176,7 @@
 		}
 	}
 
-	private void applyRemoval(Kind kind, String name, long now) {
+	private void applyRemoval(ObjectKind kind, String name, long now) {
 		switch (kind) {
 			case RUNNERS -> {
 				this.log.decision("runner-removed", "runner", name);
@@ -193,12 +193,12 @@
 		}
 	}
 
-	private void applyDeclared(Declared value, boolean foundAtStartup, long now) {
+	private void applyDeclared(DecodedObject value, boolean foundAtStartup, long now) {
 		switch (value) {
-			case Declared.Routes routes -> applyRoutes(routes.table());
-			case Declared.Weights weights -> applyTargetWeights(weights.named(), foundAtStartup, now);
-			case Declared.Runner runner -> applyRunner(runner.info(), now);
-			case Declared.Entry entry -> {
+			case DecodedObject.Routes routes -> applyRoutes(routes.table());
+			case DecodedObject.Weights weights -> applyTargetWeights(weights.target(), foundAtStartup, now);
+			case DecodedObject.Runner runner -> applyRunner(runner.info(), now);
+			case DecodedObject.Entry entry -> {
 				// Applied with its revision by applyEntry.
 			}
 		}
@@ -232,7 +232,7 @@
 	}
 
 	private void applyEntry(ObjectStore.Item item, long now) {
-		if (item.value().isPresent() && item.value().get() instanceof Declared.Entry entry) {
+		if (item.value().isPresent() && item.value().get() instanceof DecodedObject.Entry entry) {
 			this.registry.put(entry.info(), item.revision(), now);
 		}
 	}
--- a/entry/src/main/java/org/wisteriapost/entry/direct/StoreReplication.java
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/StoreReplication.java
@@ -20,7 +20,7 @@
 import org.wisteriapost.policy.fleet.StoreRole;
 import org.wisteriapost.policy.fleet.UpstreamSelector;
 import org.wisteriapost.policy.routing.LastConfirmedTime;
-import org.wisteriapost.protocol.site.Kind;
+import org.wisteriapost.protocol.site.ObjectKind;
 import org.wisteriapost.protocol.site.ObjectStore;
 import org.wisteriapost.protocol.wire.Frame;
 import org.wisteriapost.protocol.wire.KnownKind;
@@ -41,7 +41,8 @@
 
 	// Large kinds come last: on a slow link small ones would wait behind the route
 	// table, and callers would find no runner until it has arrived.
-	private static final List<Kind> ANSWER_ORDER = List.of(Kind.RUNNERS, Kind.ENTRIES, Kind.WEIGHTS, Kind.ROUTES);
+	private static final List<ObjectKind> ANSWER_ORDER = List.of(ObjectKind.RUNNERS, ObjectKind.ENTRIES,
+			ObjectKind.WEIGHTS, ObjectKind.ROUTES);
 
 	private final StoreReplica replica;
 
@@ -98,7 +99,7 @@
 	 * Applies a listing of a kind.
 	 * @param revision the store's revision at the listing
 	 */
-	void applyFromStore(Kind kind, List<ObjectStore.Item> all, long revision) {
+	void applyFromStore(ObjectKind kind, List<ObjectStore.Item> all, long revision) {
 		Map<String, Long> before = this.replica.revisions(kind);
 		if (this.replica.applyFromStore(kind, all, revision)) {
 			this.subscriptions.objectsDropped(kind);
@@ -116,7 +117,7 @@
 	/**
 	 * Applies a change and returns whether it is newer than what is known.
 	 */
-	boolean applyFromStore(Kind kind, ObjectStore.Change change) {
+	boolean applyFromStore(ObjectKind kind, ObjectStore.Change change) {
 		if (!this.replica.applyFromStore(kind, change)) {
 			return false;
 		}
@@ -140,7 +141,7 @@
 	/**
 	 * Returns the store's revision up to which the objects of a kind are known.
 	 */
-	long knownRevision(Kind kind) {
+	long knownRevision(ObjectKind kind) {
 		return this.replica.knownRevision(kind);
 	}
 
@@ -305,8 +306,8 @@
 			return;
 		}
 		this.publisher.add(peer);
-		Map<Kind, Map<String, Long>> held = revisionsHeld(request);
-		for (Kind kind : ANSWER_ORDER) {
+		Map<ObjectKind, Map<String, Long>> held = revisionsHeld(request);
+		for (ObjectKind kind : ANSWER_ORDER) {
 			this.publisher.send(peer, fullUpdate(kind, held.getOrDefault(kind, Map.of())));
 		}
 	}
@@ -340,7 +341,7 @@
 		this.subscriptions.retry(peer).ifPresent((frame) -> this.sender.accept(peer, frame));
 	}
 
-	private List<DirectEvent> applyUpdate(String peer, Kind kind, News update) {
+	private List<DirectEvent> applyUpdate(String peer, ObjectKind kind, News update) {
 		if (this.upstream.acceptsUpdatesFrom(peer)) {
 			this.upstream.answerReceived(true, this.tickNanos);
 		}
@@ -366,7 +367,7 @@
 		return changes;
 	}
 
-	private DirectEvent applyFullUpdate(Kind kind, News update) {
+	private DirectEvent applyFullUpdate(ObjectKind kind, News update) {
 		Set<String> listed = new HashSet<>();
 		update.getObjectsList().forEach((object) -> listed.add(object.getName()));
 		this.replica.removeUnlisted(kind, listed, update.getAt());
@@ -399,7 +400,7 @@
 		}
 	}
 
-	private News fullUpdate(Kind kind, Map<String, Long> held) {
+	private News fullUpdate(ObjectKind kind, Map<String, Long> held) {
 		return News.newBuilder()
 			.setCurrent(true)
 			.setAll(true)
@@ -409,8 +410,8 @@
 			.build();
 	}
 
-	private static Map<Kind, Map<String, Long>> revisionsHeld(NewsRequest request) {
-		Map<Kind, Map<String, Long>> held = new EnumMap<>(Kind.class);
+	private static Map<ObjectKind, Map<String, Long>> revisionsHeld(NewsRequest request) {
+		Map<ObjectKind, Map<String, Long>> held = new EnumMap<>(ObjectKind.class);
 		for (KnownKind known : request.getKnownList()) {
 			Map<String, Long> revisions = new HashMap<>();
 			known.getObjectsList().forEach((object) -> revisions.put(object.getName(), object.getRevision()));
@@ -426,7 +427,7 @@
 		return Frame.newBuilder().setNewsRequest(NewsRequest.newBuilder().setWanted(false)).build();
 	}
 
-	static StoreKind toWire(Kind kind) {
+	static StoreKind toWire(ObjectKind kind) {
 		return switch (kind) {
 			case ROUTES -> StoreKind.STORE_ROUTES;
 			case RUNNERS -> StoreKind.STORE_RUNNERS;
@@ -435,12 +436,12 @@
 		};
 	}
 
-	static Optional<Kind> fromWire(StoreKind kind) {
+	static Optional<ObjectKind> fromWire(StoreKind kind) {
 		return switch (kind) {
-			case STORE_ROUTES -> Optional.of(Kind.ROUTES);
-			case STORE_RUNNERS -> Optional.of(Kind.RUNNERS);
-			case STORE_WEIGHTS -> Optional.of(Kind.WEIGHTS);
-			case STORE_ENTRIES -> Optional.of(Kind.ENTRIES);
+			case STORE_ROUTES -> Optional.of(ObjectKind.ROUTES);
+			case STORE_RUNNERS -> Optional.of(ObjectKind.RUNNERS);
+			case STORE_WEIGHTS -> Optional.of(ObjectKind.WEIGHTS);
+			case STORE_ENTRIES -> Optional.of(ObjectKind.ENTRIES);
 			case STORE_KIND_UNSPECIFIED, UNRECOGNIZED -> Optional.empty();
 		};
 	}
--- a/entry/src/main/java/org/wisteriapost/entry/direct/StoreRoleController.java
+++ b/entry/src/main/java/org/wisteriapost/entry/direct/StoreRoleController.java
@@ -7,7 +7,7 @@
 
 import org.wisteriapost.kernel.log.DecisionLog;
 import org.wisteriapost.policy.fleet.StoreRole;
-import org.wisteriapost.protocol.site.Kind;
+import org.wisteriapost.protocol.site.ObjectKind;
 import org.wisteriapost.protocol.wire.Frame;
 import org.wisteriapost.protocol.wire.News;
 
@@ -52,7 +52,7 @@
 	 * Handles a read that was discarded because it completed too late. The watch resumes
 	 * behind it later and would not read it again.
 	 */
-	void readDiscarded(Kind kind) {
+	void readDiscarded(ObjectKind kind) {
 		this.watches.requireListing(kind);
 	}
 
--- a/entry/src/main/java/org/wisteriapost/entry/process/EntryProcess.java
+++ b/entry/src/main/java/org/wisteriapost/entry/process/EntryProcess.java
@@ -105,8 +105,8 @@
 	private EntryProcess(Settings settings, Platform platform, Links transport) {
 		this.burn = BurnRecorder.of(ObjectiveSettings.read(settings));
 		this.metrics = EntryMetrics.of(this.registry, this.burn);
-		EntryIdentity identity = new EntryIdentity(CommonSettings.VM.get(settings), CommonSettings.PLACE.get(settings),
-				EntrySettings.KEEP_SECONDS.get(settings));
+		EntryIdentity identity = new EntryIdentity(CommonSettings.VM.get(settings),
+				CommonSettings.FAILURE_DOMAIN.get(settings), EntrySettings.KEEP_SECONDS.get(settings));
 		ClaimStore store = ClaimStore.of(platform, (reply) -> put(new EntryEvent.ClaimReplied(reply)));
 		long seed = new SecureRandom().nextLong();
 		ClaimTable table = ClaimTable.create(EntrySettings.CLAIM_WRITES.get(settings),
@@ -298,7 +298,7 @@
 	// A failed write is not retried, since the next snapshot contains the same counts.
 	private void writeBurnSnapshot(Platform platform, String vm) {
 		BurnSnapshot snapshot = this.burn.snapshot(vm, System.currentTimeMillis());
-		platform.put("burn/" + vm, BundleCodec.encode(snapshot), new Platform.Expected.Anything());
+		platform.put("burn/" + vm, BundleCodec.encode(snapshot), new Platform.Precondition.Anything());
 	}
 
 	private <T extends AutoCloseable> T register(T part) {
--- a/entry/src/main/java/org/wisteriapost/entry/process/EntryState.java
+++ b/entry/src/main/java/org/wisteriapost/entry/process/EntryState.java
@@ -12,7 +12,7 @@
 import org.wisteriapost.entry.caller.EntryView;
 import org.wisteriapost.entry.link.PeerLink;
 import org.wisteriapost.entry.platform.BundleContent;
-import org.wisteriapost.kernel.SuspensionWatch;
+import org.wisteriapost.kernel.SuspensionDetector;
 import org.wisteriapost.policy.bundle.Head;
 import org.wisteriapost.policy.bundle.ServiceSpec;
 import org.wisteriapost.policy.membership.LinkSelector;
@@ -48,7 +48,7 @@
 
 	private final LongSupplier wallMillis;
 
-	private final SuspensionWatch suspension;
+	private final SuspensionDetector suspension;
 
 	private final ActiveRequests requests;
 
@@ -81,7 +81,7 @@
 		this.output = output;
 		this.clock = wiring.clock();
 		this.wallMillis = wiring.wallMillis();
-		this.suspension = SuspensionWatch.start(this.clock.getAsLong(), this.wallMillis.getAsLong());
+		this.suspension = SuspensionDetector.start(this.clock.getAsLong(), this.wallMillis.getAsLong());
 		this.heads = new HeadTracker(wiring.invariants());
 		this.membership = Membership.of(identity.vm(), identity.failureDomain());
 		this.linkChoice = LinkSelector.of(identity.vm());
@@ -107,7 +107,7 @@
 	}
 
 	public void apply(EntryEvent event) {
-		if (this.suspension.woke(this.clock.getAsLong(), this.wallMillis.getAsLong())) {
+		if (this.suspension.detectSuspension(this.clock.getAsLong(), this.wallMillis.getAsLong())) {
 			this.heads.suspended(this.clock.getAsLong());
 			publish();
 		}
--- a/entry/src/test/java/org/wisteriapost/entry/caller/HttpFrontTests.java
+++ b/entry/src/test/java/org/wisteriapost/entry/caller/HttpFrontTests.java
@@ -24,8 +24,8 @@
 import org.wisteriapost.kernel.settings.Settings;
 import org.wisteriapost.policy.routing.RejectionPermit;
 import org.wisteriapost.protocol.http.HttpCall;
-import org.wisteriapost.protocol.http.HttpCaller;
-import org.wisteriapost.protocol.http.HttpReply;
+import org.wisteriapost.protocol.http.HttpResponse;
+import org.wisteriapost.protocol.http.PooledHttpClient;
 
 import static org.hamcrest.MatcherAssert.assertThat;
 
@@ -40,7 +40,7 @@
 	@TempDir
 	private Path folder;
 
-	private final HttpCaller caller = HttpCaller.create(1);
+	private final PooledHttpClient caller = PooledHttpClient.create(1);
 
 	private final ScriptedIntake intake = new ScriptedIntake();
 
@@ -74,12 +74,12 @@
 		return this.folder.resolve("baobab.token");
 	}
 
-	private HttpReply get(String authorization) {
+	private HttpResponse get(String authorization) {
 		URI uri = URI.create("http://127.0.0.1:" + this.front.port() + "/services/newer/x");
 		return this.caller.call(HttpCall.of("GET", uri, LONG).header("Authorization", authorization)).join();
 	}
 
-	private static void assertRefused(HttpReply reply, int status, String code) {
+	private static void assertRefused(HttpResponse reply, int status, String code) {
 		assertThat(new String(reply.body(), StandardCharsets.UTF_8),
 				Matchers.containsString("\"code\":\"" + code + "\""));
 		assertThat(reply.status(), Matchers.equalTo(status));
--- a/entry/src/test/java/org/wisteriapost/entry/direct/EntryStateFixture.java
+++ b/entry/src/test/java/org/wisteriapost/entry/direct/EntryStateFixture.java
@@ -40,12 +40,12 @@
 import org.wisteriapost.policy.routing.RouteKind;
 import org.wisteriapost.policy.routing.RouteTable;
 import org.wisteriapost.policy.routing.ServiceSpec;
-import org.wisteriapost.protocol.site.CallerFields;
-import org.wisteriapost.protocol.site.Declared;
-import org.wisteriapost.protocol.site.Follower;
-import org.wisteriapost.protocol.site.Kind;
+import org.wisteriapost.protocol.site.CallerRequestFields;
+import org.wisteriapost.protocol.site.DecodedObject;
+import org.wisteriapost.protocol.site.ObjectKind;
 import org.wisteriapost.protocol.site.ObjectStore;
 import org.wisteriapost.protocol.site.SiteSettings;
+import org.wisteriapost.protocol.site.StoreWatcher;
 import org.wisteriapost.protocol.wire.Frame;
 
 /**
@@ -118,7 +118,7 @@
 	private static SiteSettings settings() {
 		return new SiteSettings(SELF, "127.0.0.1", "p1", "r1", Optional.empty(), Optional.empty(), Optional.empty(), 1,
 				1, URI.create("http://store.example"), Optional.empty(), "", 1_000_000,
-				new SiteSettings.Bounds(Duration.ofSeconds(8), ACTIVATION_DELAY, Duration.ofSeconds(8), 0.2, 100,
+				new SiteSettings.Guarantees(Duration.ofSeconds(8), ACTIVATION_DELAY, Duration.ofSeconds(8), 0.2, 100,
 						Duration.ofSeconds(10), Duration.ofSeconds(3)));
 	}
 
@@ -138,12 +138,12 @@
 	}
 
 	ObjectStore.Item routes(long revision, RouteTable table) {
-		return this.store.item("current", revision, new Declared.Routes(table));
+		return this.store.item("current", revision, new DecodedObject.Routes(table));
 	}
 
 	ObjectStore.Item runner(long revision, String address) {
-		return this.store.item("r1", revision, new Declared.Runner(new RunnerInfo("r1", "api", address, "p1", 6, false,
-				0, Map.of(), revision, RunnerIncarnation.UNKNOWN)));
+		return this.store.item("r1", revision, new DecodedObject.Runner(new RunnerInfo("r1", "api", address, "p1", 6,
+				false, 0, Map.of(), revision, RunnerIncarnation.UNKNOWN)));
 	}
 
 	/**
@@ -151,9 +151,9 @@
 	 */
 	List<ObjectStore.Item> entries() {
 		List<ObjectStore.Item> entries = new ArrayList<>();
-		entries.add(this.store.item(LEADER, 2, new Declared.Entry(entry(LEADER))));
+		entries.add(this.store.item(LEADER, 2, new DecodedObject.Entry(entry(LEADER))));
 		for (int i = 1; i < StoreRole.MAX_ENTRIES_WITHOUT_LEADER; i++) {
-			entries.add(this.store.item("n" + i, 2, new Declared.Entry(entry("n" + i))));
+			entries.add(this.store.item("n" + i, 2, new DecodedObject.Entry(entry("n" + i))));
 		}
 		return entries;
 	}
@@ -167,8 +167,8 @@
 	}
 
 	void listOnSelf(List<ObjectStore.Item> routes, List<ObjectStore.Item> runners) {
-		this.events.add(new DirectEvent.StoreReachability(Kind.RUNNERS, true));
-		for (Kind kind : Kind.values()) {
+		this.events.add(new DirectEvent.StoreReachability(ObjectKind.RUNNERS, true));
+		for (ObjectKind kind : ObjectKind.values()) {
 			this.events.add(new DirectEvent.ObjectsListed(kind, of(kind, routes, runners), 5));
 		}
 		applyStoreEvents();
@@ -176,12 +176,12 @@
 
 	void listOnLeader(List<ObjectStore.Item> routes, List<ObjectStore.Item> runners) {
 		this.leader.storeReachable(true);
-		for (Kind kind : Kind.values()) {
+		for (ObjectKind kind : ObjectKind.values()) {
 			this.leader.applyFromStore(kind, of(kind, routes, runners), 5);
 		}
 	}
 
-	private List<ObjectStore.Item> of(Kind kind, List<ObjectStore.Item> routes, List<ObjectStore.Item> runners) {
+	private List<ObjectStore.Item> of(ObjectKind kind, List<ObjectStore.Item> routes, List<ObjectStore.Item> runners) {
 		return switch (kind) {
 			case ROUTES -> routes;
 			case RUNNERS -> runners;
@@ -194,9 +194,9 @@
 	 * Makes the entry follow a store that holds the given objects.
 	 */
 	void followStore(List<ObjectStore.Item> routes, List<ObjectStore.Item> runners) {
-		for (Kind kind : Kind.values()) {
+		for (ObjectKind kind : ObjectKind.values()) {
 			this.store.setListing(kind, of(kind, routes, runners));
-			this.following.add(kind, Follower.start(this.store, kind, new InlineTimer(),
+			this.following.add(kind, StoreWatcher.start(this.store, kind, new InlineTimer(),
 					DirectProcess.listener(kind, this.events::add)));
 		}
 		applyStoreEvents();
@@ -286,8 +286,8 @@
 	 */
 	String request(String path, Optional<String> token) {
 		this.answers.clear();
-		CallerFields fields = new CallerFields(Optional.of("attempt"), OptionalLong.empty(), 0, 0, OptionalInt.empty(),
-				Optional.empty(), Optional.empty());
+		CallerRequestFields fields = new CallerRequestFields(Optional.of("attempt"), OptionalLong.empty(), 0, 0,
+				OptionalInt.empty(), Optional.empty(), Optional.empty());
 		apply(new DirectEvent.RequestArrived(new IncomingRequest(++this.ids, "GET", HOST, path, path, Map.of(), token,
 				fields, new byte[0], null, this.now)));
 		return this.answers.isEmpty() ? "waits" : this.answers.getLast();
--- a/entry/src/test/java/org/wisteriapost/entry/direct/IncrementalReplicationTests.java
+++ b/entry/src/test/java/org/wisteriapost/entry/direct/IncrementalReplicationTests.java
@@ -16,7 +16,7 @@
 import org.wisteriapost.policy.fleet.RendezvousHashing;
 import org.wisteriapost.policy.fleet.StoreRole;
 import org.wisteriapost.policy.fleet.UpstreamSelector;
-import org.wisteriapost.protocol.site.Kind;
+import org.wisteriapost.protocol.site.ObjectKind;
 import org.wisteriapost.protocol.site.ObjectStore;
 import org.wisteriapost.protocol.wire.Frame;
 import org.wisteriapost.protocol.wire.News;
@@ -64,8 +64,8 @@
 
 	@BeforeEach
 	void readAtUpstream() {
-		for (Kind kind : Kind.values()) {
-			this.upstream.applyFromStore(kind, (kind == Kind.ROUTES)
+		for (ObjectKind kind : ObjectKind.values()) {
+			this.upstream.applyFromStore(kind, (kind == ObjectKind.ROUTES)
 					? List.of(large("table", 5), DecodeOnlyStore.item("r", 6)) : List.of(DecodeOnlyStore.item("x", 5)),
 					7);
 		}
@@ -111,7 +111,7 @@
 			.toList();
 	}
 
-	private static List<String> names(List<DirectEvent> events, Kind kind) {
+	private static List<String> names(List<DirectEvent> events, ObjectKind kind) {
 		return events.stream()
 			.map(DirectEvent.ObjectsListed.class::cast)
 			.filter((all) -> all.kind() == kind)
@@ -128,24 +128,24 @@
 		disconnectFromStore();
 		deliverRequests();
 		assertThat(answerBytes(), Matchers.greaterThan(LARGE));
-		assertThat(names(deliverAnswers(), Kind.ROUTES), Matchers.contains("r", "table"));
+		assertThat(names(deliverAnswers(), ObjectKind.ROUTES), Matchers.contains("r", "table"));
 		this.follower.storeReachable(true);
 		disconnectFromStore();
 		deliverRequests();
 		assertThat(answerBytes(), Matchers.lessThan(SMALL));
-		assertThat(names(deliverAnswers(), Kind.ROUTES), Matchers.contains("r", "table"));
+		assertThat(names(deliverAnswers(), ObjectKind.ROUTES), Matchers.contains("r", "table"));
 		assertThat(this.follower.isComplete(this.upstreamName), Matchers.equalTo(true));
 	}
 
 	@Test
 	void changedObjectsAreSentAndUnlistedObjectsAreRemoved() {
-		this.follower.applyFromStore(Kind.ROUTES,
+		this.follower.applyFromStore(ObjectKind.ROUTES,
 				List.of(large("table", 5), DecodeOnlyStore.item("r", 3), DecodeOnlyStore.item("old", 2)), 5);
 		disconnectFromStore();
 		deliverRequests();
 		assertThat(answerBytes(), Matchers.lessThan(SMALL));
 		List<DirectEvent> received = deliverAnswers();
-		assertThat(names(received, Kind.ROUTES), Matchers.contains("r", "table"));
+		assertThat(names(received, ObjectKind.ROUTES), Matchers.contains("r", "table"));
 		assertThat(received.stream()
 			.map(DirectEvent.ObjectsListed.class::cast)
 			.flatMap((all) -> all.items().stream())
@@ -159,32 +159,32 @@
 	// missing until they change.
 	@Test
 	void answerReferencingUnknownObjectIsDiscarded() {
-		this.follower.applyFromStore(Kind.ROUTES, List.of(large("table", 5)), 5);
+		this.follower.applyFromStore(ObjectKind.ROUTES, List.of(large("table", 5)), 5);
 		disconnectFromStore();
 		deliverRequests();
-		this.follower.applyFromStore(Kind.ROUTES, List.of(DecodeOnlyStore.item("s", 6)), 6);
-		assertThat(names(deliverAnswers(), Kind.ROUTES), Matchers.empty());
+		this.follower.applyFromStore(ObjectKind.ROUTES, List.of(DecodeOnlyStore.item("s", 6)), 6);
+		assertThat(names(deliverAnswers(), ObjectKind.ROUTES), Matchers.empty());
 		assertThat(this.follower.isComplete(this.upstreamName), Matchers.equalTo(false));
 		for (int i = 0; i < 5; i++) {
 			tick();
 		}
 		assertThat(this.requests.getFirst().getNewsRequest().getKnownList(), Matchers.empty());
 		deliverRequests();
-		assertThat(names(deliverAnswers(), Kind.ROUTES), Matchers.contains("r", "table"));
+		assertThat(names(deliverAnswers(), ObjectKind.ROUTES), Matchers.contains("r", "table"));
 		assertThat(this.follower.isComplete(this.upstreamName), Matchers.equalTo(true));
 	}
 
 	@Test
 	void incompleteAnswerDoesNotMakeEntryFollower() {
-		for (Kind kind : Kind.values()) {
-			this.follower.applyFromStore(kind, (kind == Kind.ROUTES) ? List.of(large("table", 5)) : List.of(), 5);
+		for (ObjectKind kind : ObjectKind.values()) {
+			this.follower.applyFromStore(kind, (kind == ObjectKind.ROUTES) ? List.of(large("table", 5)) : List.of(), 5);
 		}
 		this.follower.storeReachable(true);
 		while (this.requests.isEmpty()) {
 			tick();
 		}
 		deliverRequests();
-		this.follower.applyFromStore(Kind.ROUTES, List.of(), 5);
+		this.follower.applyFromStore(ObjectKind.ROUTES, List.of(), 5);
 		deliverAnswers();
 		assertThat(this.controller.isFollower(), Matchers.equalTo(false));
 		for (int i = 0; i < 4; i++) {
@@ -199,11 +199,11 @@
 	// missing.
 	@Test
 	void objectRemovedSinceRequestIsNotMissing() {
-		this.follower.applyFromStore(Kind.ROUTES, List.of(large("table", 5), DecodeOnlyStore.item("r", 6)), 6);
+		this.follower.applyFromStore(ObjectKind.ROUTES, List.of(large("table", 5), DecodeOnlyStore.item("r", 6)), 6);
 		disconnectFromStore();
 		deliverRequests();
-		this.follower.applyFromStore(Kind.ROUTES, new ObjectStore.Change(DecodeOnlyStore.item("r", 8), true));
-		assertThat(names(deliverAnswers(), Kind.ROUTES), Matchers.contains("table"));
+		this.follower.applyFromStore(ObjectKind.ROUTES, new ObjectStore.Change(DecodeOnlyStore.item("r", 8), true));
+		assertThat(names(deliverAnswers(), ObjectKind.ROUTES), Matchers.contains("table"));
 		assertThat(this.follower.isComplete(this.upstreamName), Matchers.equalTo(true));
 	}
 
@@ -215,16 +215,16 @@
 		disconnectFromStore();
 		deliverRequests();
 		deliverAnswers();
-		this.upstream.applyFromStore(Kind.RUNNERS, new ObjectStore.Change(DecodeOnlyStore.item("s", 8), false));
+		this.upstream.applyFromStore(ObjectKind.RUNNERS, new ObjectStore.Change(DecodeOnlyStore.item("s", 8), false));
 		this.answers.clear();
-		this.upstream.applyFromStore(Kind.RUNNERS, new ObjectStore.Change(DecodeOnlyStore.item("t", 9), false));
+		this.upstream.applyFromStore(ObjectKind.RUNNERS, new ObjectStore.Change(DecodeOnlyStore.item("t", 9), false));
 		this.answers.forEach((frame) -> this.follower.updateReceived(this.upstreamName, frame.getNews()));
 		this.follower.storeReachable(true);
 		this.requests.clear();
 		this.follower.requestReceived("third", NewsRequest.newBuilder().setWanted(true).build());
 		assertThat(this.requests.stream()
 			.map(Frame::getNews)
-			.filter((news) -> news.getKind() == StoreReplication.toWire(Kind.RUNNERS))
+			.filter((news) -> news.getKind() == StoreReplication.toWire(ObjectKind.RUNNERS))
 			.map(News::getAt)
 			.toList(), Matchers.contains(7L));
 	}
@@ -235,9 +235,9 @@
 		disconnectFromStore();
 		deliverRequests();
 		deliverAnswers();
-		this.upstream.applyFromStore(Kind.ROUTES, List.of(large("table", 5), DecodeOnlyStore.item("s", 8)), 9);
+		this.upstream.applyFromStore(ObjectKind.ROUTES, List.of(large("table", 5), DecodeOnlyStore.item("s", 8)), 9);
 		assertThat(answerBytes(), Matchers.lessThan(SMALL));
-		assertThat(names(deliverAnswers(), Kind.ROUTES), Matchers.contains("s", "table"));
+		assertThat(names(deliverAnswers(), ObjectKind.ROUTES), Matchers.contains("s", "table"));
 		assertThat(this.follower.isComplete(this.upstreamName), Matchers.equalTo(true));
 	}
 
@@ -248,9 +248,9 @@
 		disconnectFromStore();
 		deliverRequests();
 		deliverAnswers();
-		this.upstream.applyFromStore(Kind.ROUTES, new ObjectStore.Change(DecodeOnlyStore.item("s", 8), false));
+		this.upstream.applyFromStore(ObjectKind.ROUTES, new ObjectStore.Change(DecodeOnlyStore.item("s", 8), false));
 		this.answers.clear();
-		this.upstream.applyFromStore(Kind.ROUTES, List.of(large("table", 5), DecodeOnlyStore.item("s", 8)), 9);
+		this.upstream.applyFromStore(ObjectKind.ROUTES, List.of(large("table", 5), DecodeOnlyStore.item("s", 8)), 9);
 		deliverAnswers();
 		assertThat(this.follower.isComplete(this.upstreamName), Matchers.equalTo(false));
 		for (int i = 0; i < 4; i++) {
@@ -258,7 +258,7 @@
 		}
 		deliverRequests();
 		assertThat(answerBytes(), Matchers.lessThan(SMALL));
-		assertThat(names(deliverAnswers(), Kind.ROUTES), Matchers.contains("s", "table"));
+		assertThat(names(deliverAnswers(), ObjectKind.ROUTES), Matchers.contains("s", "table"));
 		assertThat(this.follower.isComplete(this.upstreamName), Matchers.equalTo(true));
 	}
 
@@ -267,7 +267,7 @@
 	void legacyPeerIsSentCompleteListing() {
 		this.upstream.requestReceived("legacy", NewsRequest.newBuilder().setWanted(true).build());
 		this.answers.clear();
-		this.upstream.applyFromStore(Kind.ROUTES, List.of(large("table", 5), DecodeOnlyStore.item("s", 8)), 9);
+		this.upstream.applyFromStore(ObjectKind.ROUTES, List.of(large("table", 5), DecodeOnlyStore.item("s", 8)), 9);
 		assertThat(answerBytes(), Matchers.greaterThan(LARGE));
 	}
 
--- a/entry/src/test/java/org/wisteriapost/entry/direct/LateStoreReadTests.java
+++ b/entry/src/test/java/org/wisteriapost/entry/direct/LateStoreReadTests.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.MethodSource;
 import org.wisteriapost.kernel.CodedException;
-import org.wisteriapost.protocol.site.Kind;
+import org.wisteriapost.protocol.site.ObjectKind;
 import org.wisteriapost.protocol.site.ObjectStore;
 
 import static org.hamcrest.MatcherAssert.assertThat;
@@ -45,13 +45,13 @@
 	}
 
 	static Stream<Arguments> kindsAndReadModes() {
-		return Stream.of(Kind.values())
+		return Stream.of(ObjectKind.values())
 			.flatMap((kind) -> Stream.of(false, true).map((listed) -> Arguments.of(kind, listed)));
 	}
 
 	@ParameterizedTest
 	@MethodSource("kindsAndReadModes")
-	void discardedReadIsRepeated(Kind kind, boolean listed) {
+	void discardedReadIsRepeated(ObjectKind kind, boolean listed) {
 		List<ObjectStore.Item> routes = List.of(this.bench.routes(5, EntryStateFixture.table(1, KNOWN)));
 		List<ObjectStore.Item> runners = List.of(this.bench.runner(5, OLD_ADDRESS));
 		this.bench.followStore(routes, runners);
@@ -81,7 +81,7 @@
 		assertThat(this.bench.store().drainCalls(), Matchers.containsInAnyOrder(expectedCalls(Set.of())));
 	}
 
-	private void completeRead(Kind kind, boolean listed) {
+	private void completeRead(ObjectKind kind, boolean listed) {
 		if (listed) {
 			this.bench.store().watch(kind).completeExceptionally(CodedException.of(ObjectStore.HISTORY_GONE, "test"));
 			return;
@@ -92,9 +92,9 @@
 			.complete(new ObjectStore.Changes(List.of(new ObjectStore.Change(item, false)), 9));
 	}
 
-	private static String[] expectedCalls(Set<Kind> listedKinds) {
+	private static String[] expectedCalls(Set<ObjectKind> listedKinds) {
 		List<String> calls = new ArrayList<>();
-		for (Kind kind : Kind.values()) {
+		for (ObjectKind kind : ObjectKind.values()) {
 			calls.add((listedKinds.contains(kind) ? "list " : "since ") + kind);
 			if (listedKinds.contains(kind)) {
 				calls.add("watch " + kind);
@@ -117,9 +117,9 @@
 			case ROUTE_DROPPED ->
 				new ObjectStore.Change(this.bench.routes(9, EntryStateFixture.table(2, "/other/")), false);
 		};
-		Kind kind = (changed == Changed.ROUTE_DROPPED) ? Kind.ROUTES : Kind.RUNNERS;
+		ObjectKind kind = (changed == Changed.ROUTE_DROPPED) ? ObjectKind.ROUTES : ObjectKind.RUNNERS;
 		this.bench.apply(new DirectEvent.ObjectChanged(kind, change));
-		this.bench.apply(new DirectEvent.StoreReachability(Kind.RUNNERS, false));
+		this.bench.apply(new DirectEvent.StoreReachability(ObjectKind.RUNNERS, false));
 		this.bench.link(true);
 		this.bench.run(Duration.ofSeconds(1));
 		assertThat(this.bench.request(KNOWN, TOKEN), Matchers.equalTo(answer));
--- a/entry/src/test/java/org/wisteriapost/entry/direct/LeaderHarness.java
+++ b/entry/src/test/java/org/wisteriapost/entry/direct/LeaderHarness.java
@@ -22,7 +22,7 @@
 import org.wisteriapost.policy.fleet.RendezvousHashing;
 import org.wisteriapost.policy.fleet.StoreRole;
 import org.wisteriapost.policy.fleet.UpstreamSelector;
-import org.wisteriapost.protocol.site.Kind;
+import org.wisteriapost.protocol.site.ObjectKind;
 import org.wisteriapost.protocol.site.ObjectStore;
 import org.wisteriapost.protocol.wire.Frame;
 import org.wisteriapost.protocol.wire.StoreKind;
@@ -308,7 +308,7 @@
 			}
 			while (this.known < revision()) {
 				this.known++;
-				this.replication.applyFromStore(Kind.RUNNERS,
+				this.replication.applyFromStore(ObjectKind.RUNNERS,
 						new ObjectStore.Change(DecodeOnlyStore.item("r", this.known), false));
 			}
 			if (now() < this.routesSilentNanos) {
@@ -319,9 +319,9 @@
 		void readAll(long at) {
 			this.hasReadAll = true;
 			this.known = at;
-			for (Kind kind : Kind.values()) {
+			for (ObjectKind kind : ObjectKind.values()) {
 				this.replication.applyFromStore(kind,
-						(kind == Kind.RUNNERS) ? List.of(DecodeOnlyStore.item("r", at)) : List.of(), at);
+						(kind == ObjectKind.RUNNERS) ? List.of(DecodeOnlyStore.item("r", at)) : List.of(), at);
 			}
 			this.replication.storeReachable(true);
 		}
--- a/entry/src/test/java/org/wisteriapost/entry/direct/LossyReplicationTests.java
+++ b/entry/src/test/java/org/wisteriapost/entry/direct/LossyReplicationTests.java
@@ -21,7 +21,7 @@
 import org.wisteriapost.policy.fleet.RendezvousHashing;
 import org.wisteriapost.policy.fleet.StoreRole;
 import org.wisteriapost.policy.fleet.UpstreamSelector;
-import org.wisteriapost.protocol.site.Kind;
+import org.wisteriapost.protocol.site.ObjectKind;
 import org.wisteriapost.protocol.site.ObjectStore;
 import org.wisteriapost.protocol.wire.Frame;
 import org.wisteriapost.protocol.wire.News;
@@ -49,7 +49,7 @@
 
 	private final Entry follower = new Entry(this.followerName, this.leaderName);
 
-	private final Map<Kind, Map<String, Long>> stored = new TreeMap<>();
+	private final Map<ObjectKind, Map<String, Long>> stored = new TreeMap<>();
 
 	private UniformRandomProvider random = RandomSource.SPLIT_MIX_64.create(1);
 
@@ -68,7 +68,7 @@
 
 	private void start(long seed) {
 		this.random = RandomSource.SPLIT_MIX_64.create(seed);
-		for (Kind kind : Kind.values()) {
+		for (ObjectKind kind : ObjectKind.values()) {
 			this.stored.put(kind, new TreeMap<>(Map.of("x", 5L)));
 			for (Entry entry : List.of(this.leader, this.follower)) {
 				entry.read(kind, List.of(DecodeOnlyStore.item("x", 5)), 5);
@@ -89,7 +89,7 @@
 	}
 
 	private void changeStore() {
-		Kind kind = Kind.values()[this.random.nextInt(Kind.values().length)];
+		ObjectKind kind = ObjectKind.values()[this.random.nextInt(ObjectKind.values().length)];
 		String name = "o" + this.random.nextInt(5);
 		this.revision++;
 		boolean deleted = this.stored.get(kind).containsKey(name) && this.random.nextBoolean();
@@ -165,7 +165,7 @@
 	}
 
 	private void relist() {
-		Kind kind = Kind.values()[this.random.nextInt(Kind.values().length)];
+		ObjectKind kind = ObjectKind.values()[this.random.nextInt(ObjectKind.values().length)];
 		List<ObjectStore.Item> all = this.stored.get(kind)
 			.entrySet()
 			.stream()
@@ -249,7 +249,7 @@
 		private final StoreRoleController controller;
 
 		// The objects that the entry knows, by kind: names with revisions.
-		private final Map<Kind, Map<String, Long>> objects = new TreeMap<>();
+		private final Map<ObjectKind, Map<String, Long>> objects = new TreeMap<>();
 
 		private final Queue<Frame> sent = new ArrayDeque<>();
 
@@ -263,12 +263,12 @@
 					LossyReplicationTests.this.log);
 		}
 
-		private void read(Kind kind, List<ObjectStore.Item> all, long at) {
+		private void read(ObjectKind kind, List<ObjectStore.Item> all, long at) {
 			this.replication.applyFromStore(kind, all, at);
 			replaceAll(kind, all);
 		}
 
-		private void replaceAll(Kind kind, List<ObjectStore.Item> all) {
+		private void replaceAll(ObjectKind kind, List<ObjectStore.Item> all) {
 			Map<String, Long> known = new TreeMap<>();
 			all.forEach((item) -> known.put(item.name(), item.revision()));
 			this.objects.put(kind, known);
--- a/entry/src/test/java/org/wisteriapost/entry/direct/PeerNotifierTests.java
+++ b/entry/src/test/java/org/wisteriapost/entry/direct/PeerNotifierTests.java
@@ -56,7 +56,7 @@
 	private final Optional<RouteTable> table = Optional.of(table());
 
 	private static SiteSettings settings() {
-		SiteSettings.Bounds bounds = new SiteSettings.Bounds(Duration.ofSeconds(8), Duration.ofSeconds(2),
+		SiteSettings.Guarantees bounds = new SiteSettings.Guarantees(Duration.ofSeconds(8), Duration.ofSeconds(2),
 				Duration.ofSeconds(8), 0.2, 10, Duration.ofSeconds(10), Duration.ofSeconds(5));
 		return new SiteSettings("edge-1", "10.0.0.1", "hall-a", "", Optional.empty(), Optional.empty(),
 				Optional.empty(), 7700, 7701, URI.create("http://10.0.0.8:1"), Optional.empty(), "", 1, bounds);
--- a/entry/src/test/java/org/wisteriapost/entry/direct/RejectionStalenessTests.java
+++ b/entry/src/test/java/org/wisteriapost/entry/direct/RejectionStalenessTests.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
-import org.wisteriapost.protocol.site.Kind;
+import org.wisteriapost.protocol.site.ObjectKind;
 import org.wisteriapost.protocol.wire.Frame;
 import org.wisteriapost.protocol.wire.NewsRequest;
 
@@ -42,7 +42,7 @@
 		this.bench.close();
 	}
 
-	private void confirmed(Kind kind, long asOfNanos) {
+	private void confirmed(ObjectKind kind, long asOfNanos) {
 		this.bench.apply(new DirectEvent.StoreConfirmed(kind, asOfNanos));
 	}
 
@@ -61,15 +61,15 @@
 			"TOKEN,2701,false", "NO_TOKEN,0,true", "NO_TOKEN,2700,true", "NO_TOKEN,2701,false", "SIZE,0,true",
 			"SIZE,2700,true", "SIZE,2701,false" })
 	void onlyRecentlyConfirmedTableRejects(Fault fault, long stalenessMillis, boolean rejects) {
-		confirmed(Kind.ROUTES, this.bench.now() - millis(stalenessMillis));
+		confirmed(ObjectKind.ROUTES, this.bench.now() - millis(stalenessMillis));
 		assertThat(fault.answer(this.bench), Matchers.equalTo(rejects ? fault.rejection : Fault.DOUBTFUL));
 	}
 
 	@ParameterizedTest
 	@EnumSource
 	void confirmationOfOtherKindsRejectsNothing(Fault fault) {
-		for (Kind kind : Kind.values()) {
-			if (kind != Kind.ROUTES) {
+		for (ObjectKind kind : ObjectKind.values()) {
+			if (kind != ObjectKind.ROUTES) {
 				confirmed(kind, this.bench.now());
 			}
 		}
@@ -81,14 +81,14 @@
 	@ParameterizedTest
 	@EnumSource
 	void confirmationBeforeSuspensionRejectsNothing(Fault fault) {
-		confirmed(Kind.ROUTES, this.bench.now());
+		confirmed(ObjectKind.ROUTES, this.bench.now());
 		long callNanos = this.bench.now();
 		this.bench.suspend(TEN_SECONDS);
 		this.bench.tick();
 		assertThat(fault.answer(this.bench), Matchers.equalTo(Fault.DOUBTFUL));
-		confirmed(Kind.ROUTES, callNanos);
+		confirmed(ObjectKind.ROUTES, callNanos);
 		assertThat(fault.answer(this.bench), Matchers.equalTo(Fault.DOUBTFUL));
-		confirmed(Kind.ROUTES, this.bench.now());
+		confirmed(ObjectKind.ROUTES, this.bench.now());
 		assertThat(fault.answer(this.bench), Matchers.equalTo(fault.rejection));
 	}
 
@@ -97,7 +97,7 @@
 	@ParameterizedTest
 	@CsvSource({ "2700,0,true", "2701,0,false", "0,10000,false" })
 	void sizeCheckUsesCurrentStaleness(long passedMillis, long suspendedMillis, boolean rejects) {
-		confirmed(Kind.ROUTES, this.bench.now());
+		confirmed(ObjectKind.ROUTES, this.bench.now());
 		this.bench.advanceClocks(passedMillis);
 		this.bench.suspend(Duration.ofMillis(suspendedMillis));
 		assertThat(this.bench.view().mayReject(), Matchers.equalTo(rejects));
@@ -110,7 +110,7 @@
 	void followerIsConfirmedByLeaderOnly(Fault fault) {
 		this.bench.runUntilSubscribed();
 		this.bench.deliverUpdates();
-		confirmed(Kind.ROUTES, this.bench.now());
+		confirmed(ObjectKind.ROUTES, this.bench.now());
 		assertThat(fault.answer(this.bench), Matchers.equalTo(Fault.DOUBTFUL));
 		this.bench.leader().routesConfirmed(this.bench.now() - millis(2700));
 		this.bench.run(Duration.ofSeconds(1));
@@ -127,10 +127,10 @@
 	@CsvSource({ "-1,false", "0,true" })
 	void leaderSendsNoAgeFromBeforeSuspension(long callOffsetMillis, boolean sent) {
 		this.bench.link(true);
-		confirmed(Kind.ROUTES, this.bench.now());
+		confirmed(ObjectKind.ROUTES, this.bench.now());
 		this.bench.suspend(TEN_SECONDS);
 		this.bench.tick();
-		confirmed(Kind.ROUTES, this.bench.now() + millis(callOffsetMillis));
+		confirmed(ObjectKind.ROUTES, this.bench.now() + millis(callOffsetMillis));
 		this.bench.sentFrames().clear();
 		NewsRequest request = NewsRequest.newBuilder().setWanted(true).setStamp(7).build();
 		this.bench.apply(new DirectEvent.PeerSubscriptionChanged(EntryStateFixture.LEADER, request));
--- a/entry/src/test/java/org/wisteriapost/entry/direct/ReplicatedStalenessTests.java
+++ b/entry/src/test/java/org/wisteriapost/entry/direct/ReplicatedStalenessTests.java
@@ -14,7 +14,7 @@
 import org.wisteriapost.policy.fleet.LinkedEntry;
 import org.wisteriapost.policy.fleet.StoreRole;
 import org.wisteriapost.policy.fleet.UpstreamSelector;
-import org.wisteriapost.protocol.site.Kind;
+import org.wisteriapost.protocol.site.ObjectKind;
 import org.wisteriapost.protocol.site.ObjectStore;
 import org.wisteriapost.protocol.wire.Frame;
 import org.wisteriapost.protocol.wire.News;
@@ -53,7 +53,7 @@
 	@BeforeEach
 	void subscribe() {
 		this.upstream.storeReachable(true);
-		for (Kind kind : Kind.values()) {
+		for (ObjectKind kind : ObjectKind.values()) {
 			this.upstream.applyFromStore(kind, List.of(DecodeOnlyStore.item("x", 5)), 5);
 		}
 		this.follower.storeReachable(false);
@@ -158,7 +158,7 @@
 		confirmAtUpstream(this.now);
 		exchange();
 		OptionalLong before = this.follower.routesConfirmedNanos();
-		this.upstream.applyFromStore(Kind.ROUTES, new ObjectStore.Change(DecodeOnlyStore.item("x", 9), false));
+		this.upstream.applyFromStore(ObjectKind.ROUTES, new ObjectStore.Change(DecodeOnlyStore.item("x", 9), false));
 		this.answers.clear();
 		run(4);
 		confirmAtUpstream(this.now);
@@ -172,7 +172,7 @@
 	void answerWithoutRoutesDoesNotConfirmRoutes() {
 		confirmAtUpstream(this.now);
 		deliverRequests();
-		this.answers.removeIf((frame) -> frame.getNews().getKind() == StoreReplication.toWire(Kind.ROUTES));
+		this.answers.removeIf((frame) -> frame.getNews().getKind() == StoreReplication.toWire(ObjectKind.ROUTES));
 		deliverAnswers();
 		assertThat(this.follower.routesConfirmedNanos(), Matchers.equalTo(OptionalLong.empty()));
 	}
@@ -181,13 +181,13 @@
 	@Test
 	void answerReferencingUnknownRoutesDoesNotConfirmRoutes() {
 		this.follower.storeReachable(true);
-		this.follower.applyFromStore(Kind.ROUTES, List.of(DecodeOnlyStore.item("x", 5)), 5);
+		this.follower.applyFromStore(ObjectKind.ROUTES, List.of(DecodeOnlyStore.item("x", 5)), 5);
 		this.requests.clear();
 		this.follower.storeReachable(false);
 		this.follower.tick(List.of(LinkedEntry.unknown("upstream")), this.now);
 		confirmAtUpstream(this.now);
 		deliverRequests();
-		this.follower.applyFromStore(Kind.ROUTES, List.of(), 4);
+		this.follower.applyFromStore(ObjectKind.ROUTES, List.of(), 4);
 		deliverAnswers();
 		assertThat(this.follower.routesConfirmedNanos(), Matchers.equalTo(OptionalLong.empty()));
 	}
--- a/entry/src/test/java/org/wisteriapost/entry/direct/SlowLinkReplicationTests.java
+++ b/entry/src/test/java/org/wisteriapost/entry/direct/SlowLinkReplicationTests.java
@@ -23,7 +23,7 @@
 import org.wisteriapost.policy.fleet.LinkedEntry;
 import org.wisteriapost.policy.fleet.StoreRole;
 import org.wisteriapost.policy.fleet.UpstreamSelector;
-import org.wisteriapost.protocol.site.Kind;
+import org.wisteriapost.protocol.site.ObjectKind;
 import org.wisteriapost.protocol.site.ObjectStore;
 import org.wisteriapost.protocol.wire.Frame;
 import org.wisteriapost.protocol.wire.News;
@@ -58,7 +58,7 @@
 	private final StoreReplication follower = new StoreReplication(new DecodeOnlyStore(), StoreRole.of("follower"),
 			UpstreamSelector.of("follower"), (peer, frame) -> this.toUpstream.send(frame), () -> this.now, this.log);
 
-	private final List<Kind> delivered = new ArrayList<>();
+	private final List<ObjectKind> delivered = new ArrayList<>();
 
 	// When the follower requested objects, in milliseconds.
 	private final List<Long> requestMillis = new ArrayList<>();
@@ -73,9 +73,9 @@
 
 	@BeforeEach
 	void begin() {
-		for (Kind kind : Kind.values()) {
-			this.upstream.applyFromStore(kind, List.of((kind == Kind.ROUTES) ? table(5) : DecodeOnlyStore.item("x", 5)),
-					5);
+		for (ObjectKind kind : ObjectKind.values()) {
+			this.upstream.applyFromStore(kind,
+					List.of((kind == ObjectKind.ROUTES) ? table(5) : DecodeOnlyStore.item("x", 5)), 5);
 		}
 		this.upstream.storeReachable(true);
 		this.follower.storeReachable(false);
@@ -152,9 +152,10 @@
 	void smallKindsAreSentBeforeTable() {
 		this.toFollower.tableNanos = Duration.ofSeconds(4).toNanos();
 		run(1000);
-		assertThat(this.delivered, Matchers.contains(Kind.RUNNERS, Kind.ENTRIES, Kind.WEIGHTS));
+		assertThat(this.delivered, Matchers.contains(ObjectKind.RUNNERS, ObjectKind.ENTRIES, ObjectKind.WEIGHTS));
 		run(5000);
-		assertThat(this.delivered, Matchers.contains(Kind.RUNNERS, Kind.ENTRIES, Kind.WEIGHTS, Kind.ROUTES));
+		assertThat(this.delivered,
+				Matchers.contains(ObjectKind.RUNNERS, ObjectKind.ENTRIES, ObjectKind.WEIGHTS, ObjectKind.ROUTES));
 	}
 
 	// A full link drops the request, the table or the whole answer. Without a retry the
--- a/entry/src/test/java/org/wisteriapost/entry/direct/StoreReplicationTests.java
+++ b/entry/src/test/java/org/wisteriapost/entry/direct/StoreReplicationTests.java
@@ -14,7 +14,7 @@
 import org.wisteriapost.policy.fleet.LinkedEntry;
 import org.wisteriapost.policy.fleet.StoreRole;
 import org.wisteriapost.policy.fleet.UpstreamSelector;
-import org.wisteriapost.protocol.site.Kind;
+import org.wisteriapost.protocol.site.ObjectKind;
 import org.wisteriapost.protocol.site.ObjectStore;
 import org.wisteriapost.protocol.wire.Frame;
 import org.wisteriapost.protocol.wire.News;
@@ -48,10 +48,10 @@
 	@BeforeEach
 	void disconnectFollowerFromStore() {
 		this.upstream.storeReachable(true);
-		this.upstream.applyFromStore(Kind.RUNNERS, List.of(DecodeOnlyStore.item("a", 5), DecodeOnlyStore.item("b", 6)),
-				6);
+		this.upstream.applyFromStore(ObjectKind.RUNNERS,
+				List.of(DecodeOnlyStore.item("a", 5), DecodeOnlyStore.item("b", 6)), 6);
 		this.follower.storeReachable(true);
-		this.follower.applyFromStore(Kind.RUNNERS,
+		this.follower.applyFromStore(ObjectKind.RUNNERS,
 				List.of(DecodeOnlyStore.item("a", 5), DecodeOnlyStore.item("old", 4)), 5);
 		this.follower.storeReachable(false);
 		this.follower.tick(linked("upstream"), SECOND);
@@ -97,8 +97,8 @@
 	@Test
 	void disconnectedEntryReceivesAllObjectsAndThenChanges() {
 		assertThat(deliverToFollower(), Matchers.contains("all[a, b]"));
-		this.upstream.applyFromStore(Kind.RUNNERS, new ObjectStore.Change(DecodeOnlyStore.item("c", 9), false));
-		this.upstream.applyFromStore(Kind.RUNNERS, new ObjectStore.Change(DecodeOnlyStore.item("a", 5), true));
+		this.upstream.applyFromStore(ObjectKind.RUNNERS, new ObjectStore.Change(DecodeOnlyStore.item("c", 9), false));
+		this.upstream.applyFromStore(ObjectKind.RUNNERS, new ObjectStore.Change(DecodeOnlyStore.item("a", 5), true));
 		assertThat(deliverToFollower(), Matchers.contains("+c", "-a"));
 	}
 
@@ -108,11 +108,11 @@
 	@Test
 	void objectDroppedByLateListingIsRequestedAgain() {
 		deliverToFollower();
-		this.upstream.applyFromStore(Kind.RUNNERS, new ObjectStore.Change(DecodeOnlyStore.item("c", 9), false));
+		this.upstream.applyFromStore(ObjectKind.RUNNERS, new ObjectStore.Change(DecodeOnlyStore.item("c", 9), false));
 		assertThat(deliverToFollower(), Matchers.contains("+c"));
 		this.toUpstream.clear();
-		this.follower.applyFromStore(Kind.RUNNERS, List.of(DecodeOnlyStore.item("a", 5), DecodeOnlyStore.item("b", 6)),
-				6);
+		this.follower.applyFromStore(ObjectKind.RUNNERS,
+				List.of(DecodeOnlyStore.item("a", 5), DecodeOnlyStore.item("b", 6)), 6);
 		this.follower.tick(linked("upstream"), SECOND);
 		this.toUpstream.forEach((frame) -> this.upstream.requestReceived("follower", frame.getNewsRequest()));
 		assertThat(deliverToFollower(), Matchers.hasItem("all[a, b, c]"));
@@ -122,12 +122,12 @@
 	@Test
 	void newerListingCausesNoRequest() {
 		deliverToFollower();
-		this.upstream.applyFromStore(Kind.RUNNERS, new ObjectStore.Change(DecodeOnlyStore.item("c", 9), false));
-		this.upstream.applyFromStore(Kind.RUNNERS, new ObjectStore.Change(DecodeOnlyStore.item("d", 10), false));
+		this.upstream.applyFromStore(ObjectKind.RUNNERS, new ObjectStore.Change(DecodeOnlyStore.item("c", 9), false));
+		this.upstream.applyFromStore(ObjectKind.RUNNERS, new ObjectStore.Change(DecodeOnlyStore.item("d", 10), false));
 		deliverToFollower();
 		this.requests.clear();
-		this.follower.applyFromStore(Kind.RUNNERS, List.of(DecodeOnlyStore.item("a", 5), DecodeOnlyStore.item("c", 9)),
-				12);
+		this.follower.applyFromStore(ObjectKind.RUNNERS,
+				List.of(DecodeOnlyStore.item("a", 5), DecodeOnlyStore.item("c", 9)), 12);
 		this.follower.tick(linked("upstream"), SECOND);
 		assertThat(this.requests, Matchers.empty());
 	}
@@ -137,11 +137,11 @@
 	@Test
 	void olderRevisionDoesNotRestoreRemovedObject() {
 		deliverToFollower();
-		this.upstream.applyFromStore(Kind.RUNNERS, new ObjectStore.Change(DecodeOnlyStore.item("a", 7), true));
+		this.upstream.applyFromStore(ObjectKind.RUNNERS, new ObjectStore.Change(DecodeOnlyStore.item("a", 7), true));
 		deliverToFollower();
-		this.upstream.applyFromStore(Kind.RUNNERS, new ObjectStore.Change(DecodeOnlyStore.item("a", 6), false));
+		this.upstream.applyFromStore(ObjectKind.RUNNERS, new ObjectStore.Change(DecodeOnlyStore.item("a", 6), false));
 		assertThat(deliverToFollower(), Matchers.empty());
-		this.upstream.applyFromStore(Kind.RUNNERS, new ObjectStore.Change(DecodeOnlyStore.item("a", 11), false));
+		this.upstream.applyFromStore(ObjectKind.RUNNERS, new ObjectStore.Change(DecodeOnlyStore.item("a", 11), false));
 		assertThat(deliverToFollower(), Matchers.contains("+a"));
 	}
 
@@ -150,9 +150,9 @@
 	@Test
 	void olderRemovalIsIgnored() {
 		deliverToFollower();
-		this.upstream.applyFromStore(Kind.RUNNERS, new ObjectStore.Change(DecodeOnlyStore.item("b", 9), false));
+		this.upstream.applyFromStore(ObjectKind.RUNNERS, new ObjectStore.Change(DecodeOnlyStore.item("b", 9), false));
 		assertThat(deliverToFollower(), Matchers.contains("+b"));
-		this.upstream.applyFromStore(Kind.WEIGHTS, new ObjectStore.Change(DecodeOnlyStore.item("b", 7), true));
+		this.upstream.applyFromStore(ObjectKind.WEIGHTS, new ObjectStore.Change(DecodeOnlyStore.item("b", 7), true));
 		Frame removal = this.toFollower.getLast();
 		this.toFollower.clear();
 		this.toFollower
@@ -228,7 +228,7 @@
 		deliverToFollower();
 		this.follower.tick(linked("third"), 2 * SECOND);
 		this.requests.clear();
-		this.upstream.applyFromStore(Kind.RUNNERS, new ObjectStore.Change(DecodeOnlyStore.item("c", 9), false));
+		this.upstream.applyFromStore(ObjectKind.RUNNERS, new ObjectStore.Change(DecodeOnlyStore.item("c", 9), false));
 		assertThat(deliverToFollower(), Matchers.empty());
 		this.follower.tick(linked("upstream", "third"), 2 * SECOND + SECOND / 10);
 		assertThat(this.requests, Matchers.contains("-upstream"));
@@ -278,7 +278,7 @@
 		this.follower.storeReachable(true);
 		this.upstream.requestReceived("follower", NewsRequest.getDefaultInstance());
 		this.toFollower.clear();
-		this.upstream.applyFromStore(Kind.RUNNERS, new ObjectStore.Change(DecodeOnlyStore.item("d", 12), false));
+		this.upstream.applyFromStore(ObjectKind.RUNNERS, new ObjectStore.Change(DecodeOnlyStore.item("d", 12), false));
 		assertThat(this.toFollower, Matchers.empty());
 	}
 
--- a/entry/src/test/java/org/wisteriapost/entry/direct/StoreRoleControllerTests.java
+++ b/entry/src/test/java/org/wisteriapost/entry/direct/StoreRoleControllerTests.java
@@ -14,7 +14,7 @@
 import org.wisteriapost.policy.fleet.RendezvousHashing;
 import org.wisteriapost.policy.fleet.StoreRole;
 import org.wisteriapost.policy.fleet.UpstreamSelector;
-import org.wisteriapost.protocol.site.Kind;
+import org.wisteriapost.protocol.site.ObjectKind;
 import org.wisteriapost.protocol.site.ObjectStore;
 import org.wisteriapost.protocol.wire.Frame;
 
@@ -62,8 +62,8 @@
 
 	private void bothRead(long at, ObjectStore.Item... runners) {
 		for (Entry entry : List.of(this.leader, this.follower)) {
-			for (Kind kind : Kind.values()) {
-				entry.replication.applyFromStore(kind, (kind == Kind.RUNNERS) ? List.of(runners) : List.of(), at);
+			for (ObjectKind kind : ObjectKind.values()) {
+				entry.replication.applyFromStore(kind, (kind == ObjectKind.RUNNERS) ? List.of(runners) : List.of(), at);
 			}
 			entry.replication.storeReachable(true);
 		}
@@ -75,9 +75,9 @@
 		run(15);
 		assertThat(this.follower.controller.isFollower(), Matchers.equalTo(true));
 		assertThat(this.leader.controller.isFollower(), Matchers.equalTo(false));
-		this.leader.replication.applyFromStore(Kind.RUNNERS,
+		this.leader.replication.applyFromStore(ObjectKind.RUNNERS,
 				new ObjectStore.Change(DecodeOnlyStore.item("r2", 9), false));
-		this.leader.replication.applyFromStore(Kind.RUNNERS,
+		this.leader.replication.applyFromStore(ObjectKind.RUNNERS,
 				new ObjectStore.Change(DecodeOnlyStore.item("r1", 5), true));
 		assertThat(this.follower.received, Matchers.hasItems("+r2", "-r1"));
 	}
@@ -88,7 +88,7 @@
 	@Test
 	void objectNotYetReadByLeaderIsKept() {
 		bothRead(5, DecodeOnlyStore.item("r1", 5));
-		this.follower.replication.applyFromStore(Kind.RUNNERS,
+		this.follower.replication.applyFromStore(ObjectKind.RUNNERS,
 				new ObjectStore.Change(DecodeOnlyStore.item("r2", 7), false));
 		run(15);
 		assertThat(this.follower.received, Matchers.hasItem("all[r1, r2]"));
--- a/protocol/src/main/java/org/wisteriapost/protocol/outside/http/HttpProvider.java
+++ b/protocol/src/main/java/org/wisteriapost/protocol/outside/http/HttpExternalSystemsProvider.java
@@ -2,18 +2,18 @@
 
 import java.net.URI;
 
-import org.wisteriapost.protocol.http.HttpCaller;
+import org.wisteriapost.protocol.http.PooledHttpClient;
 import org.wisteriapost.protocol.outside.Engine;
+import org.wisteriapost.protocol.outside.ExternalSystemsProvider;
 import org.wisteriapost.protocol.outside.Origin;
-import org.wisteriapost.protocol.outside.OutsideProvider;
 import org.wisteriapost.protocol.outside.Platform;
 import org.wisteriapost.protocol.outside.VmList;
 import org.wisteriapost.protocol.outside.WeightStore;
 
 /**
- * Surroundings that speak plain HTTP, as docs/ARCHITECTURE.md lists it.
+ * Creates adapters for external systems that are called over plain HTTP.
  */
-public final class HttpProvider implements OutsideProvider {
+public final class HttpExternalSystemsProvider implements ExternalSystemsProvider {
 
 	@Override
 	public String name() {
@@ -21,27 +21,27 @@
 	}
 
 	@Override
-	public Platform platform(HttpCaller caller, URI address) {
+	public Platform platform(PooledHttpClient caller, URI address) {
 		return HttpPlatform.at(caller, address);
 	}
 
 	@Override
-	public VmList vmList(HttpCaller caller, URI address) {
+	public VmList vmList(PooledHttpClient caller, URI address) {
 		return HttpVmList.at(caller, address);
 	}
 
 	@Override
-	public Origin origin(HttpCaller caller, URI address) {
+	public Origin origin(PooledHttpClient caller, URI address) {
 		return HttpOrigin.at(caller, address);
 	}
 
 	@Override
-	public WeightStore weightStore(HttpCaller caller, URI address) {
+	public WeightStore weightStore(PooledHttpClient caller, URI address) {
 		return HttpWeightStore.at(caller, address);
 	}
 
 	@Override
-	public Engine engine(HttpCaller caller, URI address) {
+	public Engine engine(PooledHttpClient caller, URI address) {
 		return HttpEngine.at(caller, address);
 	}
 
--- a/standin/src/main/java/org/wisteriapost/standin/sim/MachinePolicy.java
+++ b/standin/src/main/java/org/wisteriapost/standin/sim/StateMachinePolicy.java
@@ -9,26 +9,26 @@
 import org.wisteriapost.policy.request.RequestStateMachine;
 
 /**
- * The program's own decisions.
+ * The production request handling of an entry.
  */
-public final class MachinePolicy implements EntryPolicy {
+public final class StateMachinePolicy implements EntryPolicy {
 
-	private final RequestStateMachine machine;
+	private final RequestStateMachine stateMachine;
 
-	private MachinePolicy(RequestStateMachine machine) {
-		this.machine = machine;
+	private StateMachinePolicy(RequestStateMachine machine) {
+		this.stateMachine = machine;
 	}
 
 	/**
-	 * Returns the program's own decisions with default limits.
+	 * Creates the production request handling with default settings.
 	 */
 	public static EntryPolicy create(LoadProfile profile, long seed) {
-		return new MachinePolicy(RequestStateMachine.create(RequestPolicySettings.defaults(), seed));
+		return new StateMachinePolicy(RequestStateMachine.create(RequestPolicySettings.defaults(), seed));
 	}
 
 	@Override
 	public List<RequestEffect> apply(RequestEvent event, long nowNanos) {
-		return this.machine.apply(event, nowNanos);
+		return this.stateMachine.apply(event, nowNanos);
 	}
 
 	@Override
@@ -38,7 +38,7 @@
 
 	@Override
 	public Map<String, Long> violations() {
-		return this.machine.violations();
+		return this.stateMachine.violations();
 	}
 
 }
